--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -7,7 +7,7 @@
 use crate::server::{AttemptAt, Reported, Taken};
 use weldhub::Event;
 use weldhub::entries::server_id;
-use weldhub::interface::{AttemptEnd, AttemptNo, Load, Outcome, RequestId, ServerId, ServerState};
+use weldhub::interface::{AttemptEnd, AttemptIndex, BackendId, BackendState, Load, Outcome, RequestId};
 use weldhub_client::policy::Ended;
 
 pub(super) struct Attempt {
@@ -29,7 +29,7 @@
         &mut self,
         i: usize,
         request: u64,
-        to: ServerId,
+        to: BackendId,
         wait: Option<f64>,
         own: &mut std::collections::VecDeque<Event>,
     ) {
@@ -43,7 +43,7 @@
         let end = |outcome| {
             Event::AttemptEnded(AttemptEnd {
                 request: RequestId(request),
-                attempt: AttemptNo(no),
+                attempt: AttemptIndex(no),
                 server: to,
                 outcome,
                 spent: 0.0,
@@ -57,13 +57,13 @@
             return own.push_back(end(Outcome::Moot));
         }
         let told = self.nodes[i].told.get(&to).copied();
-        let late = told.filter(|told| told.state != ServerState::Ready).map(|told| told.since);
+        let late = told.filter(|told| told.state != BackendState::Ready).map(|told| told.since);
         let Some(&s) = self.ids.get(&to) else { return own.push_back(end(Outcome::ConnectFailed)) };
         self.check.sends(now, i, s as u64, late);
         let (class, cell) = (self.asked[n].class, self.servers[s].cell);
         self.check.again(now, script.classes[class].repeat, risky, cell, request);
         // As the client side does it: nothing starts on a real server that is not ready.
-        if told.is_none_or(|told| told.state != ServerState::Ready) {
+        if told.is_none_or(|told| told.state != BackendState::Ready) {
             return own.push_back(end(Outcome::ConnectFailed));
         }
         let units = f64::from(self.asked[n].units);
@@ -267,7 +267,7 @@
             i,
             Event::AttemptEnded(AttemptEnd {
                 request: RequestId(request),
-                attempt: AttemptNo(no),
+                attempt: AttemptIndex(no),
                 server: to,
                 outcome,
                 spent: self.now - sent,
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -6,7 +6,7 @@
 use crate::judge::Judge;
 use crate::script::{Clients, Repeat};
 use weldhub::Event;
-use weldhub::interface::{ClassId, CustomerId, GatewayId, PlanId, Request, RequestId};
+use weldhub::interface::{ClassId, CustomerId, IngressId, PlanId, Request, RequestId};
 use weldhub_client::ingresses::{Ingresses, Went};
 use weldhub_client::policy::{Budget, Call, Ended, Next};
 use weldhub_client::{Care, Effect as Again, Manner};
@@ -275,7 +275,7 @@
             left: until - self.now,
             units,
             spread: customer.spread,
-            first: GatewayId(customer.first),
+            first: IngressId(customer.first),
             repeat: false,
         };
         self.nodes[i].counts[0] += 1;
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeSet;
 use weldhub::Event;
 use weldhub::entries::{List, ServiceEntry, server_id};
-use weldhub::interface::{CellId, KindId, ListKind, ServerEntry, ServerId, ServerState, ZoneId};
+use weldhub::interface::{BackendEntry, BackendId, BackendState, CellId, KindId, ListKind, ZoneId};
 use weldhub::membership::members::Step;
 use weldhub::membership::{Observation, Reason};
 
 impl World<'_> {
-    pub(super) fn entry(&self, s: usize, state: ServerState) -> ServiceEntry {
+    pub(super) fn entry(&self, s: usize, state: BackendState) -> ServiceEntry {
         let server = &self.servers[s];
-        let entry = ServerEntry {
+        let entry = BackendEntry {
             server: server_id(&name(s)),
             state,
             weight: 1.0,
@@ -24,7 +24,7 @@
             last_start: Some(self.known_starts[s]).filter(|at| *at >= 0.0).map(|at| EPOCH + at),
         };
         // An address stands for the real server; nobody connects to it.
-        let at = (state != ServerState::Gone).then(|| ([127, 0, 0, 1], 1 + (s % 65_535) as u16).into());
+        let at = (state != BackendState::Gone).then(|| ([127, 0, 0, 1], 1 + (s % 65_535) as u16).into());
         ServiceEntry { entry, at }
     }
 
@@ -41,10 +41,10 @@
     pub(super) fn believes(&mut self, i: usize, kind: ListKind, list: List) {
         let (now, node) = (self.now, &mut self.nodes[i]);
         if kind != ListKind::Changes {
-            let named: BTreeSet<ServerId> = list.entries.iter().map(|e| e.entry.server).collect();
+            let named: BTreeSet<BackendId> = list.entries.iter().map(|e| e.entry.server).collect();
             for (_, told) in node.told.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                if told.state == ServerState::Ready {
-                    *told = Told { state: ServerState::Gone, since: now };
+                if told.state == BackendState::Ready {
+                    *told = Told { state: BackendState::Gone, since: now };
                 }
             }
         }
@@ -53,7 +53,7 @@
                 self.cold.told(i, *s, start - EPOCH);
             }
             let told = node.told.entry(e.entry.server).or_insert(Told { state: e.entry.state, since: now });
-            if (told.state == ServerState::Ready) != (e.entry.state == ServerState::Ready) {
+            if (told.state == BackendState::Ready) != (e.entry.state == BackendState::Ready) {
                 told.since = now;
             }
             told.state = e.entry.state;
@@ -63,13 +63,13 @@
     }
 
     /// Discovery has learnt of a change.
-    pub(super) fn publishes(&mut self, s: usize, state: ServerState, of: u64) {
+    pub(super) fn publishes(&mut self, s: usize, state: BackendState, of: u64) {
         if self.lives[s] != of {
             return;
         }
         self.known_starts[s] = self.servers[s].started;
         match state {
-            ServerState::Gone => drop(self.published.remove(&s)),
+            BackendState::Gone => drop(self.published.remove(&s)),
             _ => drop(self.published.insert(s, state)),
         }
         let by = self.script.discovery.by;
@@ -92,7 +92,7 @@
             return;
         }
         self.nodes[i].subscribed = true;
-        let all: Vec<(usize, ServerState)> = self.published.iter().map(|(s, state)| (*s, *state)).collect();
+        let all: Vec<(usize, BackendState)> = self.published.iter().map(|(s, state)| (*s, *state)).collect();
         let entries = all.into_iter().map(|(s, state)| self.entry(s, state));
         if self.script.discovery.by != By::Consul {
             let entries = entries.collect();
@@ -100,7 +100,7 @@
         }
         let seen = entries.map(|entry| Observation {
             name: String::new(),
-            reason: if entry.entry.state == ServerState::Ready { Reason::Passing } else { Reason::Critical },
+            reason: if entry.entry.state == BackendState::Ready { Reason::Passing } else { Reason::Critical },
             entry,
             registered: 0,
         });
@@ -128,7 +128,7 @@
     }
 
     /// A change of a real server becomes known.
-    pub(super) fn announces(&mut self, s: usize, state: ServerState, after: f64) {
+    pub(super) fn announces(&mut self, s: usize, state: BackendState, after: f64) {
         let of = self.lives[s];
         self.after(after, What::Published(s, state, of));
     }
@@ -139,7 +139,7 @@
         let current = |e: &ServiceEntry| {
             let s = self.ids.get(&e.entry.server).copied();
             // Older news than what was told since says nothing.
-            s.and_then(|s| self.published.get(&s).copied()).unwrap_or(ServerState::Gone) == e.entry.state
+            s.and_then(|s| self.published.get(&s).copied()).unwrap_or(BackendState::Gone) == e.entry.state
         };
         if node.up && node.life == life && (node.subscribed || kind == ListKind::Failed) {
             let entries = entries.into_iter().filter(current).collect();
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -4,7 +4,7 @@
 use crate::server::{AttemptAt, Reported};
 use std::cmp::{Ordering, Reverse};
 use weldhub::entries::ServiceEntry;
-use weldhub::interface::{CounterAnswer, ListKind, Outcome, ServerState, TimerKey};
+use weldhub::interface::{BackendState, CounterAnswer, ListKind, Outcome, TimerKey};
 use weldhub_client::policy::Ended;
 
 pub(super) enum What {
@@ -16,7 +16,7 @@
     Timer(usize, u32, TimerKey),
     Guard(usize, u32, u64),
     News(usize, u32, ListKind, Vec<ServiceEntry>),
-    Published(usize, ServerState, u64),
+    Published(usize, BackendState, u64),
     Catalogue(usize, u32, u64),
     Due(usize, u32),
     Asked(usize, u32),
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -10,8 +10,8 @@
 use crate::shared::{Counted, Intake};
 use std::collections::HashMap;
 use weldhub::interface::{
-    CounterAnswer, CounterName, GatewayId, ListKind, Load, MESSAGE_BYTES, Outcome, RequestId, ServerId,
-    ServerState,
+    BackendId, BackendState, CounterAnswer, CounterName, IngressId, ListKind, Load, MAX_PEER_MESSAGE_BYTES,
+    Outcome, RequestId,
 };
 use weldhub::maintenance::Maintenance;
 use weldhub::membership::MembershipPolicy;
@@ -33,7 +33,7 @@
 /// As an ingress was told of a real server: its state, since when, and in which of its lives.
 #[derive(Clone, Copy)]
 pub(super) struct Told {
-    pub(super) state: ServerState,
+    pub(super) state: BackendState,
     pub(super) since: f64,
 }
 
@@ -49,9 +49,9 @@
     pub(super) maintenance: Maintenance,
     pub(super) members: Members,
     pub(super) subscribed: bool,
-    pub(super) told: HashMap<ServerId, Told>,
+    pub(super) told: HashMap<BackendId, Told>,
     pub(super) flows: HashMap<u64, Flow>,
-    pub(super) idle: HashMap<(ServerId, u64), u32>,
+    pub(super) idle: HashMap<(BackendId, u64), u32>,
     pub(super) intake: Intake,
     pub(super) calls: HashMap<u64, u64>,
     pub(super) counts: [u64; 3],
@@ -114,7 +114,7 @@
 
     pub(super) fn mail(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let Some(how) = &self.script.peers else { return };
-        if to == from || to >= self.nodes.len() || bytes.len() > MESSAGE_BYTES {
+        if to == from || to >= self.nodes.len() || bytes.len() > MAX_PEER_MESSAGE_BYTES {
             return;
         }
         self.totals.messages += 1;
@@ -225,7 +225,7 @@
         let (now, per_second) = (self.now, self.script.peers.as_ref().map_or(0.0, |p| p.per_second));
         if self.nodes[to].up {
             if self.nodes[to].intake.takes(now, per_second) {
-                self.feed(to, Event::PeerMessage(GatewayId(from as u16), bytes));
+                self.feed(to, Event::PeerMessage(IngressId(from as u16), bytes));
             } else {
                 self.totals.dropped += 1;
             }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -30,7 +30,7 @@
 use watching::Totals;
 use weldhub::Event;
 use weldhub::entries::server_id;
-use weldhub::interface::{ServerId, ServerState};
+use weldhub::interface::{BackendId, BackendState};
 use weldhub::maintenance::Maintenance;
 use weldhub::membership::MembershipPolicy;
 use weldhub::membership::members::Members;
@@ -66,8 +66,8 @@
     cold: ColdWatch,
     /// How much each ingress is sought beside others.
     pulls: Vec<f64>,
-    ids: HashMap<ServerId, usize>,
-    published: BTreeMap<usize, ServerState>,
+    ids: HashMap<BackendId, usize>,
+    published: BTreeMap<usize, BackendState>,
     counter: Option<Counter>,
     discovery_free: f64,
     customers: Vec<Customer>,
@@ -151,7 +151,7 @@
             cold: ColdWatch::new(script),
             pulls: Vec::new(),
             ids: (0..all).map(|i| (server_id(&name(i)), i)).collect(),
-            published: (0..all).map(|i| (i, ServerState::Ready)).collect(),
+            published: (0..all).map(|i| (i, BackendState::Ready)).collect(),
             servers,
             counter: script.counter.as_ref().map(Counter::new),
             discovery_free: 0.0,
@@ -283,7 +283,7 @@
         }
         self.servers[s].drains = true;
         let notice = self.draw(self.script.discovery.notice);
-        self.announces(s, ServerState::Draining, notice.min(grace));
+        self.announces(s, BackendState::Draining, notice.min(grace));
         self.after(grace, What::Stops(s));
         true
     }
@@ -336,14 +336,14 @@
                 let drained = self.servers[s].drains;
                 self.stops(s);
                 if drained {
-                    self.announces(s, ServerState::Gone, 100.0);
+                    self.announces(s, BackendState::Gone, 100.0);
                 }
             }
             What::Ready(s) => {
                 let now = self.now;
                 self.servers[s].starts(now);
                 let add = self.draw(self.script.discovery.add);
-                self.announces(s, ServerState::Ready, add);
+                self.announces(s, BackendState::Ready, add);
             }
             What::Restarted(s, told) => self.restarted(s, told),
             What::Banned(i, s, out) => self.banned(i, s, out),
--- a/emulator/src/world/settings.rs
+++ b/emulator/src/world/settings.rs
@@ -2,16 +2,16 @@
 
 use crate::script::{By, Repeat, Script};
 use weldhub::Settings;
-use weldhub::interface::{Class, ColdStart, Effect, GatewayId, Group, Plan, ZoneId};
+use weldhub::interface::{Class, ColdStart, DedupScope, IngressId, Plan, RetrySafety, ZoneId};
 
 pub(super) fn settings(script: &Script, me: u16) -> Settings {
     let class = |c: &crate::script::Class| Class {
         aim: c.aim,
         worth: c.worth,
         effect: match c.repeat {
-            Repeat::Safe => Effect::Safe,
-            Repeat::Keyed { window } => Effect::Keyed { group: Group::Cell, window },
-            Repeat::Unsafe => Effect::Unsafe,
+            Repeat::Safe => RetrySafety::Safe,
+            Repeat::Keyed { window } => RetrySafety::Keyed { group: DedupScope::Cell, window },
+            Repeat::Unsafe => RetrySafety::Unsafe,
         },
     };
     let plan = |p: &crate::script::Plan| {
@@ -27,7 +27,7 @@
         }
     };
     Settings {
-        me: GatewayId(me),
+        me: IngressId(me),
         gateways: script.ingresses.count,
         zone: ZoneId((me % u16::from(script.network.halls)) as u8),
         classes: script.classes.iter().map(class).collect(),
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -7,7 +7,7 @@
 use crate::server::{Reported, Server};
 use weldhub::Event;
 use weldhub::entries::server_id;
-use weldhub::interface::{ListKind, Outcome, ServerState};
+use weldhub::interface::{BackendState, ListKind, Outcome};
 
 impl World<'_> {
     /// A real server's process ends.
@@ -179,7 +179,7 @@
         self.shown.push(Reported::default());
         self.known_starts.push(self.now);
         self.ids.insert(server_id(&name(at)), at);
-        self.announces(at, ServerState::Ready, add);
+        self.announces(at, BackendState::Ready, add);
         self.after(1.0, What::Refresh(at));
     }
 
@@ -187,7 +187,7 @@
     pub(super) fn restarted(&mut self, s: usize, told: f64) {
         if !self.servers[s].up && !self.servers[s].drains && !self.servers[s].fallen {
             self.servers[s].starts(self.now);
-            self.announces(s, ServerState::Ready, told);
+            self.announces(s, BackendState::Ready, told);
         }
     }
 }
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Cold backends: who sends them what, when they fall, and what the shipped decisions keep on days that bring many of them.
 
-use weldhub::interface::{ServerId, ServerState};
+use weldhub::interface::{BackendId, BackendState};
 use weldhub::view::View;
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_emulator::cold::{Arrival, ColdWatch};
@@ -22,14 +22,14 @@
 /// The shipped limiter, but whatever it sends goes to the backend whose start it was told of last.
 struct Floods {
     inner: Limiter,
-    cold: Option<ServerId>,
+    cold: Option<BackendId>,
 }
 
 impl Decide for Floods {
     fn handle(&mut self, now: f64, event: Event, acts: &mut Vec<Action>) {
         if let Event::Servers(_, entries) = &event {
             let mut started =
-                entries.iter().filter(|e| e.state == ServerState::Ready && e.last_start.is_some());
+                entries.iter().filter(|e| e.state == BackendState::Ready && e.last_start.is_some());
             self.cold = started.next_back().map(|e| e.server).or(self.cold);
         }
         self.inner.handle(now, event, acts);
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Whole fleets: the same again from a seed, what is served when nothing and when something is wrong, and a checker that
 //! finds broken policies.
 
-use weldhub::interface::{AttemptNo, Outcome, RequestId, ServerEntry, ServerId, ServerState};
+use weldhub::interface::{AttemptIndex, BackendEntry, BackendId, BackendState, Outcome, RequestId};
 use weldhub::view::View;
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_emulator::report::Report;
@@ -120,25 +120,25 @@
 struct Broken {
     inner: Limiter,
     how: &'static str,
-    gone: Vec<ServerId>,
-    last: Option<(RequestId, ServerId)>,
-    cold: Option<ServerId>,
+    gone: Vec<BackendId>,
+    last: Option<(RequestId, BackendId)>,
+    cold: Option<BackendId>,
 }
 
 impl Decide for Broken {
     fn handle(&mut self, now: f64, mut event: Event, acts: &mut Vec<Action>) {
         if let Event::Servers(_, entries) = &mut event {
             for e in entries.iter_mut() {
-                if e.state != ServerState::Ready && self.how == "drain" {
+                if e.state != BackendState::Ready && self.how == "drain" {
                     // Believes that nothing ever drains.
                     self.gone.push(e.server);
-                    e.state = ServerState::Ready;
+                    e.state = BackendState::Ready;
                 }
                 if let (Some(at), "cold") = (e.last_start, self.how) {
                     self.cold = (now - at < 3000.0).then_some(e.server).or(self.cold);
                 }
             }
-            let known: Vec<ServerEntry> = entries.clone();
+            let known: Vec<BackendEntry> = entries.clone();
             event = Event::Servers(weldhub::interface::ListKind::Changes, known);
         }
         if self.how == "answer" && matches!(event, Event::Request(_)) {
@@ -146,7 +146,7 @@
         }
         if let (Event::AttemptEnded(end), "resend") = (&event, self.how)
             && matches!(end.outcome, Outcome::Reset | Outcome::Error)
-            && end.attempt == AttemptNo(0)
+            && end.attempt == AttemptIndex(0)
             && !end.closed
         {
             // Sends whatever it was once more, wherever the last one went.
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -6,9 +6,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use weldhub::interface::{
-    AttemptEnd, AttemptNo, CellId, Class as Kind, ClassId, ColdStart, CustomerId, Effect as Repeat,
-    GatewayId, Group, KindId, ListKind, Load, Outcome, Plan, PlanId, RequestId, ServerEntry, ServerId,
-    ServerState, TimerKey, ZoneId,
+    AttemptEnd, AttemptIndex, BackendEntry, BackendId, BackendState, CellId, Class as Kind, ClassId,
+    ColdStart, CustomerId, DedupScope, IngressId, KindId, ListKind, Load, Outcome, Plan, PlanId, RequestId,
+    RetrySafety as Repeat, TimerKey, ZoneId,
 };
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_client::ingresses::{Ingresses, Went};
@@ -66,7 +66,7 @@
 }
 
 /// A scheduling: of which ingress in which of its lives, and which of it.
-type Id = (usize, u32, RequestId, AttemptNo);
+type Id = (usize, u32, RequestId, AttemptIndex);
 
 #[derive(Clone, Copy)]
 struct Job {
@@ -126,13 +126,13 @@
         worth: 1.0,
         effect: match class.effect {
             Effect::Safe => Repeat::Safe,
-            Effect::Keyed { window } => Repeat::Keyed { group: Group::All, window },
+            Effect::Keyed { window } => Repeat::Keyed { group: DedupScope::All, window },
             Effect::Unsafe => Repeat::Unsafe,
         },
     };
     let quota = |i: usize| quota.get(i).copied().unwrap_or(1e6);
     Settings {
-        me: GatewayId(0),
+        me: IngressId(0),
         gateways,
         zone: ZoneId(0),
         classes: work.classes.iter().map(kind).collect(),
@@ -164,7 +164,7 @@
     }
     let mut rng = fastrand::Rng::with_seed(work.seed);
     let node = |i: usize, seed: u64| -> Result<Node, String> {
-        let settings = Settings { me: GatewayId(i as u16), ..fleet.settings.clone() };
+        let settings = Settings { me: IngressId(i as u16), ..fleet.settings.clone() };
         let limiter = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
         Ok(Node { limiter, life: 0, up: true, flows: HashMap::new(), next: HashMap::new() })
     };
@@ -229,9 +229,9 @@
     }
 
     fn start(&mut self, i: usize) {
-        let entry = |server| ServerEntry {
-            server: ServerId(server),
-            state: ServerState::Ready,
+        let entry = |server| BackendEntry {
+            server: BackendId(server),
+            state: BackendState::Ready,
             weight: 1.0,
             zone: ZoneId(0),
             cell: CellId(0),
@@ -256,7 +256,7 @@
                 Action::Cancel(id, no) => self.ended((i, life, id, no), Outcome::Cancelled),
                 Action::SetTimer(after, key) => self.after(after.max(0.0), What::Timer(i, life, key)),
                 Action::Tell(to, bytes) => {
-                    let from = GatewayId(i as u16);
+                    let from = IngressId(i as u16);
                     let to = usize::from(to.0);
                     // Messages take no time here; a fleet whose limiters talk wants a delay of its own.
                     if to != i && self.nodes.get(to).is_some_and(|node| node.up) {
@@ -268,10 +268,10 @@
         }
     }
 
-    fn send(&mut self, i: usize, request: RequestId, server: ServerId, wait: Option<f64>) {
+    fn send(&mut self, i: usize, request: RequestId, server: BackendId, wait: Option<f64>) {
         let node = &mut self.nodes[i];
         let no = node.next.entry(request).or_default();
-        let id = (i, node.life, request, AttemptNo(*no));
+        let id = (i, node.life, request, AttemptIndex(*no));
         *no += 1;
         let units = node.flows.get(&request).map_or(1.0, |(.., units)| *units);
         self.out.insert(id, (server.0 as usize, self.now));
@@ -307,7 +307,7 @@
         let end = AttemptEnd {
             request,
             attempt,
-            server: ServerId(server as u64),
+            server: BackendId(server as u64),
             outcome,
             spent: self.now - sent,
             closed,
@@ -371,7 +371,7 @@
                 }
             }
             What::Up(i) => {
-                let settings = Settings { me: GatewayId(i as u16), ..self.fleet.settings.clone() };
+                let settings = Settings { me: IngressId(i as u16), ..self.fleet.settings.clone() };
                 if let Ok(limiter) = Limiter::new(settings, self.rng.u64(..)) {
                     (self.nodes[i].limiter, self.nodes[i].up) = (limiter, true);
                     self.start(i);
@@ -462,7 +462,7 @@
             left: asked.call.deadline() - self.now,
             units,
             spread: self.work.spread.min(self.askers[0].idle.len()) as u16,
-            first: GatewayId(self.work.first(asked.arrival.customer, self.askers[0].idle.len()) as u16),
+            first: IngressId(self.work.first(asked.arrival.customer, self.askers[0].idle.len()) as u16),
             repeat: asked.no > 1,
         };
         self.feed(i, Event::Request(request));
--- a/src/backends/entries.rs
+++ b/src/backends/entries.rs
@@ -1,6 +1,6 @@
 //! The words that the list of real servers is told in, whoever tells it: discovery, Consul, an operator. No I/O.
 
-use crate::interface::{CellId, KindId, ServerEntry, ServerId, ServerState, ZoneId};
+use crate::interface::{BackendEntry, BackendId, BackendState, CellId, KindId, ZoneId};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
     /// What the decisions know of the real server.
-    pub entry: ServerEntry,
+    pub entry: BackendEntry,
     /// Where it listens; none where it is gone.
     pub at: Option<SocketAddr>,
 }
@@ -52,10 +52,10 @@
 }
 
 /// A real server's id: the same for the same instance name.
-pub fn server_id(name: &str) -> ServerId {
+pub fn server_id(name: &str) -> BackendId {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
-    ServerId(hasher.finish())
+    BackendId(hasher.finish())
 }
 
 impl List {
@@ -76,16 +76,16 @@
     let text = |key: &'static str| value.get(key).and_then(Value::as_str).ok_or(key);
     let figure = |key: &str| value.get(key).and_then(Value::as_f64);
     let state = match text("lifecycle")? {
-        "in_service" => ServerState::Ready,
-        "terminating" => ServerState::Draining,
-        "terminated" => ServerState::Gone,
+        "in_service" => BackendState::Ready,
+        "terminating" => BackendState::Draining,
+        "terminated" => BackendState::Gone,
         _ => return Err("lifecycle"),
     };
     let at = value.get("hostPort").and_then(Value::as_str).and_then(|at| at.parse().ok());
-    if at.is_none() && state != ServerState::Gone {
+    if at.is_none() && state != BackendState::Gone {
         return Err("hostPort");
     }
-    let entry = ServerEntry {
+    let entry = BackendEntry {
         server: server_id(text("instanceId")?),
         state,
         weight: figure("weight").unwrap_or(1.0),
--- a/src/backends/maintenance.rs
+++ b/src/backends/maintenance.rs
@@ -2,7 +2,7 @@
 //! server drains, so that the decisions and the pools see a drain and nothing else has to know of bans.
 
 use crate::backends::entries::{List, ServiceEntry, server_id};
-use crate::interface::{ServerId, ServerState};
+use crate::interface::{BackendId, BackendState};
 use std::collections::BTreeMap;
 
 /// So many bans are kept at the most: more are refused.
@@ -12,8 +12,8 @@
 #[derive(Debug, Default)]
 pub struct Maintenance {
     generation: u64,
-    listed: BTreeMap<ServerId, ServiceEntry>,
-    bans: BTreeMap<ServerId, String>,
+    listed: BTreeMap<BackendId, ServiceEntry>,
+    bans: BTreeMap<BackendId, String>,
 }
 
 impl Maintenance {
@@ -31,7 +31,7 @@
         }
         for e in &mut list.entries {
             match e.entry.state {
-                ServerState::Gone => drop(self.listed.remove(&e.entry.server)),
+                BackendState::Gone => drop(self.listed.remove(&e.entry.server)),
                 _ => drop(self.listed.insert(e.entry.server, e.clone())),
             }
             self.overlay(e);
@@ -40,8 +40,8 @@
     }
 
     fn overlay(&self, e: &mut ServiceEntry) {
-        if e.entry.state == ServerState::Ready && self.bans.contains_key(&e.entry.server) {
-            e.entry.state = ServerState::Draining;
+        if e.entry.state == BackendState::Ready && self.bans.contains_key(&e.entry.server) {
+            e.entry.state = BackendState::Draining;
         }
     }
 
@@ -80,7 +80,7 @@
         new.then(|| self.change(id)).flatten()
     }
 
-    fn change(&self, id: ServerId) -> Option<List> {
+    fn change(&self, id: BackendId) -> Option<List> {
         let mut e = self.listed.get(&id)?.clone();
         self.overlay(&mut e);
         Some(List { generation: self.generation, whole: false, entries: vec![e] })
--- a/src/backends/maintenance/tests.rs
+++ b/src/backends/maintenance/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::interface::{CellId, KindId, ServerEntry, ZoneId};
+use crate::interface::{BackendEntry, CellId, KindId, ZoneId};
 use quickcheck::{Gen, QuickCheck};
 
-fn list(whole: bool, entries: &[(&str, ServerState)]) -> List {
-    let entry = |(name, state): &(&str, ServerState)| ServiceEntry {
-        entry: ServerEntry {
+fn list(whole: bool, entries: &[(&str, BackendState)]) -> List {
+    let entry = |(name, state): &(&str, BackendState)| ServiceEntry {
+        entry: BackendEntry {
             server: server_id(name),
             state: *state,
             weight: 1.0,
@@ -18,11 +18,11 @@
     List { generation: 7, whole, entries: entries.iter().map(entry).collect() }
 }
 
-fn states(list: Option<List>) -> Vec<ServerState> {
+fn states(list: Option<List>) -> Vec<BackendState> {
     list.into_iter().flat_map(|list| list.entries).map(|e| e.entry.state).collect()
 }
 
-use ServerState::{Draining, Gone, Ready};
+use BackendState::{Draining, Gone, Ready};
 
 #[test]
 fn a_ban_lies_over_the_list_until_the_call_back_whatever_the_list_says() {
--- a/src/backends/membership/members.rs
+++ b/src/backends/membership/members.rs
@@ -2,7 +2,7 @@
 //! confirmed by the catalogue, and of an instance that no answer vouches for, failed connections count.
 
 use super::{MAX_INSTANCES, MembershipPolicy, Observation, Reason};
-use crate::interface::{Millis, ServerId, ServerState};
+use crate::interface::{BackendId, BackendState, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A return that is held down.
@@ -61,9 +61,9 @@
 #[derive(Debug, Default)]
 pub struct Members {
     policy: MembershipPolicy,
-    instances: BTreeMap<ServerId, Member>,
+    instances: BTreeMap<BackendId, Member>,
     /// Those that the last answer lacks and that are kept until the catalogue confirms.
-    missing: BTreeSet<ServerId>,
+    missing: BTreeSet<BackendId>,
     /// The last query failed: no answer vouches for any instance.
     query_failed: bool,
     /// The operator has changed the query: what the next answer lacks is meant to go.
@@ -127,24 +127,24 @@
 
     /// Takes in the catalogue's answer to a question of this round: missing instances that it lacks are gone, whatever
     /// answers about health came since. Only an answer of the last round settles that the others stay.
-    pub fn catalogue(&mut self, now: Millis, round: u64, held: &BTreeSet<ServerId>) -> Vec<Observation> {
+    pub fn catalogue(&mut self, now: Millis, round: u64, held: &BTreeSet<BackendId>) -> Vec<Observation> {
         self.unconfirmed &= round != self.confirm_round;
         self.withdraw(now, held)
     }
 
-    fn withdraw(&mut self, now: Millis, held: &BTreeSet<ServerId>) -> Vec<Observation> {
+    fn withdraw(&mut self, now: Millis, held: &BTreeSet<BackendId>) -> Vec<Observation> {
         let flap_memory = self.policy.flap_memory;
         let (kept, gone) = std::mem::take(&mut self.missing).into_iter().partition(|id| held.contains(id));
         self.missing = kept;
         let mut told = Vec::new();
-        let gone: BTreeSet<ServerId> = gone;
+        let gone: BTreeSet<BackendId> = gone;
         for id in gone {
             let Some(member) = self.instances.get_mut(&id) else { continue };
             if member.pending_return.take().is_some() || member.ready() {
                 member.departs(now, flap_memory);
             }
             told.extend(
-                member.reported.take().map(|was| was.with_state(ServerState::Gone, Reason::Withdrawn)),
+                member.reported.take().map(|was| was.with_state(BackendState::Gone, Reason::Withdrawn)),
             );
         }
         // Those that are gone are remembered for their flaps only, and not for ever.
@@ -168,7 +168,7 @@
         } else if !member.ready() && member.flaps > 1 && member.flapped_recently(now, flap_memory) {
             let ends = now + hold_down.after(member.flaps - 2);
             let at = member.pending_return.as_ref().map_or(ends, |pending| pending.at);
-            let observation = entry.with_state(ServerState::Ready, Reason::Back);
+            let observation = entry.with_state(BackendState::Ready, Reason::Back);
             member.pending_return = Some(PendingReturn { at, observation });
             return None;
         } else {
@@ -186,7 +186,7 @@
 
     /// Connections to an instance fail. What is to be reported of it: nothing where an answer vouches for it, or where so
     /// many fail that this side may be cut off; otherwise that it drains, until a hold-down is over.
-    pub fn unreachable(&mut self, now: Millis, id: ServerId) -> Option<Observation> {
+    pub fn unreachable(&mut self, now: Millis, id: BackendId) -> Option<Observation> {
         if !(self.query_failed || self.missing.contains(&id)) {
             return None;
         }
@@ -200,10 +200,10 @@
         }
         let was = member.reported.clone()?;
         let at = now + hold_down.after(member.unreachable_count);
-        let observation = was.clone().with_state(ServerState::Ready, Reason::Back);
+        let observation = was.clone().with_state(BackendState::Ready, Reason::Back);
         member.pending_return = Some(PendingReturn { at, observation });
         member.unreachable_count += 1;
-        member.reported = Some(was.with_state(ServerState::Draining, Reason::Unreachable));
+        member.reported = Some(was.with_state(BackendState::Draining, Reason::Unreachable));
         member.reported.clone()
     }
 
--- a/src/backends/membership/members/tests.rs
+++ b/src/backends/membership/members/tests.rs
@@ -1,17 +1,17 @@
 use super::super::seen;
 use super::*;
-use ServerState::{Draining, Gone, Ready};
+use BackendState::{Draining, Gone, Ready};
 use quickcheck::{Gen, QuickCheck};
 
-fn all(n: u64, state: ServerState) -> Vec<Observation> {
+fn all(n: u64, state: BackendState) -> Vec<Observation> {
     (0..n).map(|i| seen(i, state, 1)).collect()
 }
 
-fn states(told: &[Observation]) -> Vec<(u64, ServerState)> {
+fn states(told: &[Observation]) -> Vec<(u64, BackendState)> {
     told.iter().map(|s| (s.id().0, s.entry.entry.state)).collect()
 }
 
-fn told(step: Step) -> Vec<(u64, ServerState)> {
+fn told(step: Step) -> Vec<(u64, BackendState)> {
     let (Step::Report(entries) | Step::Confirm(entries)) = step;
     states(&entries)
 }
@@ -62,7 +62,7 @@
     assert_eq!(told(members.health(1.0, all(7, Ready))), [(7, Gone), (8, Gone)]);
     assert!(matches!(members.health(2.0, all(2, Ready)), Step::Confirm(told) if told.is_empty()));
     // Health lost four that the catalogue still holds; one is gone.
-    let held = (0..6).map(ServerId).collect();
+    let held = (0..6).map(BackendId).collect();
     assert_eq!(states(&members.catalogue(2.0, 1, &held)), [(6, Gone)]);
     assert_eq!(members.len(), 6);
     // The same answer again asks again, an answer from before does not do, and health that has them back changes nothing.
@@ -106,26 +106,26 @@
     let mut members = Members::new(MembershipPolicy::default());
     let out = |told: Option<Observation>| told.map(|s| (s.id().0, s.entry.entry.state, s.reason));
     members.health(0.0, all(6, Ready));
-    assert_eq!(members.unreachable(1.0, ServerId(0)), None, "Consul says that it is well");
+    assert_eq!(members.unreachable(1.0, BackendId(0)), None, "Consul says that it is well");
     members.query_has_failed();
-    assert_eq!(out(members.unreachable(2.0, ServerId(0))), Some((0, Draining, Reason::Unreachable)));
-    assert!(members.unreachable(2.0, ServerId(1)).is_some());
-    assert_eq!(members.unreachable(2.0, ServerId(2)), None, "more than a third: this side may be cut off");
+    assert_eq!(out(members.unreachable(2.0, BackendId(0))), Some((0, Draining, Reason::Unreachable)));
+    assert!(members.unreachable(2.0, BackendId(1)).is_some());
+    assert_eq!(members.unreachable(2.0, BackendId(2)), None, "more than a third: this side may be cut off");
     assert_eq!(members.next_due(), Some(1002.0));
     assert_eq!(states(&members.due(1002.0)), [(0, Ready), (1, Ready)], "it is tried again");
-    members.unreachable(1003.0, ServerId(0));
+    members.unreachable(1003.0, BackendId(0));
     assert_eq!(members.next_due(), Some(3003.0), "and then later");
     assert_eq!(told(members.health(1100.0, all(6, Ready))), [(0, Ready)], "a good word stands at once");
     // What health lacks and only the catalogue holds.
     assert!(matches!(members.health(1200.0, all(1, Ready)), Step::Confirm(_)));
-    members.catalogue(1200.0, 1, &(0..6).map(ServerId).collect());
-    assert_eq!(members.unreachable(1300.0, ServerId(0)), None);
-    assert!(members.unreachable(1300.0, ServerId(5)).is_some());
+    members.catalogue(1200.0, 1, &(0..6).map(BackendId).collect());
+    assert_eq!(members.unreachable(1300.0, BackendId(0)), None);
+    assert!(members.unreachable(1300.0, BackendId(5)).is_some());
     // The last one stays, whatever it does.
     let mut one = Members::new(MembershipPolicy::default());
     one.health(0.0, all(1, Ready));
     one.query_has_failed();
-    assert_eq!(one.unreachable(1.0, ServerId(0)), None);
+    assert_eq!(one.unreachable(1.0, BackendId(0)), None);
 }
 
 #[test]
@@ -146,7 +146,7 @@
 fn nothing_is_ready_that_the_last_answer_says_is_not() {
     fn holds(answers: Vec<(Vec<(u8, bool)>, u8)>) -> bool {
         let (mut members, mut now) = (Members::new(MembershipPolicy::default()), 0.0);
-        let mut believed: BTreeMap<u64, ServerState> = BTreeMap::new();
+        let mut believed: BTreeMap<u64, BackendState> = BTreeMap::new();
         answers.into_iter().all(|(answer, then)| {
             now += 700.0;
             let state = |well: bool| if well { Ready } else { Draining };
@@ -162,7 +162,7 @@
                 1 => members.query_has_failed(),
                 _ => {}
             }
-            let suspect = ServerId(u64::from(then % 12));
+            let suspect = BackendId(u64::from(then % 12));
             news.extend(
                 members.unreachable(now, suspect).iter().flat_map(|s| states(std::slice::from_ref(s))),
             );
--- a/src/backends/membership/merged_list.rs
+++ b/src/backends/membership/merged_list.rs
@@ -3,7 +3,7 @@
 
 use super::Observation;
 use crate::backends::entries::ServiceEntry;
-use crate::interface::{ServerId, ServerState};
+use crate::interface::{BackendId, BackendState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
 #[derive(Debug, Default)]
 pub struct MergedList {
     /// What each service lists, by instance.
-    listed: BTreeMap<(ServerId, Slot), Observation>,
-    reported: BTreeMap<ServerId, ServiceEntry>,
+    listed: BTreeMap<(BackendId, Slot), Observation>,
+    reported: BTreeMap<BackendId, ServiceEntry>,
     /// In which order they came; those that are listed only.
-    order: BTreeMap<ServerId, u64>,
+    order: BTreeMap<BackendId, u64>,
     next: u64,
 }
 
@@ -28,7 +28,7 @@
             self.next += 1;
             self.order.entry(change.id()).or_insert(self.next);
             match change.entry.entry.state {
-                ServerState::Gone => drop(self.listed.remove(&(change.id(), slot))),
+                BackendState::Gone => drop(self.listed.remove(&(change.id(), slot))),
                 _ => drop(self.listed.insert((change.id(), slot), change)),
             }
         }
@@ -40,13 +40,13 @@
     }
 
     /// The whole list as it is to be told.
-    fn view(&self) -> BTreeMap<ServerId, ServiceEntry> {
-        let mut view: BTreeMap<ServerId, ServiceEntry> = BTreeMap::new();
-        let mut owners: BTreeMap<SocketAddr, (u64, u64, ServerId)> = BTreeMap::new();
+    fn view(&self) -> BTreeMap<BackendId, ServiceEntry> {
+        let mut view: BTreeMap<BackendId, ServiceEntry> = BTreeMap::new();
+        let mut owners: BTreeMap<SocketAddr, (u64, u64, BackendId)> = BTreeMap::new();
         for ((id, _), observation) in &self.listed {
             let entry = view.entry(*id).or_insert_with(|| observation.entry.clone());
             if !observation.ready() {
-                entry.entry.state = ServerState::Draining;
+                entry.entry.state = BackendState::Draining;
             }
             // Where neither says when it was registered, the one that came here later is the later one.
             let this = (observation.registered, self.order.get(id).copied().unwrap_or(0), *id);
@@ -57,7 +57,7 @@
         }
         for (id, entry) in &mut view {
             if entry.at.and_then(|at| owners.get(&at)).is_some_and(|(.., owner)| owner != id) {
-                entry.entry.state = ServerState::Draining;
+                entry.entry.state = BackendState::Draining;
             }
         }
         view
@@ -70,7 +70,7 @@
         for (id, entry) in &self.reported {
             if !view.contains_key(id) {
                 let mut gone = entry.clone();
-                gone.entry.state = ServerState::Gone;
+                gone.entry.state = BackendState::Gone;
                 changes.push(gone);
             }
         }
--- a/src/backends/membership/merged_list/tests.rs
+++ b/src/backends/membership/merged_list/tests.rs
@@ -1,8 +1,8 @@
 use super::super::seen;
 use super::*;
-use ServerState::{Draining, Gone, Ready};
+use BackendState::{Draining, Gone, Ready};
 
-fn reported(union: &mut MergedList) -> Vec<(u64, ServerState)> {
+fn reported(union: &mut MergedList) -> Vec<(u64, BackendState)> {
     union.changes().iter().map(|e| (e.entry.server.0, e.entry.state)).collect()
 }
 
--- a/src/backends/membership/mod.rs
+++ b/src/backends/membership/mod.rs
@@ -10,7 +10,7 @@
 pub mod traffic;
 
 use crate::backends::entries::ServiceEntry;
-use crate::interface::{Millis, ServerId, ServerState};
+use crate::interface::{BackendId, BackendState, Millis};
 
 /// The most instances of a service; more are passed over.
 pub const MAX_INSTANCES: usize = 10_000;
@@ -113,26 +113,26 @@
 
 impl Observation {
     /// Its id.
-    pub fn id(&self) -> ServerId {
+    pub fn id(&self) -> BackendId {
         self.entry.entry.server
     }
 
     /// Whether it may have work.
     pub fn ready(&self) -> bool {
-        self.entry.entry.state == ServerState::Ready
+        self.entry.entry.state == BackendState::Ready
     }
 
-    fn with_state(mut self, state: ServerState, reason: Reason) -> Self {
+    fn with_state(mut self, state: BackendState, reason: Reason) -> Self {
         (self.entry.entry.state, self.reason) = (state, reason);
         self
     }
 }
 
 #[cfg(test)]
-pub(crate) fn seen(n: u64, state: ServerState, port: u16) -> Observation {
-    use crate::interface::{CellId, KindId, ServerEntry, ZoneId};
-    let entry = ServerEntry {
-        server: ServerId(n),
+pub(crate) fn seen(n: u64, state: BackendState, port: u16) -> Observation {
+    use crate::interface::{BackendEntry, CellId, KindId, ZoneId};
+    let entry = BackendEntry {
+        server: BackendId(n),
         state,
         weight: 1.0,
         zone: ZoneId(0),
@@ -140,7 +140,7 @@
         kind: KindId(0),
         last_start: None,
     };
-    let reason = if state == ServerState::Ready { Reason::Passing } else { Reason::Critical };
+    let reason = if state == BackendState::Ready { Reason::Passing } else { Reason::Critical };
     let entry = ServiceEntry { entry, at: Some(([127, 0, 0, 1], port).into()) };
     Observation { name: format!("n1/{n}"), entry, registered: 0, reason }
 }
--- a/src/backends/membership/traffic.rs
+++ b/src/backends/membership/traffic.rs
@@ -2,7 +2,7 @@
 //! were reached last are not kept at all.
 
 use super::MAX_INSTANCES;
-use crate::interface::{Outcome, ServerId};
+use crate::interface::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::Notify;
@@ -10,13 +10,13 @@
 /// The real servers that were not reached.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    failed: BTreeMap<ServerId, u32>,
-    suspects: BTreeSet<ServerId>,
+    failed: BTreeMap<BackendId, u32>,
+    suspects: BTreeSet<BackendId>,
 }
 
 impl Traffic {
     /// A scheduling has ended; true where its real server is a new suspect, as the last `most` never came up.
-    pub fn ended(&mut self, server: ServerId, outcome: Outcome, most: u32) -> bool {
+    pub fn ended(&mut self, server: BackendId, outcome: Outcome, most: u32) -> bool {
         match outcome {
             Outcome::ConnectFailed
                 if self.failed.len() < MAX_INSTANCES || self.failed.contains_key(&server) =>
@@ -37,7 +37,7 @@
     }
 
     /// The suspects since this was asked last.
-    pub fn suspects(&mut self) -> BTreeSet<ServerId> {
+    pub fn suspects(&mut self) -> BTreeSet<BackendId> {
         std::mem::take(&mut self.suspects)
     }
 }
@@ -52,7 +52,7 @@
 
 impl Witness {
     /// A scheduling has ended.
-    pub fn ended(&self, server: ServerId, outcome: Outcome) {
+    pub fn ended(&self, server: BackendId, outcome: Outcome) {
         if self.traffic.borrow_mut().ended(server, outcome, self.most.get()) {
             self.noticed.notify_one();
         }
@@ -64,7 +64,7 @@
     }
 
     /// Resolves once there are suspects.
-    pub async fn suspects(&self) -> BTreeSet<ServerId> {
+    pub async fn suspects(&self) -> BTreeSet<BackendId> {
         loop {
             let suspects = self.traffic.borrow_mut().suspects();
             if !suspects.is_empty() {
--- a/src/bin/weldhub-adapter/tests.rs
+++ b/src/bin/weldhub-adapter/tests.rs
@@ -68,7 +68,7 @@
         left: 240.0,
         units: 2.0,
         spread: 3,
-        first: GatewayId(1),
+        first: IngressId(1),
         repeat: false,
     };
     assert_eq!(next(), Record::Happened(Event::Request(request)));
@@ -78,15 +78,15 @@
     let Record::Happened(Event::AttemptEnded(end)) = next() else { panic!("no end of an attempt") };
     assert_eq!(
         (end.spent, end.attempt, end.closed, end.outcome),
-        (18.5, AttemptNo(0), true, Outcome::Served)
+        (18.5, AttemptIndex(0), true, Outcome::Served)
     );
     assert_eq!((end.metered_use, end.settled_units), (Some(0.85), Some(3.0)));
-    assert_eq!(end.server, ServerId(0x0a12_4a07_1f93));
+    assert_eq!(end.server, BackendId(0x0a12_4a07_1f93));
     assert_eq!((end.load.rate, end.load.latency, end.load.in_flight), (Some(140.0), Some(14.5), None));
     let total = CounterAnswer::Total(38.0);
     assert_eq!(next(), Record::Happened(Event::Counted(CounterName(0x89_f690), total)));
-    assert_eq!(next(), Record::Happened(Event::PeerMessage(GatewayId(2), vec![1, 2, 3])));
-    let stream = Event::StreamStarted(request.id, AttemptNo(1));
+    assert_eq!(next(), Record::Happened(Event::PeerMessage(IngressId(2), vec![1, 2, 3])));
+    let stream = Event::StreamStarted(request.id, AttemptIndex(1));
     assert_eq!(next(), Record::Happened(stream));
     let probe = Event::ProbeEnded(end.server, Outcome::TimedOut, Load::default());
     assert_eq!(next(), Record::Happened(probe));
@@ -97,14 +97,14 @@
 #[test]
 fn the_documented_actions_are_written() {
     let mut reply = Reply::default();
-    let (request, server) = (RequestId(0x0003_1dfb_5d3a_91c4), ServerId(0x0a12_4a07_1f93));
+    let (request, server) = (RequestId(0x0003_1dfb_5d3a_91c4), BackendId(0x0a12_4a07_1f93));
     reply.push(3, &Action::Send { request, server, wait: Some(80.0), within: None });
     reply.push(3, &Action::SetTimer(500.0, TimerKey(77)));
     reply.push(3, &Action::Count(CounterName(0x89_f690), 4.0, 3000.0));
-    reply.push(3, &Action::Tell(GatewayId(2), b"hi 7".to_vec()));
+    reply.push(3, &Action::Tell(IngressId(2), b"hi 7".to_vec()));
     reply.push(5, &Action::Refuse(request, Some(500.0)));
     reply.push(5, &Action::Fail(request));
-    reply.push(5, &Action::Cancel(request, AttemptNo(1)));
+    reply.push(5, &Action::Cancel(request, AttemptIndex(1)));
     reply.push(5, &Action::Probe(server));
     reply.push(5, &Action::Subscribe);
     let records = hex("010d 0003
--- a/src/bin/weldhub-adapter/wire.rs
+++ b/src/bin/weldhub-adapter/wire.rs
@@ -95,8 +95,8 @@
         Ok(f64::from_be_bytes(self.array()?))
     }
 
-    fn server(&mut self) -> Result<ServerId, WireError> {
-        Ok(ServerId(u64::from(self.u32()?) << 16 | u64::from(self.u16()?)))
+    fn server(&mut self) -> Result<BackendId, WireError> {
+        Ok(BackendId(u64::from(self.u32()?) << 16 | u64::from(self.u16()?)))
     }
 
     fn outcome(&mut self) -> Result<Outcome, WireError> {
@@ -130,7 +130,7 @@
         Ok(load)
     }
 
-    fn entry(&mut self) -> Result<ServerEntry, WireError> {
+    fn entry(&mut self) -> Result<BackendEntry, WireError> {
         let kind = KindId(self.u16()?);
         let server = self.server()?;
         let weight = self.f32()?;
@@ -138,13 +138,13 @@
         let started = self.f64()?;
         let zone = ZoneId(self.u8()?);
         let state = match self.u8()? {
-            0 => ServerState::Gone,
-            1 => ServerState::Ready,
-            2 => ServerState::Draining,
+            0 => BackendState::Gone,
+            1 => BackendState::Ready,
+            2 => BackendState::Draining,
             other => return self.error(format!("no server state {other}")),
         };
         let last_start = (started != 0.0).then_some(started);
-        Ok(ServerEntry { server, state, weight, zone, cell, kind, last_start })
+        Ok(BackendEntry { server, state, weight, zone, cell, kind, last_start })
     }
 
     /// The next record; `names` are those of the load report at the instance it is for.
@@ -181,7 +181,7 @@
                 let plan = PlanId(self.u32()? as usize);
                 let customer = CustomerId(self.u64()?);
                 let (left, units) = (self.f64()?, self.f32()?);
-                let (spread, first) = (self.f32()? as u16, GatewayId(self.f32()? as u16));
+                let (spread, first) = (self.f32()? as u16, IngressId(self.f32()? as u16));
                 let repeat = self.u8()? & 2 != 0;
                 Event::Request(Request { id, class, plan, customer, left, units, spread, first, repeat })
             }
@@ -189,13 +189,13 @@
                 let request = RequestId(self.u64()?);
                 self.f64()?;
                 self.server()?;
-                Event::StreamStarted(request, AttemptNo(self.u16()?))
+                Event::StreamStarted(request, AttemptIndex(self.u16()?))
             }
             260 => {
                 let request = RequestId(self.u64()?);
                 let spent = self.f64()?;
                 let used = self.u16()?;
-                let attempt = AttemptNo(self.u16()?);
+                let attempt = AttemptIndex(self.u16()?);
                 let cost = self.u16()?;
                 let closed = self.u8()? != 0;
                 let outcome = self.outcome()?;
@@ -220,7 +220,7 @@
                 Event::ProbeEnded(server, outcome, self.load(names)?)
             }
             264 => {
-                let from = GatewayId(self.u16()?);
+                let from = IngressId(self.u16()?);
                 let n = usize::from(self.u16()?);
                 Event::PeerMessage(from, self.take(n)?.to_vec())
             }
@@ -264,7 +264,7 @@
         self.bytes.extend(code.to_be_bytes());
     }
 
-    fn server(&mut self, server: ServerId) {
+    fn server(&mut self, server: BackendId) {
         self.bytes.extend(&server.0.to_be_bytes()[2..]);
     }
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -3,7 +3,9 @@
 use super::error::ConfigError;
 use super::pairs::Pairs;
 use crate::backends::entries::Places;
-use crate::interface::{Class, ColdStart, Effect, GatewayId, Group, Millis, Plan, Settings, ZoneId};
+use crate::interface::{
+    Class, ColdStart, DedupScope, IngressId, Millis, Plan, RetrySafety, Settings, ZoneId,
+};
 use std::collections::HashMap;
 
 /// What a front has to know of a class beside the decision module's settings.
@@ -58,7 +60,7 @@
             Ok(ClassInfo {
                 name: pairs.get(&key("name"))?.unwrap_or_else(|| i.to_string()),
                 give_up: pairs.get(&key("giveUp"))?.unwrap_or(DEFAULT_GIVE_UP),
-                keyed: matches!(settings.classes[i].effect, Effect::Keyed { .. }),
+                keyed: matches!(settings.classes[i].effect, RetrySafety::Keyed { .. }),
             })
         };
         let plan = |i: usize| {
@@ -104,7 +106,7 @@
     let advice: bool = pairs.opt("limits.retryAfter")?;
     let mode: String = pairs.opt("membershipMode")?;
     let settings = Settings {
-        me: GatewayId(pairs.need("myNumber")?),
+        me: IngressId(pairs.need("myNumber")?),
         gateways: pairs.need("balancers")?,
         zone: ZoneId(pairs.opt("zone")?),
         classes: (0..classes).map(|i| read_class(pairs, i)).collect::<Result<_, _>>()?,
@@ -138,17 +140,17 @@
     let key = |name: &str| format!("classes.{i}.{name}");
     let effect: String = pairs.need(&key("effect"))?;
     let effect = match effect.as_str() {
-        "read_like" => Effect::Safe,
-        "non_idempotent" => Effect::Unsafe,
+        "read_like" => RetrySafety::Safe,
+        "non_idempotent" => RetrySafety::Unsafe,
         "idempotency_key" => {
             let group: String = pairs.need(&key("group"))?;
             let group = match group.as_str() {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                "cell" => DedupScope::Cell,
                 _ => return Err(ConfigError::unreadable(key("group"), &group)),
             };
-            Effect::Keyed { group, window: pairs.need(&key("window"))? }
+            RetrySafety::Keyed { group, window: pairs.need(&key("window"))? }
         }
         _ => return Err(ConfigError::unreadable(key("effect"), &effect)),
     };
--- a/src/consul/book.rs
+++ b/src/consul/book.rs
@@ -5,7 +5,7 @@
 use crate::backends::membership::Observation;
 use crate::backends::membership::members::{Members, Step};
 use crate::backends::membership::merged_list::{MergedList, Slot};
-use crate::interface::{Millis, ServerId, ServerState};
+use crate::interface::{BackendId, BackendState, Millis};
 use crate::stats::Stats;
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
@@ -92,7 +92,7 @@
     }
 
     /// Reports the instances that no answer vouches for and that connections fail to.
-    pub(super) fn report_unreachable(&mut self, now: Millis, suspects: &BTreeSet<ServerId>) {
+    pub(super) fn report_unreachable(&mut self, now: Millis, suspects: &BTreeSet<BackendId>) {
         for slot in self.all_slots() {
             let Some(known) = self.services.get_mut(&slot) else { continue };
             let unreachable = suspects.iter().filter_map(|id| known.members.unreachable(now, *id)).collect();
@@ -143,9 +143,9 @@
         let first = !self.first_reported;
         for change in changes.iter().take(if first { 0 } else { MAX_LOG_LINES }) {
             let state = match change.entry.entry.state {
-                ServerState::Ready => "ready",
-                ServerState::Draining => "drains",
-                ServerState::Gone => "gone",
+                BackendState::Ready => "ready",
+                BackendState::Draining => "drains",
+                BackendState::Gone => "gone",
             };
             let why = change.reason.text();
             info!(self.log, "a real server's state by Consul"; "id" => &change.name, "state" => state, "why" => why);
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -3,7 +3,7 @@
 use crate::backends::entries::{Places, ServiceEntry, server_id};
 use crate::backends::membership::{Observation, Reason};
 use crate::config::Service;
-use crate::interface::{CellId, ServerEntry, ServerId, ServerState};
+use crate::interface::{BackendEntry, BackendId, BackendState, CellId};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -40,7 +40,7 @@
 }
 
 /// Reads the ids that an answer of `/v1/catalog/service/NAME` holds.
-pub fn catalogue(body: &[u8], service: &Service) -> Result<BTreeSet<ServerId>, String> {
+pub fn catalogue(body: &[u8], service: &Service) -> Result<BTreeSet<BackendId>, String> {
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
     let instances = answer.as_array().ok_or("its answer is no list")?;
     // Prevents an answer that cannot be read from being taken for word that all are gone.
@@ -98,9 +98,9 @@
         reason = Reason::NoWeight;
     }
     let ready = matches!(reason, Reason::Passing | Reason::Warning);
-    let entry = ServerEntry {
+    let entry = BackendEntry {
         server: server_id(&name),
-        state: if ready { ServerState::Ready } else { ServerState::Draining },
+        state: if ready { BackendState::Ready } else { BackendState::Draining },
         weight,
         zone: places.zone(meta("zone")),
         kind: places.kind(meta("kind")),
--- a/src/consul/read/tests.rs
+++ b/src/consul/read/tests.rs
@@ -37,10 +37,10 @@
 #[test]
 fn an_instance_is_read_with_its_node_place_start_and_weight() {
     let seen = one(good());
-    let ServerEntry { weight, zone, kind, cell, last_start, state, .. } = seen.entry.entry;
+    let BackendEntry { weight, zone, kind, cell, last_start, state, .. } = seen.entry.entry;
     assert_eq!((seen.name.as_str(), seen.registered, seen.reason), ("n1/a", 7, Reason::Passing));
     assert_eq!((weight, zone.0, kind.0, cell.0, last_start), (3.0, 1, 0, 4, Some(99.0)));
-    assert_eq!((state, seen.entry.at), (ServerState::Ready, "127.0.0.1:80".parse().ok()));
+    assert_eq!((state, seen.entry.at), (BackendState::Ready, "127.0.0.1:80".parse().ok()));
     assert_eq!(one(with("/Service/Address", Some("".into()))).entry.at, "127.0.0.9:80".parse().ok());
     let elsewhere = Service { prefix: "dc2/".into(), ..Service::default() };
     let body = json!([{"Node": "n1", "ServiceID": "a"}]).to_string();
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,6 +1,6 @@
 //! The clock, and the sorted timer queue of all deadlines, which the engine sweeps in each turn.
 
-use crate::interface::{AttemptNo, Millis, RequestId, TimerKey};
+use crate::interface::{AttemptIndex, Millis, RequestId, TimerKey};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -42,7 +42,7 @@
     /// The request must have its final answer.
     Flow(RequestId),
     /// The attempt is given up.
-    Scheduling(RequestId, AttemptNo),
+    Scheduling(RequestId, AttemptIndex),
     /// A timer of the decision module.
     Timer(TimerKey),
     /// A call to the counter counts as unanswered.
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -32,7 +32,7 @@
     /// To the process that decides in place of this one, how its attempts end.
     pub successor: mpsc::UnboundedSender<AttemptEnd>,
     /// To the peers, where messages are allowed.
-    pub peers: Option<mpsc::UnboundedSender<(GatewayId, Vec<u8>)>>,
+    pub peers: Option<mpsc::UnboundedSender<(IngressId, Vec<u8>)>>,
     /// To the other ingresses, which real servers an operator takes out here or puts back, where they tell each other.
     pub said: Option<mpsc::UnboundedSender<LocalNotice>>,
     /// To the membership, how schedulings end, where it wants to know.
@@ -54,8 +54,8 @@
 
 #[derive(Debug)]
 struct Scheduling {
-    no: AttemptNo,
-    server: ServerId,
+    no: AttemptIndex,
+    server: BackendId,
     sent: Millis,
     /// When its answer began to pass on.
     began: Option<Millis>,
@@ -120,7 +120,7 @@
     /// Another process decides.
     retired: bool,
     /// Attempts that are out at a process before.
-    elsewhere: BTreeMap<(RequestId, AttemptNo), ServerId>,
+    elsewhere: BTreeMap<(RequestId, AttemptIndex), BackendId>,
     /// Discovery has told a list.
     told: bool,
     log: Logger,
@@ -436,7 +436,7 @@
     }
 
     /// A scheduling's answer passes on: the client has it, and no time is set for its end.
-    fn began(&mut self, (id, no): (RequestId, AttemptNo), answer: A) {
+    fn began(&mut self, (id, no): (RequestId, AttemptIndex), answer: A) {
         let Some(flow) = self.flows.get_mut(&id) else { return };
         let Some(s) = flow.out.iter_mut().find(|s| s.no == no) else { return };
         self.deadlines.remove(s.deadline);
@@ -523,12 +523,12 @@
         }
     }
 
-    fn start(&mut self, id: RequestId, server: ServerId, (wait, within): (Option<Millis>, Option<Millis>)) {
+    fn start(&mut self, id: RequestId, server: BackendId, (wait, within): (Option<Millis>, Option<Millis>)) {
         let Some(flow) = self.flows.get_mut(&id) else {
             warn!(self.log, "scheduling for a flow that is over"; "flow" => id.0);
             return;
         };
-        let no = AttemptNo(flow.started);
+        let no = AttemptIndex(flow.started);
         flow.started += 1;
         // Patience is for answers: while a body still comes, nothing is late.
         let wait = wait.filter(|_| flow.uploads.is_none()).unwrap_or(f64::INFINITY);
@@ -555,8 +555,8 @@
 
 /// The end of a scheduling, in the decisions' words.
 fn attempt_ended(
-    (request, attempt): (RequestId, AttemptNo),
-    server: ServerId,
+    (request, attempt): (RequestId, AttemptIndex),
+    server: BackendId,
     (outcome, spent): (Outcome, Millis),
     closed: bool,
     load: Load,
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -28,7 +28,7 @@
     /// Over how many ingresses the customer's flows come ...
     pub spread: u16,
     /// ... counted round from this one.
-    pub first: GatewayId,
+    pub first: IngressId,
     /// The client says that it has asked for this before.
     pub repeat: bool,
     /// Its body still comes: `left` runs from that one's last byte, and it can be sent once only.
@@ -68,7 +68,7 @@
     /// Whose scheduling.
     pub flow: RequestId,
     /// Which.
-    pub no: AttemptNo,
+    pub no: AttemptIndex,
     /// How it ended.
     pub outcome: Outcome,
     /// What the real server said of its load.
@@ -87,13 +87,13 @@
     /// The last byte of a flow's body has come.
     Uploaded(RequestId),
     /// A scheduling's answer has begun to pass on: it is the flow's, however it ends.
-    Began(RequestId, AttemptNo, A),
+    Began(RequestId, AttemptIndex, A),
     /// A scheduling has ended.
     Ended(Report<A>),
     /// Service entries.
     Listed(List),
     /// A peer's message.
-    Heard(GatewayId, Vec<u8>),
+    Heard(IngressId, Vec<u8>),
     /// The counter answered a call.
     Counted(u64, CounterAnswer),
     /// Another process is to decide from now on: it is owed what is known.
@@ -156,9 +156,9 @@
         /// Whose scheduling.
         flow: RequestId,
         /// Which.
-        no: AttemptNo,
+        no: AttemptIndex,
         /// The real server.
-        server: ServerId,
+        server: BackendId,
         /// What to ask.
         question: Q,
         /// How long the engine will wait.
@@ -167,9 +167,9 @@
         by: Option<Millis>,
     },
     /// Give a scheduling up and report it ended like this, unless it ended before.
-    GiveUp(RequestId, AttemptNo, Outcome),
+    GiveUp(RequestId, AttemptIndex, Outcome),
     /// Give a scheduling up of which nothing was written yet: nobody waits for it any more.
-    Withdraw(RequestId, AttemptNo),
+    Withdraw(RequestId, AttemptIndex),
     /// Service entries.
     List(List),
 }
--- a/src/fronts/ext_authz/authorisers.rs
+++ b/src/fronts/ext_authz/authorisers.rs
@@ -105,7 +105,7 @@
 impl Inner {
     async fn carry(
         &self,
-        server: ServerId,
+        server: BackendId,
         check: &Check,
         (wait, by): (Millis, Option<Millis>),
         stage: &Cell<Stage>,
--- a/src/fronts/ext_authz/mod.rs
+++ b/src/fronts/ext_authz/mod.rs
@@ -79,7 +79,7 @@
             left: left.min(info.give_up),
             units: units.ok_or_else(|| bad("the units cannot be read"))?,
             spread,
-            first: GatewayId(first),
+            first: IngressId(first),
             repeat: false,
             uploads: false,
         })
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// The most bytes of a message to a peer.
-pub const MESSAGE_BYTES: usize = 256;
+pub const MAX_PEER_MESSAGE_BYTES: usize = 256;
 
 /// A time or a span in milliseconds; the clock starts anywhere and only moves forward.
 pub type Millis = f64;
@@ -22,11 +22,11 @@
 id!(/// One try of a client; never used again.
     RequestId(u64));
 id!(/// A server, the same in every list and across its restarts.
-    ServerId(u64));
+    BackendId(u64));
 id!(/// A customer.
     CustomerId(u64));
 id!(/// A gateway's number, counted from 0.
-    GatewayId(u16));
+    IngressId(u16));
 id!(/// A class, as its place in [`Settings::classes`].
     ClassId(usize));
 id!(/// A plan, as its place in [`Settings::plans`].
@@ -38,7 +38,7 @@
 id!(/// A kind of machine.
     KindId(u16));
 id!(/// The place of an attempt among those of its request, counted from 0.
-    AttemptNo(u16));
+    AttemptIndex(u16));
 id!(/// The name of a number on the shared counter.
     CounterName(u64));
 id!(/// What a timer brings back.
@@ -46,7 +46,7 @@
 
 /// Which servers drop a repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of the zone of the first.
@@ -57,13 +57,13 @@
 
 /// What a repeat of a request would do.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Nothing: it may be repeated at will.
     Safe,
     /// Nothing within the group and for this long from the first attempt that may have run.
     Keyed {
         /// Which servers drop it.
-        group: Group,
+        group: DedupScope,
         /// For how long.
         window: Millis,
     },
@@ -71,13 +71,13 @@
     Unsafe,
 }
 
-impl Effect {
+impl RetrySafety {
     /// Whether a request whose first attempt at `first`, if that is still known, may have run can go to `other`.
-    pub fn allows_at(&self, first: Option<&ServerEntry>, other: &ServerEntry) -> bool {
+    pub fn allows_at(&self, first: Option<&BackendEntry>, other: &BackendEntry) -> bool {
         match self {
-            Self::Safe | Self::Keyed { group: Group::All, .. } => true,
-            Self::Keyed { group: Group::Zone, .. } => first.is_some_and(|s| s.zone == other.zone),
-            Self::Keyed { group: Group::Cell, .. } => first.is_some_and(|s| s.cell == other.cell),
+            Self::Safe | Self::Keyed { group: DedupScope::All, .. } => true,
+            Self::Keyed { group: DedupScope::Zone, .. } => first.is_some_and(|s| s.zone == other.zone),
+            Self::Keyed { group: DedupScope::Cell, .. } => first.is_some_and(|s| s.cell == other.cell),
             Self::Unsafe => false,
         }
     }
@@ -105,7 +105,7 @@
     /// What a unit of it is worth.
     pub worth: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub effect: RetrySafety,
 }
 
 /// A plan: the quotas that each of its customers has over all gateways together.
@@ -168,7 +168,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// This gateway's number.
-    pub me: GatewayId,
+    pub me: IngressId,
     /// How many gateways there are.
     pub gateways: u16,
     /// This gateway's zone.
@@ -260,7 +260,7 @@
 
 /// What the list says of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ServerState {
+pub enum BackendState {
     /// It takes work.
     Ready,
     /// It finishes its work and is to get nothing new.
@@ -271,11 +271,11 @@
 
 /// A line of the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ServerEntry {
+pub struct BackendEntry {
     /// Which server.
-    pub server: ServerId,
+    pub server: BackendId,
     /// Its state.
-    pub state: ServerState,
+    pub state: BackendState,
     /// Its size beside others, without a unit.
     pub weight: f64,
     /// Its zone.
@@ -319,7 +319,7 @@
     /// Over how many gateways the customer's requests come ...
     pub spread: u16,
     /// ... counted round from this one.
-    pub first: GatewayId,
+    pub first: IngressId,
     /// The client says that it has asked for this before.
     pub repeat: bool,
 }
@@ -383,9 +383,9 @@
     /// Whose attempt.
     pub request: RequestId,
     /// Which attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptIndex,
     /// The server it went to.
-    pub server: ServerId,
+    pub server: BackendId,
     /// How it ended.
     pub outcome: Outcome,
     /// The time since it was sent.
@@ -417,19 +417,19 @@
     /// The gateway starts; always the first event.
     Start,
     /// News of the server list.
-    Servers(ListKind, Vec<ServerEntry>),
+    Servers(ListKind, Vec<BackendEntry>),
     /// A client's request; one final answer is owed for it.
     Request(Request),
     /// A stream has begun, so the attempt belongs to the client.
-    StreamStarted(RequestId, AttemptNo),
+    StreamStarted(RequestId, AttemptIndex),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client left; no answer is owed any more.
     ClientLeft(RequestId),
     /// A peer's message.
-    PeerMessage(GatewayId, Vec<u8>),
+    PeerMessage(IngressId, Vec<u8>),
     /// A probe ended.
-    ProbeEnded(ServerId, Outcome, Load),
+    ProbeEnded(BackendId, Outcome, Load),
     /// A timer is due.
     Timer(TimerKey),
     /// The counter answered.
@@ -444,7 +444,7 @@
         /// Whose attempt.
         request: RequestId,
         /// The server.
-        server: ServerId,
+        server: BackendId,
         /// Its time-out.
         wait: Option<Millis>,
         /// It must have left whole within this, or never: a repeat later than that would be another effect.
@@ -455,11 +455,11 @@
     /// Final answer: no promise either way.
     Fail(RequestId),
     /// Stop waiting for an attempt.
-    Cancel(RequestId, AttemptNo),
+    Cancel(RequestId, AttemptIndex),
     /// Probe a server.
-    Probe(ServerId),
+    Probe(BackendId),
     /// Send a message to a peer.
-    Tell(GatewayId, Vec<u8>),
+    Tell(IngressId, Vec<u8>),
     /// Add an amount to a number on the counter; if it is new it is kept this long.
     Count(CounterName, f64, Millis),
     /// Ask for a timer.
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -84,7 +84,7 @@
     /// Whether this process decides.
     pub role: watch::Receiver<Role>,
     /// Where idle connections go that another process is to have.
-    pub passing: mpsc::UnboundedSender<(ServerId, TcpStream)>,
+    pub passing: mpsc::UnboundedSender<(BackendId, TcpStream)>,
     /// What another process has still open.
     pub elsewhere: Elsewhere,
     /// What is open here.
@@ -126,7 +126,7 @@
     pub async fn run(
         self,
         orders: mpsc::UnboundedReceiver<Order<Question>>,
-        mut passed: mpsc::UnboundedReceiver<(ServerId, TcpStream)>,
+        mut passed: mpsc::UnboundedReceiver<(BackendId, TcpStream)>,
     ) {
         let adopting = async {
             while let Some((server, stream)) = passed.recv().await {
@@ -143,7 +143,7 @@
 }
 
 impl Inner {
-    fn start(this: &Rc<Self>, server: ServerId, mut job: Work) {
+    fn start(this: &Rc<Self>, server: BackendId, mut job: Work) {
         let mut pools = this.schedulings.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else {
             return this.schedulings.ended(job.id, Ending::badly(Outcome::ConnectFailed));
@@ -169,7 +169,7 @@
     }
 
     /// Keeps an idle connection that another process had.
-    fn adopt(this: &Rc<Self>, server: ServerId, stream: TcpStream) {
+    fn adopt(this: &Rc<Self>, server: BackendId, stream: TcpStream) {
         let at = this.schedulings.pools.borrow().get(&server).map(|pool| pool.at);
         if let Some(at) = at.filter(|at| stream.peer_addr().is_ok_and(|peer| peer == *at))
             && let Some(next) = this.park(server, at, this.deadlines.clock().now())
@@ -179,7 +179,7 @@
     }
 
     /// Puts a connection by that has been idle since then; none where its real server is not to have any.
-    fn park(&self, server: ServerId, at: SocketAddr, since: Millis) -> Option<oneshot::Receiver<Work>> {
+    fn park(&self, server: BackendId, at: SocketAddr, since: Millis) -> Option<oneshot::Receiver<Work>> {
         let mut pools = self.schedulings.pools.borrow_mut();
         let pool = pools.get_mut(&server).filter(|pool| pool.at == at)?;
         let (next, coming) = oneshot::channel();
@@ -191,7 +191,7 @@
 }
 
 /// Closes the oldest idle connection of the pool that has most; false where none is idle.
-fn evict(pools: &mut BTreeMap<ServerId, Pool<Idle>>) -> bool {
+fn evict(pools: &mut BTreeMap<BackendId, Pool<Idle>>) -> bool {
     let most = pools.values_mut().max_by_key(|pool| pool.kept.len()).filter(|pool| !pool.kept.is_empty());
     most.map(|pool| pool.kept.remove(0)).is_some()
 }
@@ -241,7 +241,7 @@
 }
 
 /// Opens a connection for its first job.
-async fn connection(open: Open, server: ServerId, at: SocketAddr, mut job: Work) {
+async fn connection(open: Open, server: BackendId, at: SocketAddr, mut job: Work) {
     let side = open.0.clone();
     let within = job.time_left(&side.deadlines.clock()).unwrap_or(f64::INFINITY);
     let within = within.min(side.site.connect_timeout);
@@ -257,7 +257,7 @@
 }
 
 /// A connection's life: jobs, and the time between them.
-async fn life(open: Open, (server, at): (ServerId, SocketAddr), mut stream: TcpStream, mut then: Then) {
+async fn life(open: Open, (server, at): (BackendId, SocketAddr), mut stream: TcpStream, mut then: Then) {
     let side = open.0.clone();
     let mut buffer = BytesMut::new();
     loop {
@@ -285,7 +285,7 @@
 /// Waits on an idle connection for the next job that it is to carry.
 async fn wait(
     side: &Rc<Inner>,
-    server: ServerId,
+    server: BackendId,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     mut next: oneshot::Receiver<Work>,
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between ingresses: UDP datagrams, late or lost, of 256 bytes at most.
 
 use super::server_side::Role;
-use crate::interface::{GatewayId, MESSAGE_BYTES};
+use crate::interface::{IngressId, MAX_PEER_MESSAGE_BYTES};
 use slog::{Logger, debug};
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -31,11 +31,11 @@
     /// Sends what the engine wants sent and tells what peers say, until there is nothing more to send.
     pub async fn run(
         mut self,
-        mut mail: mpsc::UnboundedReceiver<(GatewayId, Vec<u8>)>,
-        mut tell: impl FnMut(GatewayId, Vec<u8>),
+        mut mail: mpsc::UnboundedReceiver<(IngressId, Vec<u8>)>,
+        mut tell: impl FnMut(IngressId, Vec<u8>),
     ) {
         // One byte more than is allowed shows a datagram that is too long.
-        let mut buffer = [0; MESSAGE_BYTES + 1];
+        let mut buffer = [0; MAX_PEER_MESSAGE_BYTES + 1];
         loop {
             let active = *self.role.borrow_and_update() == Role::Active;
             tokio::select! {
@@ -54,9 +54,11 @@
         }
     }
 
-    async fn send(&self, to: GatewayId, bytes: &[u8]) {
+    async fn send(&self, to: IngressId, bytes: &[u8]) {
         // A longer datagram would break the platform's rules: it is dropped, as the network may drop any.
-        let Some(at) = self.addresses.get(usize::from(to.0)).filter(|_| bytes.len() <= MESSAGE_BYTES) else {
+        let Some(at) =
+            self.addresses.get(usize::from(to.0)).filter(|_| bytes.len() <= MAX_PEER_MESSAGE_BYTES)
+        else {
             return;
         };
         if let Err(e) = self.socket.send_to(bytes, at).await {
@@ -65,10 +67,10 @@
     }
 
     /// Only peers are heard, and only by their own addresses.
-    fn accept(&self, at: SocketAddr, bytes: &[u8]) -> Option<(GatewayId, Vec<u8>)> {
+    fn accept(&self, at: SocketAddr, bytes: &[u8]) -> Option<(IngressId, Vec<u8>)> {
         let from = self.addresses.iter().position(|known| *known == at)?;
-        let from = GatewayId(u16::try_from(from).ok()?);
-        (bytes.len() <= MESSAGE_BYTES).then(|| (from, bytes.to_vec()))
+        let from = IngressId(u16::try_from(from).ok()?);
+        (bytes.len() <= MAX_PEER_MESSAGE_BYTES).then(|| (from, bytes.to_vec()))
     }
 }
 
@@ -88,19 +90,19 @@
         };
         let to = addresses[0];
         stranger.send_to(b"odd", to).unwrap();
-        b.send_to(&[7; MESSAGE_BYTES + 1], to).unwrap();
-        b.send_to(&[8; MESSAGE_BYTES], to).unwrap();
+        b.send_to(&[7; MAX_PEER_MESSAGE_BYTES + 1], to).unwrap();
+        b.send_to(&[8; MAX_PEER_MESSAGE_BYTES], to).unwrap();
         let (a, b) = (socket(a), socket(b));
         let (mail, sent) = mpsc::unbounded_channel();
-        mail.send((GatewayId(1), vec![9; MESSAGE_BYTES + 1])).unwrap();
-        mail.send((GatewayId(5), vec![9])).unwrap();
-        mail.send((GatewayId(1), vec![1, 2])).unwrap();
+        mail.send((IngressId(1), vec![9; MAX_PEER_MESSAGE_BYTES + 1])).unwrap();
+        mail.send((IngressId(5), vec![9])).unwrap();
+        mail.send((IngressId(1), vec![1, 2])).unwrap();
         let (heard, mut hears) = mpsc::unbounded_channel();
         let (_role, role) = watch::channel(Role::Active);
         let peers = Peers::new(a, addresses, role, log);
         let running = tokio::spawn(peers.run(sent, move |from, bytes| drop(heard.send((from, bytes)))));
-        assert_eq!(hears.recv().await.unwrap(), (GatewayId(1), vec![8; MESSAGE_BYTES]));
-        let mut buffer = [0; 2 * MESSAGE_BYTES];
+        assert_eq!(hears.recv().await.unwrap(), (IngressId(1), vec![8; MAX_PEER_MESSAGE_BYTES]));
+        let mut buffer = [0; 2 * MAX_PEER_MESSAGE_BYTES];
         assert_eq!(
             b.recv(&mut buffer).await.unwrap(),
             2,
--- a/src/net/schedulings.rs
+++ b/src/net/schedulings.rs
@@ -23,7 +23,7 @@
 }
 
 /// A flow and which of its schedulings.
-pub type Id = (RequestId, AttemptNo);
+pub type Id = (RequestId, AttemptIndex);
 
 /// A scheduling to carry out.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 struct Running {
-    server: ServerId,
+    server: BackendId,
     stage: Rc<Cell<Stage>>,
     _go_on: oneshot::Sender<()>,
 }
@@ -89,7 +89,7 @@
 pub struct Schedulings<Q, A, P> {
     running: RefCell<HashMap<Id, Running>>,
     /// The ready real servers; to be borrowed only for a moment.
-    pub pools: RefCell<BTreeMap<ServerId, Pool<P>>>,
+    pub pools: RefCell<BTreeMap<BackendId, Pool<P>>>,
     exchange: Exchange<Q, A>,
 }
 
@@ -100,7 +100,11 @@
     }
 
     /// Carries out orders until there are no more; `start` is to begin a job.
-    pub async fn run(&self, mut orders: mpsc::UnboundedReceiver<Order<Q>>, start: impl Fn(ServerId, Job<Q>)) {
+    pub async fn run(
+        &self,
+        mut orders: mpsc::UnboundedReceiver<Order<Q>>,
+        start: impl Fn(BackendId, Job<Q>),
+    ) {
         while let Some(order) = orders.recv().await {
             match order {
                 Order::Start { flow, no, server, question, wait, by } => {
@@ -159,7 +163,7 @@
         }
         for e in &list.entries {
             let (server, started) = (e.entry.server, e.entry.last_start);
-            match e.at.filter(|_| e.entry.state == ServerState::Ready) {
+            match e.at.filter(|_| e.entry.state == BackendState::Ready) {
                 Some(at) if pools.get(&server).is_some_and(|p| (p.at, p.started) == (at, started)) => {}
                 // A real server that moved or started anew has none of the connections any more.
                 Some(at) => drop(pools.insert(server, Pool { at, started, kept: P::default() })),
--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -24,7 +24,7 @@
         &mut self,
         now: Millis,
         of: &Request,
-        to: (GatewayId, u64),
+        to: (IngressId, u64),
         again: bool,
         acts: &mut Vec<Action>,
     ) {
@@ -39,7 +39,7 @@
     pub(crate) fn on_home_mail(
         &mut self,
         now: Millis,
-        from: GatewayId,
+        from: IngressId,
         mail: Option<Mail>,
         acts: &mut Vec<Action>,
     ) {
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -1,7 +1,7 @@
 //! What an ingress has sent a backend that started cold, and the order in which the ingresses of a fleet fill it:
 //! records and arithmetic. How much may be sent is decided in `src/slow_start.rs`.
 
-use crate::interface::{GatewayId, Millis, ServerId};
+use crate::interface::{BackendId, IngressId, Millis};
 use crate::state::Limiter;
 use crate::window::{Bucket, Rate, SlidingSum};
 use serde::{Deserialize, Serialize};
@@ -147,13 +147,13 @@
 
 impl Limiter {
     /// How many living ingresses come before this one in the order in which they fill a cold backend.
-    pub(crate) fn slow_start_rank(&self, id: ServerId) -> u16 {
+    pub(crate) fn slow_start_rank(&self, id: BackendId) -> u16 {
         let order = FillOrder::new(id, self.set.gateways);
         let own = order.rank(self.set.me);
         match &self.living {
             Some(_) => {
-                let before = |of: &GatewayId| order.rank(*of) < own && self.lives(*of);
-                (0..self.set.gateways).map(GatewayId).filter(before).count() as u16
+                let before = |of: &IngressId| order.rank(*of) < own && self.lives(*of);
+                (0..self.set.gateways).map(IngressId).filter(before).count() as u16
             }
             None => own,
         }
@@ -170,7 +170,7 @@
 
 impl FillOrder {
     /// The order of this backend over so many ingresses.
-    fn new(backend: ServerId, ingresses: u16) -> Self {
+    fn new(backend: BackendId, ingresses: u16) -> Self {
         let ingresses = u64::from(ingresses.max(1));
         let mixed = split_mix(backend.0);
         let coprime = |stride: &u64| greatest_common_divisor(*stride, ingresses) == 1;
@@ -179,7 +179,7 @@
     }
 
     /// The place of an ingress.
-    fn rank(&self, ingress: GatewayId) -> u16 {
+    fn rank(&self, ingress: IngressId) -> u16 {
         ((u64::from(ingress.0) * self.stride + self.offset) % self.ingresses) as u16
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -174,21 +174,21 @@
     }
 
     /// The gateway of the set that keeps the customer's quota, or the next in line while that is silent.
-    fn home(&self, now: Millis, request: &Request) -> Option<GatewayId> {
+    fn home(&self, now: Millis, request: &Request) -> Option<IngressId> {
         let in_line = request.in_line(self.set.gateways);
-        let well = |id: &GatewayId| self.lives(*id) && self.peers.get(id).is_none_or(|p| p.gone_until <= now);
+        let well = |id: &IngressId| self.lives(*id) && self.peers.get(id).is_none_or(|p| p.gone_until <= now);
         in_line.into_iter().find(|id| *id == self.set.me || well(id))
     }
 
-    fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<ServerEntry>, acts: &mut Acts) {
+    fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<BackendEntry>, acts: &mut Acts) {
         if kind == ListKind::Failed {
             acts.push(Action::SetTimer(SUBSCRIBE_PAUSE, SUBSCRIBE));
             return;
         }
         if kind != ListKind::Changes {
-            let named: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            let named: BTreeSet<BackendId> = entries.iter().map(|e| e.server).collect();
             for server in self.servers.values_mut().filter(|s| !named.contains(&s.entry.server)) {
-                server.entry.state = ServerState::Gone;
+                server.entry.state = BackendState::Gone;
             }
         }
         for entry in entries {
@@ -197,7 +197,7 @@
             let fresh = entry.last_start.or(late_comer).filter(|at| now - at < self.set.cold.warm_after);
             let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(entry, fresh, now));
             let restarted = entry.last_start.is_some() && entry.last_start != server.entry.last_start;
-            if restarted || (server.entry.state == ServerState::Gone && entry.state == ServerState::Ready) {
+            if restarted || (server.entry.state == BackendState::Gone && entry.state == BackendState::Ready) {
                 server.started = fresh;
                 server.begin_anew(now);
             }
@@ -209,7 +209,7 @@
 
     /// The ready servers that are cold; those that are warm, and their weights.
     fn size_up(&mut self, now: Millis) {
-        let cold = |id: &&ServerId| self.servers.get(id).is_some_and(|s| self.warmth(now, s) < 1.0);
+        let cold = |id: &&BackendId| self.servers.get(id).is_some_and(|s| self.warmth(now, s) < 1.0);
         self.cold = self.ready.iter().filter(cold).copied().collect();
         // Prevents a room that was right for all from staying when most have gone: the list tells it before
         // late answers do. It comes back as they warm.
@@ -223,8 +223,8 @@
         // other request. Each server is near to as many of them, so the load stays even.
         let near = f64::from(self.set.gateways) * NEAR / self.warm.count.max(NEAR);
         let few = f64::from(self.set.gateways) <= FEW;
-        let place = |id: ServerId| f64::from(self.set.me.place_after(id, self.set.gateways));
-        let is_near = |id: &&ServerId| !few && !self.cold.contains(id) && place(**id) < near;
+        let place = |id: BackendId| f64::from(self.set.me.place_after(id, self.set.gateways));
+        let is_near = |id: &&BackendId| !few && !self.cold.contains(id) && place(**id) < near;
         self.near = self.ready.iter().filter(is_near).copied().collect();
     }
 
@@ -249,10 +249,10 @@
         server.ejected_until > now || trial || server.silence(now) > SILENCE
     }
 
-    fn pick(&mut self, now: Millis, open: &Open) -> Option<ServerId> {
+    fn pick(&mut self, now: Millis, open: &Open) -> Option<BackendId> {
         let effect = self.set.classes[open.request.class.0].effect;
         let home = open.risky.and_then(|i| self.servers.get(&open.attempts[i].server)).map(|s| s.entry);
-        let in_group = |id: &&ServerId| effect.allows_at(home.as_ref(), &self.servers[*id].entry);
+        let in_group = |id: &&BackendId| effect.allows_at(home.as_ref(), &self.servers[*id].entry);
         let group = open.risky.map(|_| self.ready.iter().filter(in_group).copied().collect::<Vec<_>>());
         if group.is_none()
             && let Some(id) = self.cold_turn(now, open)
@@ -279,10 +279,10 @@
         &mut self,
         now: Millis,
         open: &Open,
-        from: &mut [ServerId],
+        from: &mut [BackendId],
         (own, all): (bool, bool),
-    ) -> Option<ServerId> {
-        let (mut best, mut choices, mut bads): (Option<(Rank, ServerId)>, _, _) = (None, 0, 0);
+    ) -> Option<BackendId> {
+        let (mut best, mut choices, mut bads): (Option<(Rank, BackendId)>, _, _) = (None, 0, 0);
         // Sampled before ranking: no pass over all servers for each request.
         for k in 0..from.len().min(CHOICES.1) {
             let other = k + self.rng.below(from.len() - k);
@@ -316,10 +316,10 @@
 
     /// A cold server whose turn it is. They come first: the few gateways that fill one see too little to do
     /// so by the way.
-    fn cold_turn(&mut self, now: Millis, open: &Open) -> Option<ServerId> {
+    fn cold_turn(&mut self, now: Millis, open: &Open) -> Option<BackendId> {
         let cold = std::mem::take(&mut self.cold);
         let start = self.rng.below(cold.len());
-        let fits = |this: &mut Self, id: ServerId| {
+        let fits = |this: &mut Self, id: BackendId| {
             let tried = open.attempts.iter().any(|a| a.server == id) && this.ready.len() != 1;
             let well = this.servers.get(&id).is_some_and(|s| this.shared || !this.passed_over(now, s));
             !tried && well && this.slow_start_admits(now, id, open.request.units)
@@ -571,7 +571,7 @@
     pub(crate) fn decide(
         &mut self,
         now: Millis,
-        who: (GatewayId, u64),
+        who: (IngressId, u64),
         of: &Ask,
         unasked: f64,
     ) -> (bool, f64) {
@@ -631,7 +631,7 @@
     pub(crate) fn on_answer(
         &mut self,
         now: Millis,
-        of: (GatewayId, u64),
+        of: (IngressId, u64),
         granted: bool,
         more: f64,
         acts: &mut Acts,
@@ -756,12 +756,12 @@
         let patience = (usual * PATIENCE.0).max(class.aim * PATIENCE.1) * hurry;
         let well = self.retries >= 1.0 && self.pressure(now) < PRESSED && patience + usual < left;
         let more = open.attempts.len() + 1 < usize::from(self.set.max_attempts);
-        let again = class.effect != Effect::Unsafe && well && more;
+        let again = class.effect != RetrySafety::Unsafe && well && more;
         // Prevents an answer that never comes from pinning a capped customer's attempts.
         let capped = hurry < 1.0 && self.plan(open.request.plan).open_cap > 0.0 && class.aim < left;
         let wait = if again { Some(patience) } else { capped.then_some(class.aim) };
         let within = open.within(now, &class.effect);
-        let no = AttemptNo(u16::try_from(open.attempts.len()).unwrap_or(u16::MAX));
+        let no = AttemptIndex(u16::try_from(open.attempts.len()).unwrap_or(u16::MAX));
         let units = open.request.units;
         if let Some(server) = self.servers.get_mut(&id) {
             server.out.insert((open.request.id, no), (now, units, usual));
@@ -820,7 +820,8 @@
         }
         self.release(&open, acts);
         // A refusal promises that nothing ran, or that a repeat does no harm.
-        let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let harmless =
+            matches!(effect, RetrySafety::Safe | RetrySafety::Keyed { group: DedupScope::All, .. });
         let refuse = open.risky.is_none() || (harmless && open.deadline > now && allowed);
         let advice = self.advice(self.mean_latency(request.class));
         acts.push(if refuse { Action::Refuse(request.id, advice) } else { Action::Fail(request.id) });
@@ -836,7 +837,7 @@
         let (cold, window) = (self.set.cold, self.set.cold.fall_window.max(1.0));
         let judged = !matches!(end.outcome, Outcome::Moot | Outcome::Cancelled);
         // Work that cold, drained or gone ones finish says nothing of what a warm one takes.
-        let warm = |s: &Server| s.entry.state == ServerState::Ready && self.warmth(now, s) >= 1.0;
+        let warm = |s: &Server| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
         if let Some(server) = self.servers.get(&end.server).filter(|s| served && warm(s)) {
             self.warm_backend_served(now, server.entry.kind, request.units);
         }
@@ -932,7 +933,7 @@
         self.ledgers.retain(|_, l| now - l.seen < forget);
     }
 
-    fn on_message(&mut self, now: Millis, from: GatewayId, bytes: &[u8], acts: &mut Acts) {
+    fn on_message(&mut self, now: Millis, from: IngressId, bytes: &[u8], acts: &mut Acts) {
         let Some((incarnation, rest)) = bytes.split_first() else { return };
         if from == self.set.me || from.0 >= self.set.gateways {
             return;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -5,7 +5,7 @@
 //! more than its slice in any window, whatever it saved up or had waiting for a connection; what the backend
 //! has served may take the place of a slice, and is not added to it. `docs/slow-start.md` derives the bound.
 
-use crate::interface::{KindId, Millis, ServerId};
+use crate::interface::{BackendId, KindId, Millis};
 use crate::ramp::{Averaging, Slice, WarmBackends};
 use crate::rules::FEW;
 use crate::state::Limiter;
@@ -31,7 +31,7 @@
 
 impl Limiter {
     /// Whether a cold backend may get a request of these units now; a yes uses its part of the slice.
-    pub(crate) fn slow_start_admits(&mut self, now: Millis, id: ServerId, units: f64) -> bool {
+    pub(crate) fn slow_start_admits(&mut self, now: Millis, id: BackendId, units: f64) -> bool {
         let (largest, window) = (self.set.largest.max(1.0), self.set.cold.fall_window.max(1.0));
         let fleet = self.slow_start_rate(now, id).max(UNKNOWN_REQUESTS * largest * 1000.0 / window);
         let request = self.mean_units().unwrap_or(largest);
@@ -60,7 +60,7 @@
     /// What warm backends serve of each ingress's work sums up to no more than they can do, whatever is
     /// sent, refused or repeated; for one of them, at the cold one's warmth, it is at most what that can do.
     /// It stays when the others are gone, and rises at once where more is left to few.
-    fn slow_start_rate(&self, now: Millis, id: ServerId) -> f64 {
+    fn slow_start_rate(&self, now: Millis, id: BackendId) -> f64 {
         let Some(server) = self.servers.get(&id) else { return 0.0 };
         let serves = |warm: &WarmBackends| warm.one_serves(now, server.weight(), SERVED_OVER);
         let alike = self.warm_by_kind.get(&server.entry.kind).and_then(serves);
--- a/src/state.rs
+++ b/src/state.rs
@@ -27,13 +27,13 @@
     pub(crate) started: Millis,
     pub(crate) source: Source,
     pub(crate) incarnation: u8,
-    pub(crate) servers: BTreeMap<ServerId, Server>,
+    pub(crate) servers: BTreeMap<BackendId, Server>,
     /// The ready ones, in the order in which they were last sampled.
-    pub(crate) ready: Vec<ServerId>,
+    pub(crate) ready: Vec<BackendId>,
     /// Those of the warm ones that come first here.
-    pub(crate) near: Vec<ServerId>,
+    pub(crate) near: Vec<BackendId>,
     /// Those of them that are cold.
-    pub(crate) cold: Vec<ServerId>,
+    pub(crate) cold: Vec<BackendId>,
     /// The largest listed weight among them.
     pub(crate) heaviest: f64,
     /// How much longer than usual a zone or a kind of machine takes for a class, in usual times.
@@ -49,7 +49,7 @@
     pub(crate) untold: BTreeSet<CustomerId>,
     /// Customers of whose quota this gateway may lend to the pool.
     pub(crate) lenders: BTreeSet<CustomerId>,
-    pub(crate) peers: BTreeMap<GatewayId, Peer>,
+    pub(crate) peers: BTreeMap<IngressId, Peer>,
     pub(crate) classes: Vec<ClassSeen>,
     pub(crate) capacity: Option<f64>,
     /// What the ready servers can do, in warm ones.
@@ -147,7 +147,7 @@
     }
 
     /// Whether a gateway lives, as far as that is known.
-    pub(crate) fn lives(&self, id: GatewayId) -> bool {
+    pub(crate) fn lives(&self, id: IngressId) -> bool {
         self.living.as_ref().is_none_or(|living| living.get(usize::from(id.0)).copied().unwrap_or(true))
     }
 
@@ -183,7 +183,10 @@
 
     /// Goes on from what another process knew, within the same settings. Tells the attempts that are still out there:
     /// their ends are to be told as those of requests that are closed.
-    pub fn inherit(&mut self, bytes: &[u8]) -> Result<Vec<(RequestId, AttemptNo, ServerId)>, &'static str> {
+    pub fn inherit(
+        &mut self,
+        bytes: &[u8],
+    ) -> Result<Vec<(RequestId, AttemptIndex, BackendId)>, &'static str> {
         let bytes = bytes.strip_prefix(STATE_LAYOUT).ok_or("it is of another version")?;
         let mut old: Self = postcard::from_bytes(bytes).map_err(|_| "it cannot be read")?;
         let shape = |s: &Settings| (s.me, s.gateways, s.classes.len(), s.plans.len());
@@ -205,7 +208,7 @@
         for (id, open) in &mut old.requests {
             open.done = true;
             let still = (0u16..).zip(&open.attempts).filter(|(_, a)| a.out);
-            out.extend(still.map(|(no, a)| (*id, AttemptNo(no), a.server)));
+            out.extend(still.map(|(no, a)| (*id, AttemptIndex(no), a.server)));
         }
         *self = old;
         Ok(out)
@@ -242,9 +245,9 @@
     }
 
     /// The peers of a customer's set.
-    pub(crate) fn set_of(&self, customer: &Customer) -> impl Iterator<Item = GatewayId> + use<> {
+    pub(crate) fn set_of(&self, customer: &Customer) -> impl Iterator<Item = IngressId> + use<> {
         let (me, all, first) = (self.set.me, self.set.gateways, customer.first.0);
-        (0..customer.spread).map(move |i| GatewayId((first % all + i) % all)).filter(move |id| *id != me)
+        (0..customer.spread).map(move |i| IngressId((first % all + i) % all)).filter(move |id| *id != me)
     }
 
     /// Whether every peer of a customer's set was heard of since then, or so many of all that they are more than half
@@ -252,14 +255,14 @@
     /// is silent while most are heard is down, or cut off by itself, where it grants its even slices at most.
     pub(crate) fn heard_all(&self, customer: &Customer, since: Millis) -> bool {
         let heard =
-            |id: GatewayId| !self.lives(id) || self.peers.get(&id).is_some_and(|peer| peer.heard > since);
+            |id: IngressId| !self.lives(id) || self.peers.get(&id).is_some_and(|peer| peer.heard > since);
         let most = || {
             let others = self.peers.values().filter(|peer| peer.heard > since).count();
             2 * (others + 1) > usize::from(self.set.gateways)
         };
         // Prevents a part that is cut off from taking what the others grant: those that it takes for dead count only
         // where more than half of all live here.
-        let lives = (0..self.set.gateways).filter(|id| self.lives(GatewayId(*id))).count();
+        let lives = (0..self.set.gateways).filter(|id| self.lives(IngressId(*id))).count();
         let whole = 2 * lives > usize::from(self.set.gateways);
         whole && self.set_of(customer).all(heard) || most()
     }
@@ -278,7 +281,7 @@
     /// What others have out for a customer; of a peer not heard of since then, what it had is over.
     pub(crate) fn out_elsewhere(&self, customer: &Customer, since: Millis) -> f64 {
         let lives =
-            |id: &GatewayId| *id == self.set.me || self.peers.get(id).is_some_and(|peer| peer.heard > since);
+            |id: &IngressId| *id == self.set.me || self.peers.get(id).is_some_and(|peer| peer.heard > since);
         customer.told.iter().filter(|(id, _)| lives(id)).map(|(_, told)| told.out).sum()
     }
 
@@ -297,8 +300,8 @@
 
     /// What each peer is told of the customers they share: drawn in all, asked since the last, out.
     pub(crate) fn reports(&mut self) -> Vec<Action> {
-        let mut mail: BTreeMap<GatewayId, Vec<u8>> = BTreeMap::new();
-        for peer in (0..self.set.gateways).map(GatewayId).filter(|p| *p != self.set.me) {
+        let mut mail: BTreeMap<IngressId, Vec<u8>> = BTreeMap::new();
+        for peer in (0..self.set.gateways).map(IngressId).filter(|p| *p != self.set.me) {
             mail.insert(peer, vec![self.incarnation]);
         }
         for id in &self.untold {
@@ -307,7 +310,9 @@
             let line = report([id.0, quarters(customer.drawn), asked, customer.out as u64]);
             let customer = &self.customers[id];
             for peer in self.set_of(customer) {
-                if let Some(bytes) = mail.get_mut(&peer).filter(|b| b.len() + line.len() <= MESSAGE_BYTES) {
+                if let Some(bytes) =
+                    mail.get_mut(&peer).filter(|b| b.len() + line.len() <= MAX_PEER_MESSAGE_BYTES)
+                {
                     bytes.extend(&line);
                 }
             }
@@ -319,7 +324,7 @@
     pub(crate) fn take_report(
         &mut self,
         now: Millis,
-        from: GatewayId,
+        from: IngressId,
         incarnation: u8,
         lines: Vec<[u64; 4]>,
         tau: Millis,
@@ -346,8 +351,8 @@
 
     /// The ready servers anew, and without those that are gone and have nothing out.
     pub(crate) fn relist(&mut self) {
-        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.out.is_empty());
-        let ready = self.servers.iter().filter(|(_, s)| s.entry.state == ServerState::Ready);
+        self.servers.retain(|_, s| s.entry.state != BackendState::Gone || !s.out.is_empty());
+        let ready = self.servers.iter().filter(|(_, s)| s.entry.state == BackendState::Ready);
         self.ready = ready.map(|(id, _)| *id).collect();
         self.heaviest = self.ready.iter().map(|id| self.servers[id].weight()).fold(0.01, f64::max);
         self.listed = true;
@@ -362,7 +367,7 @@
 
     /// What an attempt sends or is sent passes in pieces now: no deadline holds for it, and the server has no work with
     /// it. Prevents those who read or write slowly from filling the room, or from making a server look silent.
-    pub(crate) fn streams(&mut self, id: RequestId, no: AttemptNo) {
+    pub(crate) fn streams(&mut self, id: RequestId, no: AttemptIndex) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         open.deadline = f64::INFINITY;
         let units = open.request.units;
@@ -376,9 +381,9 @@
 
     /// The servers on the list, and those of them that get no work now, by the list's word or by what was seen.
     pub fn members(&self, now: Millis) -> Members {
-        let listed = self.servers.values().filter(|s| s.entry.state != ServerState::Gone);
+        let listed = self.servers.values().filter(|s| s.entry.state != BackendState::Gone);
         let avoided =
-            |s: &Server| s.entry.state != ServerState::Ready || !self.shared && self.passed_over(now, s);
+            |s: &Server| s.entry.state != BackendState::Ready || !self.shared && self.passed_over(now, s);
         let (all, out) = listed.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(avoided(s))));
         Members { listed: all, unavailable: out }
     }
@@ -388,7 +393,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return Vec::new() };
         open.done = true;
         let out = (0u16..).zip(&open.attempts).filter(|(_, a)| a.out);
-        let cancels: Vec<_> = out.map(|(no, _)| Action::Cancel(id, AttemptNo(no))).collect();
+        let cancels: Vec<_> = out.map(|(no, _)| Action::Cancel(id, AttemptIndex(no))).collect();
         if cancels.is_empty() {
             self.requests.remove(&id);
         }
@@ -396,9 +401,9 @@
     }
 }
 
-impl GatewayId {
+impl IngressId {
     /// How far this gateway stands behind the first that fills a server while it is cold; all agree on it.
-    pub(crate) fn place_after(self, server: ServerId, gateways: u16) -> u16 {
+    pub(crate) fn place_after(self, server: BackendId, gateways: u16) -> u16 {
         let gateways = u64::from(gateways.max(1));
         // By the upper bits: they are spread evenly whatever the ids are.
         let first = ((server.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) * gateways) >> 32;
@@ -413,7 +418,7 @@
     }
 
     /// What was granted has ended.
-    pub(crate) fn end(&mut self, who: (GatewayId, u64)) {
+    pub(crate) fn end(&mut self, who: (IngressId, u64)) {
         self.out.remove(&who);
     }
 }
@@ -443,12 +448,12 @@
     }
 
     /// The gateways of its set that are to keep its customer's quota, in turn; all agree on them.
-    pub(crate) fn in_line(&self, gateways: u16) -> [GatewayId; 2] {
+    pub(crate) fn in_line(&self, gateways: u16) -> [IngressId; 2] {
         let mixed = self.customer.0.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let spread = u64::from(self.spread.clamp(1, gateways));
         [mixed >> 40, (mixed >> 16) & 0xff_ffff].map(|at| {
             let number = u64::from(self.first.0) + at % spread;
-            GatewayId((number % u64::from(gateways)) as u16)
+            IngressId((number % u64::from(gateways)) as u16)
         })
     }
 }
@@ -530,7 +535,7 @@
     /// How long those who are denied ask no more.
     pub(crate) quiet: Millis,
     /// Tries granted, and when each is taken for ended.
-    pub(crate) out: BTreeMap<(GatewayId, u64), Millis>,
+    pub(crate) out: BTreeMap<(IngressId, u64), Millis>,
     pub(crate) seen: Millis,
 }
 
@@ -538,7 +543,7 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Asked {
     pub(crate) request: RequestId,
-    pub(crate) home: GatewayId,
+    pub(crate) home: IngressId,
     pub(crate) at: Millis,
     pub(crate) again: bool,
 }
@@ -558,7 +563,7 @@
     /// How many of these are known to live, where the fleet is whole; 0: all count.
     #[serde(skip)]
     pub(crate) living: u16,
-    pub(crate) first: GatewayId,
+    pub(crate) first: IngressId,
     /// The customer's whole store as far as known.
     pub(crate) store: Bucket,
     /// The even slice, for when nothing is heard.
@@ -568,7 +573,7 @@
     pub(crate) asked: Rate,
     pub(crate) drawn: f64,
     pub(crate) asked_untold: f64,
-    pub(crate) told: BTreeMap<GatewayId, Told>,
+    pub(crate) told: BTreeMap<IngressId, Told>,
     pub(crate) out: f64,
     pub(crate) units_out: f64,
     pub(crate) call: Call,
@@ -603,12 +608,12 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Server {
-    pub(crate) entry: ServerEntry,
+    pub(crate) entry: BackendEntry,
     pub(crate) started: Option<Millis>,
     /// What it was sent of this ingress's slice since it started cold.
     pub(crate) slow_start: SlowStart,
     /// Attempts out: when they were sent, their units and the usual time of such.
-    pub(crate) out: BTreeMap<(RequestId, AttemptNo), (Millis, f64, Millis)>,
+    pub(crate) out: BTreeMap<(RequestId, AttemptIndex), (Millis, f64, Millis)>,
     /// When it last answered anything.
     pub(crate) answered: Millis,
     /// When the youngest attempt was sent that it has served.
@@ -627,7 +632,7 @@
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: BackendId,
     pub(crate) sent: Millis,
     pub(crate) out: bool,
     /// Its body still comes, or its answer has begun to pass on.
@@ -645,7 +650,7 @@
     /// The counter was told of it.
     pub(crate) counted: bool,
     /// The home that granted it, and the number of the ask.
-    pub(crate) home: Option<(GatewayId, u64)>,
+    pub(crate) home: Option<(IngressId, u64)>,
 }
 
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
@@ -676,7 +681,7 @@
     }
 
     /// A server first heard of at `now`.
-    pub(crate) fn new(entry: ServerEntry, started: Option<Millis>, now: Millis) -> Self {
+    pub(crate) fn new(entry: BackendEntry, started: Option<Millis>, now: Millis) -> Self {
         Self {
             entry,
             started,
@@ -711,7 +716,7 @@
 
     /// An attempt has ended; tells whether its answer is overdue though younger ones were served. Prevents answers
     /// that get lost, or break off and hang, from being taken for a back end that is late with all.
-    pub(crate) fn ended(&mut self, attempt: (RequestId, AttemptNo), outcome: Outcome) -> bool {
+    pub(crate) fn ended(&mut self, attempt: (RequestId, AttemptIndex), outcome: Outcome) -> bool {
         let Some((sent, ..)) = self.out.remove(&attempt) else { return false };
         if outcome == Outcome::Served {
             self.served_to = self.served_to.max(sent);
@@ -849,7 +854,7 @@
     }
 
     /// Within what time a further attempt must leave, where one that may have run bounds it.
-    pub(crate) fn within(&self, now: Millis, effect: &Effect) -> Option<Millis> {
+    pub(crate) fn within(&self, now: Millis, effect: &RetrySafety) -> Option<Millis> {
         effect.time_left(now + 1.0 - self.attempts[self.risky?].sent)
     }
 }
--- a/src/subset/line.rs
+++ b/src/subset/line.rs
@@ -1,12 +1,12 @@
 //! The line of ingresses behind each backend: all ingresses in the order of their numbers, from one that the backend's
 //! id chooses. It is the order in which the decisions fill a cold backend, so those that fill it hold it.
 
-use crate::interface::{GatewayId, ServerId};
+use crate::interface::{BackendId, IngressId};
 
 /// Where one ingress stands in the lines of all backends, among the ingresses that live.
 #[derive(Debug, Clone)]
 pub struct Line {
-    me: GatewayId,
+    me: IngressId,
     ingresses: u16,
     /// How many live of those with a lower number, by number, and of all at its end; none where all count.
     living_below: Vec<u16>,
@@ -14,7 +14,7 @@
 
 impl Line {
     /// The lines of a fleet of so many ingresses, all of which count.
-    pub fn new(me: GatewayId, ingresses: u16) -> Self {
+    pub fn new(me: IngressId, ingresses: u16) -> Self {
         Self { me, ingresses: ingresses.max(1), living_below: Vec::new() }
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// How many stand before this ingress in a backend's line.
-    pub fn place(&self, backend: ServerId) -> u16 {
+    pub fn place(&self, backend: BackendId) -> u16 {
         let distance = self.me.place_after(backend, self.ingresses);
         let below = |number: u16| self.living_below.get(usize::from(number)).copied();
         let me = self.me.0;
--- a/src/subset/mod.rs
+++ b/src/subset/mod.rs
@@ -10,7 +10,7 @@
 pub use line::Line;
 
 use crate::entries::{List, ServiceEntry};
-use crate::interface::{GatewayId, Millis, ServerId, ServerState, ZoneId};
+use crate::interface::{BackendId, BackendState, IngressId, Millis, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Holders are counted anew once their right number is beyond this multiple of what it was, or below its inverse.
@@ -32,7 +32,7 @@
 
 impl Listed {
     fn ready(&self) -> bool {
-        self.entry.entry.state == ServerState::Ready
+        self.entry.entry.state == BackendState::Ready
     }
 
     fn told(&self) -> ServiceEntry {
@@ -57,10 +57,10 @@
 pub struct Subset {
     line: Line,
     size: usize,
-    listed: BTreeMap<ServerId, Listed>,
+    listed: BTreeMap<BackendId, Listed>,
     zones: BTreeMap<ZoneId, Zone>,
     /// Those that the decisions know.
-    told: BTreeSet<ServerId>,
+    told: BTreeSet<BackendId>,
     /// The right number of holders when they were last counted.
     settled: f64,
     generation: u64,
@@ -70,7 +70,7 @@
 
 impl Subset {
     /// The subset, of about so many backends, of one of so many ingresses.
-    pub fn new(me: GatewayId, ingresses: u16, size: usize) -> Self {
+    pub fn new(me: IngressId, ingresses: u16, size: usize) -> Self {
         Self {
             line: Line::new(me, ingresses),
             size,
@@ -113,7 +113,7 @@
     }
 
     /// The backends that this ingress sends to.
-    pub fn held(&self) -> impl Iterator<Item = ServerId> {
+    pub fn held(&self) -> impl Iterator<Item = BackendId> {
         self.told.iter().copied().filter(|id| self.listed.get(id).is_some_and(Listed::ready))
     }
 
@@ -127,7 +127,7 @@
         self.begun = true;
         self.told.clear();
         self.settle();
-        let ids: Vec<ServerId> = self.listed.keys().copied().collect();
+        let ids: Vec<BackendId> = self.listed.keys().copied().collect();
         let entries = ids.into_iter().filter_map(|id| self.tell(id, None)).collect();
         List { generation: self.generation, whole: true, entries }
     }
@@ -142,7 +142,7 @@
                 self.count(before.entry.entry.zone, |zone| zone.held -= 1);
             }
         }
-        if entry.entry.state == ServerState::Gone {
+        if entry.entry.state == BackendState::Gone {
             return;
         }
         let newcomer = if self.begun { now } else { ALWAYS };
@@ -162,7 +162,7 @@
     }
 
     /// What the decisions are to be told of a backend, if anything; `changed` is what its list has just said of it.
-    fn tell(&mut self, id: ServerId, changed: Option<&ServiceEntry>) -> Option<ServiceEntry> {
+    fn tell(&mut self, id: BackendId, changed: Option<&ServiceEntry>) -> Option<ServiceEntry> {
         let known = self.told.contains(&id);
         let listed = self.listed.get(&id);
         if let Some(listed) = listed.filter(|listed| listed.ready() && self.holds(listed)) {
@@ -186,7 +186,7 @@
         self.told.remove(&id);
         zone.into_iter().for_each(|zone| self.count(zone, |zone| zone.held -= 1));
         entry.map(|mut entry| {
-            entry.entry.state = ServerState::Gone;
+            entry.entry.state = BackendState::Gone;
             entry.at = None;
             entry
         })
@@ -237,15 +237,15 @@
         }
     }
 
-    fn settle_and_tell(&mut self, changed: &BTreeMap<ServerId, ServiceEntry>) -> Vec<ServiceEntry> {
+    fn settle_and_tell(&mut self, changed: &BTreeMap<BackendId, ServiceEntry>) -> Vec<ServiceEntry> {
         self.settle();
-        let ids: BTreeSet<ServerId> = self.listed.keys().chain(changed.keys()).copied().collect();
+        let ids: BTreeSet<BackendId> = self.listed.keys().chain(changed.keys()).copied().collect();
         ids.into_iter().filter_map(|id| self.tell(id, changed.get(&id))).collect()
     }
 
     /// Settles once more; of what is told twice the later goes before.
     fn also(&mut self, entries: Vec<ServiceEntry>) -> Vec<ServiceEntry> {
-        let mut all: BTreeMap<ServerId, ServiceEntry> =
+        let mut all: BTreeMap<BackendId, ServiceEntry> =
             entries.into_iter().map(|entry| (entry.entry.server, entry)).collect();
         let more = self.settle_and_tell(&BTreeMap::new());
         all.extend(more.into_iter().map(|entry| (entry.entry.server, entry)));
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -1,7 +1,7 @@
 //! The messages between the old process and the new one, and their bytes. No I/O.
 
 use crate::exchange::{Estate, Operation};
-use crate::interface::{AttemptEnd, Millis, ServerId};
+use crate::interface::{AttemptEnd, BackendId, Millis};
 use bytes::{Buf, BufMut, BytesMut};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -44,7 +44,7 @@
         bytes: Vec<u8>,
     },
     /// Brings the descriptor of an idle connection to a backend.
-    Server(ServerId),
+    Server(BackendId),
     /// An attempt that the old process had in flight has ended.
     Ended(AttemptEnd),
     /// An operator's command, with a number, to be carried out here too.
--- a/src/upgrade/succession.rs
+++ b/src/upgrade/succession.rs
@@ -7,7 +7,7 @@
 use super::rendezvous::listen;
 use crate::deadlines::Deadlines;
 use crate::exchange::{Estate, Exchange, News, OperationResult};
-use crate::interface::{AttemptEnd, Millis, ServerId};
+use crate::interface::{AttemptEnd, BackendId, Millis};
 use crate::net::budget::Elsewhere;
 use crate::net::client_side::{Answer, Question};
 use crate::net::server_side::{Drain, Passing, Phase, Role};
@@ -45,7 +45,7 @@
     /// Takes clients' connections that pass to this process.
     pub adopt: mpsc::UnboundedSender<Passing>,
     /// Takes idle connections to backends that pass to this process.
-    pub adopt_server: mpsc::UnboundedSender<(ServerId, TcpStream)>,
+    pub adopt_server: mpsc::UnboundedSender<(BackendId, TcpStream)>,
     /// How many connections the other process still has open.
     pub elsewhere: Elsewhere,
     /// How many connections to backends are open here.
@@ -61,7 +61,7 @@
     /// Clients' connections.
     pub clients: mpsc::UnboundedReceiver<Passing>,
     /// Idle connections to backends.
-    pub servers: mpsc::UnboundedReceiver<(ServerId, TcpStream)>,
+    pub servers: mpsc::UnboundedReceiver<(BackendId, TcpStream)>,
     /// Attempts that have ended here.
     pub ended: mpsc::UnboundedReceiver<AttemptEnd>,
     /// The clients' listener.
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,6 +1,6 @@
 //! What a limiter goes by at a moment, for those who watch it: figures only, nothing of it can be changed here.
 
-use crate::interface::{Millis, ServerState};
+use crate::interface::{BackendState, Millis};
 use crate::state::Limiter;
 use serde::Serialize;
 
@@ -40,7 +40,7 @@
 impl Limiter {
     /// What it goes by now.
     pub fn view(&self, now: Millis) -> View {
-        let ready = || self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
+        let ready = || self.servers.values().filter(|s| s.entry.state == BackendState::Ready);
         let cold = |s: &&crate::state::Server| self.warmth(now, s) < 1.0;
         let over = |s: &&crate::state::Server| self.passed_over(now, s);
         View {
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -66,9 +66,9 @@
     let mut bench = Bench::new(with_peers(plan()), 10);
     bench.wait(60_000.0);
     assert!(bench.serve(1, 1.0, 2));
-    bench.event(Event::PeerMessage(GatewayId(1), report(9, &[[1, 0, 0, 0]])));
+    bench.event(Event::PeerMessage(IngressId(1), report(9, &[[1, 0, 0, 0]])));
     bench.wait(50.0);
-    bench.event(Event::PeerMessage(GatewayId(1), report(9, &[[1, 4 * 15, 4, 0]])));
+    bench.event(Event::PeerMessage(IngressId(1), report(9, &[[1, 4 * 15, 4, 0]])));
     let granted = (0..50).filter(|_| bench.serve(1, 1.0, 2)).count();
     assert!((3..=5).contains(&granted), "15 of 20 are gone elsewhere, {granted} were granted");
     bench.wait(5000.0);
@@ -82,7 +82,7 @@
     bench.wait(60_000.0);
     assert!(bench.serve(1, 1.0, 2));
     for (incarnation, drawn) in [(9, 400), (8, 4)] {
-        bench.event(Event::PeerMessage(GatewayId(1), report(incarnation, &[[1, drawn, 0, 0]])));
+        bench.event(Event::PeerMessage(IngressId(1), report(incarnation, &[[1, drawn, 0, 0]])));
     }
     let granted = (0..50).filter(|_| bench.serve(1, 1.0, 2)).count();
     assert!((17..=19).contains(&granted), "one unit is gone elsewhere, {granted} were granted");
@@ -92,9 +92,9 @@
 fn unreadable_messages_change_nothing() {
     let mut bench = Bench::new(with_peers(plan()), 10);
     for bytes in [vec![], vec![1], vec![1, 0xff, 0xff], vec![0xff; 256], report(1, &[[u64::MAX >> 1; 4]])] {
-        assert!(bench.event(Event::PeerMessage(GatewayId(1), bytes)).is_empty());
+        assert!(bench.event(Event::PeerMessage(IngressId(1), bytes)).is_empty());
     }
-    assert!(bench.event(Event::PeerMessage(GatewayId(77), report(1, &[]))).is_empty());
+    assert!(bench.event(Event::PeerMessage(IngressId(77), report(1, &[]))).is_empty());
     assert!(bench.serve(1, 1.0, 2));
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(granted, 2, "silent: the even slice of four");
     let mut bench = Bench::new(with_peers(capped), 10);
     assert!(bench.serve(1, 1.0, 2));
-    bench.event(Event::PeerMessage(GatewayId(1), report(9, &[[1, 0, 0, 3]])));
+    bench.event(Event::PeerMessage(IngressId(1), report(9, &[[1, 0, 0, 3]])));
     let granted = (0..9).filter(|_| sent(&bench.ask(1, 0, 1.0, 2).1).is_some()).count();
     assert_eq!(granted, 1, "three of four are out elsewhere");
 }
@@ -200,7 +200,7 @@
     let plan = Plan { rate: 500.0, burst: 500.0, ceiling_rate: 20.0, ceiling_burst: 30.0, ..Plan::default() };
     let gateways = 3;
     let start = |me: u16, now: f64| {
-        let mut bench = Bench::new(Settings { me: GatewayId(me), ..with_peers(plan) }, 10);
+        let mut bench = Bench::new(Settings { me: IngressId(me), ..with_peers(plan) }, 10);
         bench.now = now;
         bench.event(Event::Start);
         bench
@@ -287,7 +287,7 @@
         // All gateways together use four times the rate, and ours asks for all of that.
         bench.event(Event::AttemptEnded(AttemptEnd {
             request: id,
-            attempt: AttemptNo(0),
+            attempt: AttemptIndex(0),
             server,
             outcome: Outcome::Served,
             spent: 20.0,
@@ -307,7 +307,7 @@
     let (id, acts) = bench.ask(1, 0, 1.0, 1);
     bench.event(Event::AttemptEnded(AttemptEnd {
         request: id,
-        attempt: AttemptNo(0),
+        attempt: AttemptIndex(0),
         server: sent(&acts).unwrap(),
         outcome: Outcome::Served,
         spent: 20.0,
@@ -334,7 +334,7 @@
         let mut bench = Bench::new(Settings { mail_per_second, ..with_peers(capped) }, 10);
         assert!(bench.serve(1, 1.0, 2));
         // The peer asked for nearly all, so that this gateway's own part is the even slice of five.
-        bench.event(Event::PeerMessage(GatewayId(1), report(9, &[[1, 0, 4000, 1]])));
+        bench.event(Event::PeerMessage(IngressId(1), report(9, &[[1, 0, 4000, 1]])));
         (0..20).filter(|_| sent(&bench.ask(1, 0, 1.0, 2).1).is_some()).count()
     };
     assert_eq!((granted(1000.0), granted(20.0)), (8, 5), "nine are free: one margin, or only the slice");
@@ -372,10 +372,10 @@
         // All are heard of once; the third peer has five attempts out then and is never heard again.
         for peer in 1..4 {
             let out = if peer == 3 { 5 } else { 0 };
-            bench.event(Event::PeerMessage(GatewayId(peer), report(9, &[[1, 0, 0, out]])));
+            bench.event(Event::PeerMessage(IngressId(peer), report(9, &[[1, 0, 0, out]])));
         }
         bench.wait(5000.0);
-        heard.iter().for_each(|peer| drop(bench.event(Event::PeerMessage(GatewayId(*peer), report(9, &[])))));
+        heard.iter().for_each(|peer| drop(bench.event(Event::PeerMessage(IngressId(*peer), report(9, &[])))));
         (0..50).filter(|_| bench.serve(1, 1.0, 4)).count()
     };
     assert_eq!(granted(&[1, 2]), 20, "three of four are the most: the whole store");
@@ -390,7 +390,7 @@
         bench.wait(60_000.0);
         assert!(bench.serve(1, 1.0, 2));
         for asked in [0, asked_elsewhere] {
-            bench.event(Event::PeerMessage(GatewayId(1), report(9, &[[1, 0, 4 * asked, 0]])));
+            bench.event(Event::PeerMessage(IngressId(1), report(9, &[[1, 0, 4 * asked, 0]])));
         }
         (0..50).filter(|_| bench.serve(1, 1.0, 2)).count()
     };
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -40,7 +40,7 @@
     let mut bench = Bench::new(settings(open()), 1);
     let (id, acts) = bench.ask(1, 2, 1.0, 1);
     let server = sent(&acts).unwrap();
-    let gone = ServerEntry { state: ServerState::Gone, ..entry(server.0) };
+    let gone = BackendEntry { state: BackendState::Gone, ..entry(server.0) };
     bench.event(Event::Servers(ListKind::Changes, vec![gone]));
     assert!(refused(&bench.end(id, 0, server, Outcome::Full, 5.0)), "it never ran, and there is no other");
 }
@@ -81,7 +81,7 @@
 fn no_home_is_asked_for_what_its_word_cannot_help() {
     let plan = Plan { open_cap: 1.0, ..open() };
     let set =
-        Settings { gateways: 120, peers: true, mail_per_second: 40.0, me: GatewayId(5), ..settings(plan) };
+        Settings { gateways: 120, peers: true, mail_per_second: 40.0, me: IngressId(5), ..settings(plan) };
     let mut asked = 0;
     for customer in 0..20 {
         let mut bench = Bench::new(set.clone(), 10);
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -76,7 +76,7 @@
         let (id, acts) = bench.ask(round, 1, 1.0, 1);
         let first = sent(&acts).unwrap();
         let second = sent(&bench.wait(10.0).end(id, 0, first, Outcome::Error, 10.0)).unwrap();
-        let gone = ServerEntry { state: ServerState::Gone, ..entry(first.0) };
+        let gone = BackendEntry { state: BackendState::Gone, ..entry(first.0) };
         bench.event(Event::Servers(ListKind::Changes, vec![gone]));
         let acts = bench.wait(10.0).end(id, 1, second, Outcome::Error, 10.0);
         assert!(sent(&acts).is_none_or(|third| third.0 % 2 == first.0 % 2), "{acts:?}");
@@ -110,7 +110,7 @@
 fn a_client_that_left_is_owed_nothing_and_its_attempt_is_cancelled() {
     let mut bench = quiet();
     let (id, acts) = bench.ask(1, 0, 1.0, 1);
-    assert_eq!(bench.event(Event::ClientLeft(id)), [Action::Cancel(id, AttemptNo(0))]);
+    assert_eq!(bench.event(Event::ClientLeft(id)), [Action::Cancel(id, AttemptIndex(0))]);
     assert!(bench.end(id, 0, sent(&acts).unwrap(), Outcome::Cancelled, 5.0).is_empty());
     assert!(bench.event(Event::ClientLeft(RequestId(999))).is_empty());
 }
@@ -133,16 +133,16 @@
 
 #[test]
 fn draining_and_gone_servers_get_nothing_at_once() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [BackendState::Draining, BackendState::Gone] {
         let mut bench = quiet();
-        let leaving = (1..10).map(|n| ServerEntry { state, ..entry(n) }).collect();
+        let leaving = (1..10).map(|n| BackendEntry { state, ..entry(n) }).collect();
         bench.event(Event::Servers(ListKind::Changes, leaving));
         for _ in 0..5 {
-            assert_eq!(sent(&bench.ask(1, 0, 1.0, 1).1), Some(ServerId(0)));
+            assert_eq!(sent(&bench.ask(1, 0, 1.0, 1).1), Some(BackendId(0)));
         }
         bench.event(Event::Servers(
             ListKind::Full,
-            vec![ServerEntry { state: ServerState::Draining, ..entry(0) }],
+            vec![BackendEntry { state: BackendState::Draining, ..entry(0) }],
         ));
         assert!(refused(&bench.ask(1, 0, 1.0, 1).1), "no server is left");
     }
@@ -152,7 +152,7 @@
 fn a_cold_server_gets_little_and_more_as_it_warms() {
     let share = |age: f64, takes: f64| {
         let mut bench = quiet();
-        let cold = ServerEntry { last_start: Some(bench.now + 2000.0 - age), ..entry(0) };
+        let cold = BackendEntry { last_start: Some(bench.now + 2000.0 - age), ..entry(0) };
         let mut hits = 0;
         for step in 0..800 {
             if step == 400 {
@@ -161,8 +161,8 @@
             bench.wait(5.0);
             let (id, acts) = bench.ask(1, 0, 1.0, 1);
             let Some(server) = sent(&acts) else { continue };
-            hits += usize::from(step >= 400 && server == ServerId(0));
-            bench.end(id, 0, server, Outcome::Served, if server == ServerId(0) { takes } else { 50.0 });
+            hits += usize::from(step >= 400 && server == BackendId(0));
+            bench.end(id, 0, server, Outcome::Served, if server == BackendId(0) { takes } else { 50.0 });
         }
         hits
     };
@@ -178,16 +178,18 @@
 #[test]
 fn a_server_that_comes_back_on_a_stale_list_is_cold() {
     let mut bench = quiet();
-    bench
-        .event(Event::Servers(ListKind::Changes, vec![ServerEntry { state: ServerState::Gone, ..entry(0) }]));
+    bench.event(Event::Servers(
+        ListKind::Changes,
+        vec![BackendEntry { state: BackendState::Gone, ..entry(0) }],
+    ));
     bench.event(Event::Servers(ListKind::Changes, vec![entry(0)]));
     let mut hits = 0;
     for _ in 0..200 {
         bench.wait(5.0);
         let (id, acts) = bench.ask(1, 0, 1.0, 1);
         let Some(server) = sent(&acts) else { continue };
-        hits += usize::from(server == ServerId(0));
-        bench.end(id, 0, server, Outcome::Served, if server == ServerId(0) { 5.0 } else { 50.0 });
+        hits += usize::from(server == BackendId(0));
+        bench.end(id, 0, server, Outcome::Served, if server == BackendId(0) { 5.0 } else { 50.0 });
     }
     assert!(hits <= 10, "{hits}");
 }
@@ -195,7 +197,7 @@
 #[test]
 fn a_dead_server_is_ejected_but_never_the_fleet() {
     let mut bench = quiet();
-    let run = |bench: &mut Bench, dead: &dyn Fn(ServerId) -> bool| {
+    let run = |bench: &mut Bench, dead: &dyn Fn(BackendId) -> bool| {
         let mut lost = 0;
         for _ in 0..200 {
             bench.wait(5.0);
@@ -207,7 +209,7 @@
         }
         lost
     };
-    let lost = run(&mut bench, &|s| s == ServerId(0));
+    let lost = run(&mut bench, &|s| s == BackendId(0));
     assert!(lost <= 10, "{lost} of 200 went to one dead server of ten");
     assert_eq!(run(&mut bench, &|_| true), 200, "all are bad: all are still tried");
 }
@@ -222,9 +224,9 @@
         bench.wait(12.0);
         let (id, mut acts) = bench.ask(1, 0, 1.0, 1);
         let mut no = 0;
-        while sent(&acts) == Some(ServerId(0)) {
+        while sent(&acts) == Some(BackendId(0)) {
             turned_away += 1;
-            acts = bench.wait(1.0).end(id, no, ServerId(0), Outcome::Full, 1.0);
+            acts = bench.wait(1.0).end(id, no, BackendId(0), Outcome::Full, 1.0);
             no += 1;
         }
         out.extend(sent(&acts).map(|server| (bench.now, id, no, server)));
@@ -265,8 +267,8 @@
         bench.wait(5.0);
         let (id, acts) = bench.ask(1, 0, 1.0, 1);
         let Some(server) = sent(&acts) else { continue };
-        hits += usize::from(server == ServerId(0));
-        bench.end(id, 0, server, Outcome::Served, if server == ServerId(0) { 200.0 } else { 40.0 });
+        hits += usize::from(server == BackendId(0));
+        bench.end(id, 0, server, Outcome::Served, if server == BackendId(0) { 200.0 } else { 40.0 });
     }
     assert!(hits < 25, "{hits} of 400, an even part is 40");
 }
@@ -276,7 +278,7 @@
     let mut bench = quiet();
     let mad = Load { in_flight: Some(f64::NAN), busy: Some(f64::INFINITY), ..Load::default() };
     for number in 0..10 {
-        bench.event(Event::ProbeEnded(ServerId(number), Outcome::Served, mad));
+        bench.event(Event::ProbeEnded(BackendId(number), Outcome::Served, mad));
     }
     assert!(sent(&bench.ask(1, 0, 1.0, 1).1).is_some());
     assert!(refused(&bench.ask(1, 99, 1.0, 1).1), "an unknown class");
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -70,7 +70,7 @@
 
     fn ask(&self, flow: u64, question: Question, within: Option<Millis>) {
         let by = within.map(|within| self.clock.now() + within);
-        let (flow, no, server) = (RequestId(flow), AttemptNo(1), server_id("s1"));
+        let (flow, no, server) = (RequestId(flow), AttemptIndex(1), server_id("s1"));
         self.orders.send(Order::Start { flow, no, server, question, wait: 5000.0, by }).unwrap();
     }
 
@@ -104,7 +104,7 @@
         let server = Full::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
-        side.orders.send(Order::GiveUp(RequestId(1), AttemptNo(1), Outcome::Cancelled)).unwrap();
+        side.orders.send(Order::GiveUp(RequestId(1), AttemptIndex(1), Outcome::Cancelled)).unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
         assert_eq!(server.all_said().await, "");
     });
@@ -116,7 +116,7 @@
         let server = Full::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
-        side.orders.send(Order::Withdraw(RequestId(1), AttemptNo(1))).unwrap();
+        side.orders.send(Order::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
         assert_eq!(server.all_said().await, "");
         // This one is out: whoever may not cancel it lets it run.
@@ -125,7 +125,7 @@
         side.order(2, None);
         let (mut server, _) = listener.accept().await.unwrap();
         request(&mut server).await;
-        side.orders.send(Order::Withdraw(RequestId(2), AttemptNo(1))).unwrap();
+        side.orders.send(Order::Withdraw(RequestId(2), AttemptIndex(1))).unwrap();
         server.write_all(&good("one")).await.unwrap();
         assert_eq!(side.ended().await, (RequestId(2), Outcome::Served));
     });
@@ -199,7 +199,7 @@
         pieces.send(Piece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
         assert_eq!(&request(&mut server).await.body[..], b"e2e4");
-        side.orders.send(Order::GiveUp(RequestId(1), AttemptNo(1), Outcome::TimedOut)).unwrap();
+        side.orders.send(Order::GiveUp(RequestId(1), AttemptIndex(1), Outcome::TimedOut)).unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::TimedOut));
     });
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -19,13 +19,13 @@
 fn set(me: u16) -> Settings {
     let plan = Plan { rate: 1e6, burst: 1e6, ..Plan::default() };
     let cold = ColdStart { from: 0.21, warm_after: 16_000.0, fall_multiple: 2.5, fall_window: 1000.0 };
-    Settings { me: GatewayId(me), gateways: GATEWAYS, cold, ..settings(plan) }
+    Settings { me: IngressId(me), gateways: GATEWAYS, cold, ..settings(plan) }
 }
 
 /// Gateways before servers of which number 0 is watched.
 struct Fleet {
     limiters: Vec<Limiter>,
-    list: Vec<ServerEntry>,
+    list: Vec<BackendEntry>,
     now: Millis,
     next: u64,
     seed: u64,
@@ -100,10 +100,10 @@
         self.started = Some(self.now);
         self.list[0].last_start = Some(self.now);
         for entry in self.list.iter_mut().skip(left as usize) {
-            entry.state = ServerState::Gone;
+            entry.state = BackendState::Gone;
         }
         let list = self.list.clone();
-        self.list.retain(|e| e.state == ServerState::Ready);
+        self.list.retain(|e| e.state == BackendState::Ready);
         for me in 0..usize::from(GATEWAYS) {
             let listed = Event::Servers(ListKind::Changes, list.clone());
             self.limiters[me].handle(self.now, listed, &mut Vec::new());
@@ -147,13 +147,13 @@
             left: 2000.0,
             units: UNITS,
             spread: GATEWAYS,
-            first: GatewayId(0),
+            first: IngressId(0),
             repeat: false,
         }
     }
 
     /// One request at each gateway; an attempt ends as `outcome` says, and so do those that follow it.
-    fn round(&mut self, span: Millis, outcome: impl Fn(ServerId) -> Outcome) {
+    fn round(&mut self, span: Millis, outcome: impl Fn(BackendId) -> Outcome) {
         let alive = self.alive.unwrap_or(|_| true);
         let requests = self.requests.unwrap_or(|_| 1);
         for me in (0..usize::from(GATEWAYS)).filter(|me| alive(*me)) {
@@ -167,7 +167,7 @@
     }
 
     /// One request at a gateway; an attempt ends as `outcome` says, and so do those that follow it.
-    fn ask(&mut self, me: usize, outcome: &impl Fn(ServerId) -> Outcome) {
+    fn ask(&mut self, me: usize, outcome: &impl Fn(BackendId) -> Outcome) {
         self.next += 1;
         let request = self.request(0);
         let mut acts = Vec::new();
@@ -175,7 +175,7 @@
         let mut no = 0;
         while let Some(server) = sent(&std::mem::take(&mut acts)) {
             let mut end = ended(request.id, no, server, outcome(server), 50.0);
-            if server == ServerId(0) {
+            if server == BackendId(0) {
                 self.watch(UNITS);
                 if self.started.is_some() && end.outcome == Outcome::Served {
                     let can = if self.warms_at_once { self.part * CAN } else { self.can() };
@@ -207,7 +207,7 @@
 }
 
 /// Then the first server starts anew, all but `left` are gone, and for 16 s each gateway is asked thrice a second.
-fn worst(left: u64, restarts: bool, outcome: impl Fn(ServerId) -> Outcome + Copy) -> (f64, f64) {
+fn worst(left: u64, restarts: bool, outcome: impl Fn(BackendId) -> Outcome + Copy) -> (f64, f64) {
     sized(1.0, 1.0, left, restarts, outcome)
 }
 
@@ -217,7 +217,7 @@
     weight: f64,
     left: u64,
     restarts: bool,
-    outcome: impl Fn(ServerId) -> Outcome + Copy,
+    outcome: impl Fn(BackendId) -> Outcome + Copy,
 ) -> (f64, f64) {
     let (mut worst, mut sent) = (0.0f64, 0.0);
     for seed in 1..=SEEDS {
@@ -331,7 +331,7 @@
 
 #[test]
 fn nor_by_further_attempts_that_it_turns_away() {
-    let full = |server| if server == ServerId(0) { Outcome::Full } else { Outcome::Error };
+    let full = |server| if server == BackendId(0) { Outcome::Full } else { Outcome::Error };
     for left in [1, 2, SERVERS] {
         let (worst, _) = worst(left, true, full);
         assert!(worst < 0.9, "{worst} of what makes it fall, of {left}");
@@ -346,12 +346,12 @@
         bench.wait(20.0).serve(customer, 1.0, GATEWAYS);
     }
     let (mut id, mut acts) = bench.ask(99, class, 1.0, GATEWAYS);
-    while sent(&acts) == Some(ServerId(0)) {
+    while sent(&acts) == Some(BackendId(0)) {
         (id, acts) = bench.ask(99, class, 1.0, GATEWAYS);
     }
     let server = sent(&acts).unwrap();
-    let gone = (1..10).map(|n| ServerEntry { state: ServerState::Gone, ..entry(n) });
-    let fresh = ServerEntry { last_start: Some(bench.now), ..entry(0) };
+    let gone = (1..10).map(|n| BackendEntry { state: BackendState::Gone, ..entry(n) });
+    let fresh = BackendEntry { last_start: Some(bench.now), ..entry(0) };
     bench.event(Event::Servers(ListKind::Changes, gone.chain([fresh]).collect()));
     bench.end(id, 0, server, outcome, 5.0)
 }
@@ -416,7 +416,7 @@
 fn nor_by_what_was_saved_up_while_it_could_not_be_reached() {
     let mut fleet = used(0.9, 1, 1.0, 1.0);
     fleet.restart_first(SERVERS);
-    let unreachable = |server| if server == ServerId(0) { Outcome::ConnectFailed } else { Outcome::Served };
+    let unreachable = |server| if server == BackendId(0) { Outcome::ConnectFailed } else { Outcome::Served };
     for _ in 0..18 {
         fleet.round(333.0, unreachable);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,14 +14,14 @@
 pub fn settings(plan: Plan) -> Settings {
     let class = |effect| Class { aim: AIM, worth: 1.0, effect };
     Settings {
-        me: GatewayId(0),
+        me: IngressId(0),
         gateways: 3,
         zone: ZoneId(0),
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Keyed { group: Group::Zone, window: 1000.0 }),
-            class(Effect::Unsafe),
-            class(Effect::Keyed { group: Group::All, window: 1000.0 }),
+            class(RetrySafety::Safe),
+            class(RetrySafety::Keyed { group: DedupScope::Zone, window: 1000.0 }),
+            class(RetrySafety::Unsafe),
+            class(RetrySafety::Keyed { group: DedupScope::All, window: 1000.0 }),
         ],
         plans: vec![plan],
         largest: 4.0,
@@ -47,10 +47,10 @@
     next: u64,
 }
 
-pub fn entry(number: u64) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(number),
-        state: ServerState::Ready,
+pub fn entry(number: u64) -> BackendEntry {
+    BackendEntry {
+        server: BackendId(number),
+        state: BackendState::Ready,
         weight: 1.0,
         zone: ZoneId((number % 2) as u8),
         cell: CellId((number / 2) as u16),
@@ -100,7 +100,7 @@
             left: 2000.0,
             units,
             spread,
-            first: GatewayId(0),
+            first: IngressId(0),
             repeat: false,
         }));
         (id, acts)
@@ -110,7 +110,7 @@
         &mut self,
         id: RequestId,
         no: u16,
-        server: ServerId,
+        server: BackendId,
         outcome: Outcome,
         spent: Millis,
     ) -> Vec<Action> {
@@ -127,10 +127,10 @@
 }
 
 /// How an attempt ended, without a word of load, units or use.
-pub fn ended(request: RequestId, no: u16, server: ServerId, outcome: Outcome, spent: Millis) -> AttemptEnd {
+pub fn ended(request: RequestId, no: u16, server: BackendId, outcome: Outcome, spent: Millis) -> AttemptEnd {
     AttemptEnd {
         request,
-        attempt: AttemptNo(no),
+        attempt: AttemptIndex(no),
         server,
         outcome,
         spent,
@@ -141,7 +141,7 @@
     }
 }
 
-pub fn sent(acts: &[Action]) -> Option<ServerId> {
+pub fn sent(acts: &[Action]) -> Option<BackendId> {
     acts.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -30,7 +30,7 @@
 impl Fleet {
     fn new(plan: Plan) -> Self {
         let limiter =
-            |me| Limiter::new(Settings { me: GatewayId(me), ..set(plan) }, 3 + u64::from(me)).unwrap();
+            |me| Limiter::new(Settings { me: IngressId(me), ..set(plan) }, 3 + u64::from(me)).unwrap();
         let limiters = (0..MANY).map(limiter).collect();
         let mut fleet =
             Self { limiters, numbers: BTreeMap::new(), now: 1e6, next: 0, answers: 1e6, room: (0.0, 1e6) };
@@ -70,14 +70,14 @@
     /// A try at a gateway, served at once where it is sent; tells whether it was.
     fn serve(&mut self, me: u16, customer: u64) -> bool {
         self.next += 1;
-        let (id, left, units, first) = (RequestId(self.next), 2000.0, 1.0, GatewayId(0));
+        let (id, left, units, first) = (RequestId(self.next), 2000.0, 1.0, IngressId(0));
         let (class, plan, customer, spread) = (ClassId(0), PlanId(0), CustomerId(customer), MANY);
         let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
         let acts = self.event(me, Event::Request(request));
         let Some(server) = sent(&acts) else { return false };
         let end = AttemptEnd {
             request: id,
-            attempt: AttemptNo(0),
+            attempt: AttemptIndex(0),
             server,
             outcome: Outcome::Served,
             spent: 30.0,
@@ -250,11 +250,11 @@
     for seed in 0..300 {
         let set = settings(Plan { rate: 1e4, burst: 1e6, ..Plan::default() });
         let mut limiter = Limiter::new(set, seed).unwrap();
-        let server = |n| ServerEntry { weight: 1.0 + (n % 2) as f64, ..entry(n) };
+        let server = |n| BackendEntry { weight: 1.0 + (n % 2) as f64, ..entry(n) };
         limiter.handle(0.0, Event::Start, &mut Vec::new());
         limiter.handle(0.0, Event::Servers(ListKind::Cached, (0..40).map(server).collect()), &mut Vec::new());
         let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
-        let (left, units, spread, first) = (2000.0, 1.0, 1, GatewayId(0));
+        let (left, units, spread, first) = (2000.0, 1.0, 1, IngressId(0));
         let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
         let mut acts = Vec::new();
         limiter.handle(1.0, Event::Request(request), &mut acts);
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -53,7 +53,7 @@
 impl Bed {
     fn ask(&self, left: Millis, units: f64) -> Waiting<(), u32> {
         let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(5));
-        let first = GatewayId(0);
+        let first = IngressId(0);
         self.exchange.arrive(
             Terms { class, plan, customer, left, units, spread: 2, first, repeat: false, uploads: false },
             (),
@@ -70,7 +70,7 @@
         }
     }
 
-    async fn started(&mut self) -> (RequestId, AttemptNo) {
+    async fn started(&mut self) -> (RequestId, AttemptIndex) {
         loop {
             match self.order().await {
                 Order::Start { flow, no, .. } => return (flow, no),
@@ -81,7 +81,7 @@
         }
     }
 
-    fn ended(&self, (flow, no): (RequestId, AttemptNo), outcome: Outcome, answer: Option<u32>) {
+    fn ended(&self, (flow, no): (RequestId, AttemptIndex), outcome: Outcome, answer: Option<u32>) {
         let load = Load::default();
         self.exchange.tell(News::Ended(Report { flow, no, outcome, load, answer }));
     }
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -25,7 +25,7 @@
     fn before(servers: u64, plan: Plan) -> Self {
         let set = Settings { gateways: MANY, peers: true, mail_per_second: 40.0, ..settings(plan) };
         let limiter =
-            |me: u16| Limiter::new(Settings { me: GatewayId(me), ..set.clone() }, 7 + u64::from(me));
+            |me: u16| Limiter::new(Settings { me: IngressId(me), ..set.clone() }, 7 + u64::from(me));
         let mut fleet = Self {
             limiters: (0..MANY).map(|me| limiter(me).unwrap()).collect(),
             now: 1e6,
@@ -48,7 +48,7 @@
             for act in acts {
                 match act {
                     Action::Tell(to, _) if self.lost => assert_ne!(to.0, at),
-                    Action::Tell(to, bytes) => todo.push((to.0, Event::PeerMessage(GatewayId(at), bytes))),
+                    Action::Tell(to, bytes) => todo.push((to.0, Event::PeerMessage(IngressId(at), bytes))),
                     act => done.push((at, act)),
                 }
             }
@@ -66,7 +66,7 @@
             left: 2000.0,
             units: 1.0,
             spread: MANY,
-            first: GatewayId(0),
+            first: IngressId(0),
             repeat: false,
         };
         (request.id, self.event(me, Event::Request(request)))
@@ -163,7 +163,7 @@
     for (at, request, server) in out {
         let end = AttemptEnd {
             request,
-            attempt: AttemptNo(0),
+            attempt: AttemptIndex(0),
             server,
             outcome: Outcome::Error,
             spent: 5.0,
@@ -199,10 +199,10 @@
     let huge = [0, 1, 1, 0, 0, 0xff, 0xff, 0xff, 0xff, 0x7f, 0xff, 0xff, 0xff, 0xff, 0x7f];
     for me in 0..MANY {
         for bytes in [&[][..], &[0], &[0, 1, 1], &[9, 1, 1], &[0xff; 40], &[1, 5, 100], &[3, 1, 1], &huge] {
-            let acts = fleet.event(me, Event::PeerMessage(GatewayId((me + 1) % MANY), bytes.to_vec()));
+            let acts = fleet.event(me, Event::PeerMessage(IngressId((me + 1) % MANY), bytes.to_vec()));
             assert!(acts.is_empty(), "{acts:?}");
         }
-        fleet.event(me, Event::PeerMessage(GatewayId(MANY + 5), vec![0, 1, 1, 0, 0, 4, 0]));
+        fleet.event(me, Event::PeerMessage(IngressId(MANY + 5), vec![0, 1, 1, 0, 0, 4, 0]));
     }
     let granted: usize = (0..4 * MANY).map(|i| sends(&fleet.ask(i % MANY, 0, 1).1)).sum();
     assert!(granted <= 28, "{granted} of a burst of 20");
@@ -237,9 +237,9 @@
 }
 
 /// A fleet before 60 servers that serve, asked `rounds` times at each gateway; what each sent where.
-fn spread(rounds: u64) -> Vec<std::collections::BTreeMap<ServerId, usize>> {
+fn spread(rounds: u64) -> Vec<std::collections::BTreeMap<BackendId, usize>> {
     let mut fleet = Fleet::before(60, Plan { rate: 1e6, burst: 1e6, ..Plan::default() });
-    let mut at = vec![(0..60).map(|n| (ServerId(n), 0)).collect::<std::collections::BTreeMap<_, _>>(); 120];
+    let mut at = vec![(0..60).map(|n| (BackendId(n), 0)).collect::<std::collections::BTreeMap<_, _>>(); 120];
     for me in (0..rounds).flat_map(|_| 0..MANY) {
         fleet.now += 2.0;
         let (id, acts) = fleet.ask(me, 0, u64::from(me));
@@ -258,7 +258,7 @@
     let known = |at: &std::collections::BTreeMap<_, _>| at.values().filter(|n| **n > 0).count();
     let (sum, most) = (at.iter().map(known).sum::<usize>(), at.iter().map(known).max().unwrap());
     assert!(sum <= 18 * at.len() && most <= 30, "{} servers on average, {most} at most", sum / at.len());
-    let loads: Vec<usize> = (0..60).map(|n| at.iter().map(|at| at[&ServerId(n)]).sum()).collect();
+    let loads: Vec<usize> = (0..60).map(|n| at.iter().map(|at| at[&BackendId(n)]).sum()).collect();
     let (least, most) = (loads.iter().min().unwrap(), loads.iter().max().unwrap());
     assert!(3 * least >= *most, "{loads:?}");
 }
@@ -284,7 +284,7 @@
     let mut served = 0;
     for i in 0..400 {
         fleet.now += 50.0;
-        fleet.event(0, Event::PeerMessage(GatewayId(7), claim.clone()));
+        fleet.event(0, Event::PeerMessage(IngressId(7), claim.clone()));
         let (id, acts) = fleet.ask(0, 0, i);
         let acts: Vec<_> = acts.into_iter().map(|(_, act)| act).collect();
         if let Some(server) = sent(&acts) {
@@ -316,7 +316,7 @@
             serve(&mut fleet, me, 1000 + round);
         }
     }
-    let fresh = ServerEntry { last_start: Some(fleet.now), ..entry(0) };
+    let fresh = BackendEntry { last_start: Some(fleet.now), ..entry(0) };
     for me in 0..MANY {
         fleet.event(me, Event::Servers(ListKind::Changes, vec![fresh]));
     }
@@ -325,7 +325,7 @@
         fleet.now += 250.0;
         for me in 0..MANY {
             let server = serve(&mut fleet, me, 2000 + round);
-            cold += usize::from(server == Some(ServerId(0)));
+            cold += usize::from(server == Some(BackendId(0)));
             all += usize::from(server.is_some());
         }
     }
@@ -385,12 +385,12 @@
 #[test]
 fn without_news_the_slices_of_many_gateways_come_to_one_burst() {
     let granted = (0..MANY).filter(|me| {
-        let set = Settings { gateways: MANY, me: GatewayId(*me), ..settings(Plan { rate: 0.001, ..plan() }) };
+        let set = Settings { gateways: MANY, me: IngressId(*me), ..settings(Plan { rate: 0.001, ..plan() }) };
         let mut limiter = Limiter::new(set, u64::from(*me)).unwrap();
         limiter.handle(1e6, Event::Start, &mut Vec::new());
         limiter.handle(1e6, Event::Servers(ListKind::Cached, (0..10).map(entry).collect()), &mut Vec::new());
         let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
-        let (left, units, spread, first, repeat) = (2000.0, 1.0, MANY, GatewayId(0), false);
+        let (left, units, spread, first, repeat) = (2000.0, 1.0, MANY, IngressId(0), false);
         let mut acts = Vec::new();
         let request = Request { id, class, plan, customer, left, units, spread, first, repeat };
         limiter.handle(1e6, Event::Request(request), &mut acts);
--- a/tests/quota_pool.rs
+++ b/tests/quota_pool.rs
@@ -48,7 +48,7 @@
 impl Fleet {
     fn new(plan: Plan, gateways: u16, counter: bool, seed: u64) -> Self {
         let limiter = |me| {
-            let set = Settings { me: GatewayId(me), gateways, counter, ..settings(plan) };
+            let set = Settings { me: IngressId(me), gateways, counter, ..settings(plan) };
             Limiter::new(set, 1000 * seed + u64::from(me)).unwrap()
         };
         let limiters = (0..gateways).map(limiter).collect();
@@ -114,7 +114,7 @@
     /// A try of these units, served at once where it is sent on; tells whether it was.
     fn serve(&mut self, me: u16, units: f64) -> bool {
         self.next += 1;
-        let (id, left, spread, first) = (RequestId(self.next), 2000.0, self.gateways(), GatewayId(0));
+        let (id, left, spread, first) = (RequestId(self.next), 2000.0, self.gateways(), IngressId(0));
         let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(1));
         let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
         let acts = self.event(me, Event::Request(request));
--- a/tests/schedulings.rs
+++ b/tests/schedulings.rs
@@ -10,7 +10,7 @@
 use weldhub::interface::*;
 use weldhub::net::schedulings::{Job, Schedulings, Stage};
 
-fn list(state: ServerState) -> List {
+fn list(state: BackendState) -> List {
     let mut list = one_ready("s1", "127.0.0.1:1".parse().unwrap());
     list.entries[0].entry.state = state;
     list
@@ -23,17 +23,17 @@
     let (orders, ordered) = mpsc::unbounded_channel();
     let start = Order::Start {
         flow: RequestId(1),
-        no: AttemptNo(0),
+        no: AttemptIndex(0),
         server: server_id("s1"),
         question: (),
         wait: 9.0,
         by: None,
     };
-    orders.send(Order::List(list(ServerState::Ready))).unwrap();
+    orders.send(Order::List(list(BackendState::Ready))).unwrap();
     orders.send(start).unwrap();
     orders.send(then).unwrap();
     // A second word about the same scheduling must not be reported.
-    orders.send(Order::GiveUp(RequestId(1), AttemptNo(0), Outcome::Cancelled)).unwrap();
+    orders.send(Order::GiveUp(RequestId(1), AttemptIndex(0), Outcome::Cancelled)).unwrap();
     drop(orders);
     let job = Cell::new(None);
     let take = |_, started: Job<()>| {
@@ -52,7 +52,7 @@
 
 #[tokio::test]
 async fn nothing_that_waits_starts_on_a_drained_real_server_and_what_was_written_goes_on() {
-    let drain = || Order::List(list(ServerState::Draining));
+    let drain = || Order::List(list(BackendState::Draining));
     assert_eq!(outcome(Stage::Waiting, drain()).await, (Some(Outcome::ConnectFailed), true));
     // The last order cancels it: the drain had left it alone.
     assert_eq!(outcome(Stage::Written, drain()).await, (Some(Outcome::Cancelled), true));
@@ -60,7 +60,7 @@
 
 #[tokio::test]
 async fn what_was_not_written_whole_has_never_run() {
-    let time_out = || Order::GiveUp(RequestId(1), AttemptNo(0), Outcome::TimedOut);
+    let time_out = || Order::GiveUp(RequestId(1), AttemptIndex(0), Outcome::TimedOut);
     assert_eq!(outcome(Stage::Waiting, time_out()).await.0, Some(Outcome::ConnectFailed));
     assert_eq!(outcome(Stage::Writing, time_out()).await.0, Some(Outcome::ConnectFailed));
     assert_eq!(outcome(Stage::Written, time_out()).await.0, Some(Outcome::TimedOut));
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -59,7 +59,7 @@
     }
     let all = fill(&mut bench);
     all.iter().for_each(|(id, server)| drop(bench.end(*id, 0, *server, Outcome::Served, 50.0)));
-    let gone = (2..10).map(|n| ServerEntry { state: ServerState::Gone, ..entry(n) });
+    let gone = (2..10).map(|n| BackendEntry { state: BackendState::Gone, ..entry(n) });
     bench.event(Event::Servers(ListKind::Changes, gone.collect()));
     let left = fill(&mut bench);
     assert!(left.len() * 3 <= all.len() && !left.is_empty(), "{} before, {} left", all.len(), left.len());
@@ -72,7 +72,7 @@
         bench.wait(5.0);
         let (id, acts) = bench.ask(1, 0, 1.0, 1);
         let server = sent(&acts).unwrap();
-        bench.end(id, 0, server, Outcome::Served, if server == ServerId(0) { 450.0 } else { 50.0 });
+        bench.end(id, 0, server, Outcome::Served, if server == BackendId(0) { 450.0 } else { 50.0 });
     }
     let mut room = 0;
     while sent(&bench.ask(1, 0, 1.0, 1).1).is_some() {
@@ -87,9 +87,9 @@
     let told = |n: f64| Load { in_flight: Some(n), ..Load::default() };
     for number in 0..10 {
         let load = told(if number == 0 { 0.0 } else { 9.0 });
-        bench.event(Event::ProbeEnded(ServerId(number), Outcome::Served, load));
+        bench.event(Event::ProbeEnded(BackendId(number), Outcome::Served, load));
     }
-    let hits = (0..100).filter(|_| sent(&bench.ask(1, 0, 1.0, 1).1) == Some(ServerId(0))).count();
+    let hits = (0..100).filter(|_| sent(&bench.ask(1, 0, 1.0, 1).1) == Some(BackendId(0))).count();
     assert!(hits <= 20, "{hits} of 100 went after one late report");
 }
 
@@ -138,7 +138,7 @@
             bench.wait(5.0);
             let (id, acts) = bench.ask(1, 2, 1.0, 1);
             let Some(server) = sent(&acts) else { continue };
-            let end = if server == ServerId(0) { outcome } else { Outcome::Served };
+            let end = if server == BackendId(0) { outcome } else { Outcome::Served };
             for (no, s) in [(0, Some(server)), (1, sent(&bench.end(id, 0, server, end, 40.0)))] {
                 s.filter(|_| no == 1).map(|s| bench.end(id, 1, s, Outcome::Served, 40.0));
             }
@@ -149,8 +149,8 @@
             bench.wait(5.0);
             let (id, acts) = bench.ask(1, 2, 1.0, 1);
             let Some(server) = sent(&acts) else { continue };
-            hits += usize::from(server == ServerId(0));
-            bench.end(id, 0, server, Outcome::Served, if server == ServerId(0) { 5.0 } else { 50.0 });
+            hits += usize::from(server == BackendId(0));
+            bench.end(id, 0, server, Outcome::Served, if server == BackendId(0) { 5.0 } else { 50.0 });
         }
         hits
     };
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -33,7 +33,7 @@
 use weldhub::deadlines::{Clock, Deadlines};
 use weldhub::entries::{List, ServiceEntry, server_id};
 use weldhub::fronts::ext_authz::proto::Raw;
-use weldhub::interface::{CellId, KindId, ServerEntry, ServerState, ZoneId};
+use weldhub::interface::{BackendEntry, BackendState, CellId, KindId, ZoneId};
 use weldhub::net::http::{Kind, Message, take_message};
 
 /// Runs a test on one thread; it fails if it takes longer than anything here may.
@@ -105,9 +105,9 @@
 
 /// A list of one ready real server.
 pub fn one_ready(name: &str, at: SocketAddr) -> List {
-    let entry = ServerEntry {
+    let entry = BackendEntry {
         server: server_id(name),
-        state: ServerState::Ready,
+        state: BackendState::Ready,
         weight: 1.0,
         zone: ZoneId(0),
         cell: CellId(0),
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -4,16 +4,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use weldhub::config::Config;
 use weldhub::entries::{List, ServiceEntry, server_id};
-use weldhub::interface::{CellId, GatewayId, KindId, ServerEntry, ServerId, ServerState, ZoneId};
+use weldhub::interface::{BackendEntry, BackendId, BackendState, CellId, IngressId, KindId, ZoneId};
 use weldhub::subset::Subset;
 
 const ZONES: usize = 5;
 
-fn entry(number: usize, state: ServerState) -> ServiceEntry {
+fn entry(number: usize, state: BackendState) -> ServiceEntry {
     let zone = ZoneId((number % ZONES) as u8);
     let server = server_id(&format!("backend-{number}"));
     let (cell, kind) = (CellId(0), KindId(0));
-    let entry = ServerEntry { server, state, weight: 1.0, zone, cell, kind, last_start: None };
+    let entry = BackendEntry { server, state, weight: 1.0, zone, cell, kind, last_start: None };
     ServiceEntry { entry, at: "10.0.0.1:1".parse().ok() }
 }
 
@@ -22,24 +22,24 @@
 }
 
 fn ready(backends: usize) -> List {
-    list(true, (0..backends).map(|number| entry(number, ServerState::Ready)).collect())
+    list(true, (0..backends).map(|number| entry(number, BackendState::Ready)).collect())
 }
 
 fn fleet(ingresses: u16, size: usize, backends: usize) -> Vec<Subset> {
     let one = |number| {
-        let mut subset = Subset::new(GatewayId(number), ingresses, size);
+        let mut subset = Subset::new(IngressId(number), ingresses, size);
         subset.listed(0.0, ready(backends));
         subset
     };
     (0..ingresses).map(one).collect()
 }
 
-fn held(subset: &Subset) -> BTreeSet<ServerId> {
+fn held(subset: &Subset) -> BTreeSet<BackendId> {
     subset.held().collect()
 }
 
 /// How many ingresses hold each backend that any of them does.
-fn holders<'a>(fleet: impl Iterator<Item = &'a Subset>) -> BTreeMap<ServerId, usize> {
+fn holders<'a>(fleet: impl Iterator<Item = &'a Subset>) -> BTreeMap<BackendId, usize> {
     let mut all = BTreeMap::new();
     fleet.flat_map(Subset::held).for_each(|id| *all.entry(id).or_default() += 1);
     all
@@ -68,7 +68,7 @@
 fn each_zone_has_its_part_of_every_subset() {
     for subset in fleet(30, 50, 500) {
         let mut zones = [0; ZONES];
-        let number: BTreeMap<ServerId, usize> =
+        let number: BTreeMap<BackendId, usize> =
             (0..500).map(|n| (server_id(&format!("backend-{n}")), n)).collect();
         held(&subset).iter().for_each(|id| zones[number[id] % ZONES] += 1);
         assert!(zones.iter().all(|count| *count >= 5), "{zones:?}");
@@ -81,15 +81,15 @@
         let (mut all, number) = (fleet(24, 32, 160), number % 160);
         let before: Vec<_> = all.iter().map(held).collect();
         let id = server_id(&format!("backend-{number}"));
-        let gone = list(false, vec![entry(number, ServerState::Gone)]);
+        let gone = list(false, vec![entry(number, BackendState::Gone)]);
         all.iter_mut().for_each(|subset| drop(subset.listed(1.0, gone.clone())));
         // Who falls below its least part of the zone takes some more.
-        let lost = |before: &BTreeSet<ServerId>, subset: &Subset| {
+        let lost = |before: &BTreeSet<BackendId>, subset: &Subset| {
             let now = held(subset);
             before.difference(&now).all(|lost| *lost == id) && !now.contains(&id)
         };
         let fewer = before.iter().zip(&all).all(|(before, subset)| lost(before, subset));
-        let back = list(false, vec![entry(number, ServerState::Ready)]);
+        let back = list(false, vec![entry(number, BackendState::Ready)]);
         all.iter_mut().for_each(|subset| drop(subset.listed(2.0, back.clone())));
         fewer && before.iter().zip(&all).all(|(before, subset)| before.is_subset(&held(subset)))
     }
@@ -120,7 +120,7 @@
 
 #[test]
 fn half_of_the_fleet_or_more_that_looks_dead_moves_nothing() {
-    let mut subset = Subset::new(GatewayId(3), 10, 16);
+    let mut subset = Subset::new(IngressId(3), 10, 16);
     subset.listed(0.0, ready(100));
     let before = held(&subset);
     let mut living = vec![false; 10];
@@ -132,7 +132,7 @@
 
 /// What the decisions know after all that they were told.
 #[derive(Debug, Default)]
-struct Told(BTreeMap<ServerId, ServerState>);
+struct Told(BTreeMap<BackendId, BackendState>);
 
 impl Told {
     fn take(&mut self, list: List) {
@@ -141,7 +141,7 @@
         }
         for entry in list.entries {
             match entry.entry.state {
-                ServerState::Gone => drop(self.0.remove(&entry.entry.server)),
+                BackendState::Gone => drop(self.0.remove(&entry.entry.server)),
                 state => drop(self.0.insert(entry.entry.server, state)),
             }
         }
@@ -151,9 +151,9 @@
 #[test]
 fn what_is_told_is_what_is_held_after_any_lists_changes_and_deaths() {
     fn check(steps: Vec<(u8, u8, Vec<u8>)>) -> bool {
-        use ServerState::{Draining, Gone, Ready};
-        let (mut subset, mut told) = (Subset::new(GatewayId(2), 20, 16), Told::default());
-        let mut listed: BTreeMap<ServerId, ServerState> = BTreeMap::new();
+        use BackendState::{Draining, Gone, Ready};
+        let (mut subset, mut told) = (Subset::new(IngressId(2), 20, 16), Told::default());
+        let mut listed: BTreeMap<BackendId, BackendState> = BTreeMap::new();
         for (step, (kind, which, more)) in steps.into_iter().enumerate() {
             let state = [Ready, Ready, Draining, Gone][usize::from(which % 4)];
             let entries: Vec<_> = more.iter().map(|n| entry(usize::from(*n), state)).collect();
@@ -168,7 +168,7 @@
                 listed = truth.0;
                 told.take(subset.listed(step as f64, change));
             }
-            let ready: BTreeSet<ServerId> =
+            let ready: BTreeSet<BackendId> =
                 told.0.iter().filter(|(_, state)| **state == Ready).map(|(id, _)| *id).collect();
             let all = listed.values().filter(|state| **state == Ready).count();
             let right = told.0.iter().all(|(id, state)| listed.get(id) == Some(state));
@@ -186,7 +186,7 @@
 
 #[test]
 fn one_that_comes_into_the_subset_later_is_no_newcomer_and_a_newcomer_is() {
-    let mut subset = Subset::new(GatewayId(0), 40, 16);
+    let mut subset = Subset::new(IngressId(0), 40, 16);
     subset.listed(5.0, ready(400));
     let before = held(&subset);
     let mut living = vec![true; 40];
@@ -194,7 +194,7 @@
     let more = subset.living(Some(&living)).unwrap().entries;
     assert!(more.iter().any(|entry| !before.contains(&entry.entry.server)));
     assert!(more.iter().all(|entry| entry.entry.last_start.is_some_and(|at| at < -1e12)));
-    let new = list(false, (400..800).map(|number| entry(number, ServerState::Ready)).collect());
+    let new = list(false, (400..800).map(|number| entry(number, BackendState::Ready)).collect());
     let told = subset.listed(9.0, new).entries;
     let news: BTreeSet<_> = (400..800).map(|number| server_id(&format!("backend-{number}"))).collect();
     let news: Vec<_> = told.iter().filter(|entry| news.contains(&entry.entry.server)).collect();
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -7,7 +7,7 @@
 use weldhub::{Event, Limiter};
 
 /// A bench whose limiter has inherited from this one's; and what is out at the old one.
-fn next(old: &mut Bench) -> (Bench, Vec<(RequestId, AttemptNo, ServerId)>) {
+fn next(old: &mut Bench) -> (Bench, Vec<(RequestId, AttemptIndex, BackendId)>) {
     let mut new = Bench::new(settings(plan()), 2);
     new.now = old.now;
     let out = new.limiter.inherit(&old.limiter.hand_over()).unwrap();
@@ -51,7 +51,7 @@
 fn the_old_one_fills_no_cold_server_any_more_until_it_takes_back() {
     let mut old = Bench::new(settings(Plan { rate: 1e4, burst: 1e4, ..Plan::default() }), 1);
     assert!((0..50).all(|_| old.wait(20.0).serve(5, 1.0, 1)));
-    let cold = ServerEntry { last_start: Some(old.now), ..entry(0) };
+    let cold = BackendEntry { last_start: Some(old.now), ..entry(0) };
     old.event(Event::Servers(ListKind::Changes, vec![cold]));
     old.tick(2000.0);
     let _ = old.limiter.hand_over();
@@ -83,9 +83,9 @@
     for _ in 0..200 {
         let (id, acts) = bench.ask(5, 0, 4.0, 1);
         if sent(&acts).is_some() {
-            bench.event(Event::StreamStarted(id, AttemptNo(0)));
+            bench.event(Event::StreamStarted(id, AttemptIndex(0)));
             // Told twice it leaves once.
-            bench.event(Event::StreamStarted(id, AttemptNo(0)));
+            bench.event(Event::StreamStarted(id, AttemptIndex(0)));
             streams += 1;
         }
     }
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use weldhub::entries::{List, Places};
 use weldhub::interface::{
-    Class, ClassId, ColdStart, CustomerId, Effect, GatewayId, Group, Plan, PlanId, Request, RequestId,
-    Settings, ZoneId,
+    Class, ClassId, ColdStart, CustomerId, DedupScope, IngressId, Plan, PlanId, Request, RequestId,
+    RetrySafety, Settings, ZoneId,
 };
 use weldhub::net::discovery::read_line;
 
@@ -30,13 +30,13 @@
 /// The settings of one ingress.
 pub fn settings(me: u16, ingresses: usize, source: QuotaSource) -> Settings {
     let class = |aim, effect| Class { aim, worth: 1.0, effect };
-    let keyed = Effect::Keyed { group: Group::Zone, window: 6000.0 };
+    let keyed = RetrySafety::Keyed { group: DedupScope::Zone, window: 6000.0 };
     let plan = Plan { rate: 6.0, burst: 30.0, extra_worth: 0.1, excess_cost: 0.3, ..Plan::default() };
     Settings {
-        me: GatewayId(me),
+        me: IngressId(me),
         gateways: u16::try_from(ingresses).unwrap_or(u16::MAX),
         zone: ZoneId((usize::from(me) % ZONES) as u8),
-        classes: vec![class(600.0, Effect::Safe), class(750.0, keyed)],
+        classes: vec![class(600.0, RetrySafety::Safe), class(750.0, keyed)],
         plans: vec![plan],
         largest: 6.0,
         settles: false,
@@ -105,7 +105,7 @@
         left: PATIENCE,
         units: 1.0,
         spread,
-        first: GatewayId((at.me.0 + at.gateways - before) % at.gateways.max(1)),
+        first: IngressId((at.me.0 + at.gateways - before) % at.gateways.max(1)),
         repeat: false,
     }
 }
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -12,8 +12,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 use weldhub::interface::{
-    Action, AttemptEnd, AttemptNo, CounterAnswer, CounterName, Event, GatewayId, Load, Outcome, RequestId,
-    ServerId, TimerKey,
+    Action, AttemptEnd, AttemptIndex, BackendId, CounterAnswer, CounterName, Event, IngressId, Load, Outcome,
+    RequestId, TimerKey,
 };
 
 /// A datagram between ingresses takes so long, in microseconds.
@@ -103,7 +103,7 @@
     others: Layers,
     queue: Queue,
     rng: fastrand::Rng,
-    reached: BTreeSet<ServerId>,
+    reached: BTreeSet<BackendId>,
     outcome: Played,
     used: f64,
     /// When the thread is free again, in microseconds.
@@ -245,12 +245,12 @@
         self.queue.push(at + (wait * 1000.0) as u64, Due::Feed(Event::Timer(key)));
     }
 
-    fn send(&mut self, at: u64, request: RequestId, server: ServerId) {
+    fn send(&mut self, at: u64, request: RequestId, server: BackendId) {
         self.reached.insert(server);
         let spent = SERVICE * (0.5 + self.rng.f64());
         let end = AttemptEnd {
             request,
-            attempt: AttemptNo(0),
+            attempt: AttemptIndex(0),
             server,
             outcome: Outcome::Served,
             spent: spent / 1000.0,
@@ -263,7 +263,7 @@
     }
 
     /// Messages to other ingresses: the one that stands for all answers, and asks as often in return.
-    fn tell(&mut self, at: u64, to: GatewayId, bytes: Vec<u8>) {
+    fn tell(&mut self, at: u64, to: IngressId, bytes: Vec<u8>) {
         self.peer_sent[0] += 1;
         self.peer_sent[1] += bytes.len() as u64 + DATAGRAM_HEADER;
         if !bytes.first().is_some_and(|kind| TO_HOME.contains(kind)) {
@@ -271,7 +271,7 @@
         }
         self.outcome.asked += u64::from(bytes[0] == TO_HOME[0]);
         let answers =
-            self.others.feed(millis(at + PEER_WAY), Event::PeerMessage(GatewayId(0), bytes.clone()));
+            self.others.feed(millis(at + PEER_WAY), Event::PeerMessage(IngressId(0), bytes.clone()));
         for answer in answers {
             if let Action::Tell(_, bytes) = answer {
                 self.queue.push(at + 2 * PEER_WAY, Due::Feed(Event::PeerMessage(to, bytes)));
--- a/trials/src/scale/spread.rs
+++ b/trials/src/scale/spread.rs
@@ -4,16 +4,16 @@
 use super::slope::{Over, Slope};
 use std::collections::{BTreeMap, BTreeSet};
 use weldhub::entries::List;
-use weldhub::interface::{GatewayId, ServerId, ServerState};
+use weldhub::interface::{BackendId, BackendState, IngressId};
 use weldhub::subset::Subset;
 
 /// What is measured at one size of the fleet.
 #[derive(Debug, Default)]
 struct Seen {
     sizes: Vec<usize>,
-    holders: BTreeMap<ServerId, usize>,
+    holders: BTreeMap<BackendId, usize>,
     /// Of each backend, where every ingress spreads the same load over its subset.
-    load: BTreeMap<ServerId, f64>,
+    load: BTreeMap<BackendId, f64>,
     /// Ingresses that one backend's end concerns.
     moved_by_one: usize,
     /// Backends that come in at one ingress when a fifth of the ingresses dies, all together.
@@ -54,7 +54,7 @@
 }
 
 fn subset(number: usize, ingresses: usize, size: usize, list: &List) -> Subset {
-    let mut subset = Subset::new(GatewayId(number as u16), ingresses as u16, size);
+    let mut subset = Subset::new(IngressId(number as u16), ingresses as u16, size);
     subset.listed(0.0, list.clone());
     subset
 }
@@ -62,13 +62,13 @@
 fn measure(ingresses: usize, size: usize, list: &List) -> Seen {
     let mut seen = Seen::default();
     let Some(mut gone) = list.entries.first().cloned() else { return seen };
-    gone.entry.state = ServerState::Gone;
+    gone.entry.state = BackendState::Gone;
     let gone = List { generation: 2, whole: false, entries: vec![gone] };
     // Numbers are given to zones in turn; the ingresses of one zone die.
     let living: Vec<bool> = (0..ingresses).map(|number| number % ZONES != 0).collect();
     for number in 0..ingresses {
         let mut one = subset(number, ingresses, size, list);
-        let held: BTreeSet<ServerId> = one.held().collect();
+        let held: BTreeSet<BackendId> = one.held().collect();
         seen.sizes.push(held.len());
         for id in &held {
             *seen.holders.entry(*id).or_default() += 1;
@@ -85,7 +85,7 @@
 }
 
 /// The deviation of some loads, as a part of their mean.
-fn unevenness(load: &BTreeMap<ServerId, f64>) -> f64 {
+fn unevenness(load: &BTreeMap<BackendId, f64>) -> f64 {
     let count = load.len().max(1) as f64;
     let mean = load.values().sum::<f64>() / count;
     let variance = load.values().map(|part| (part - mean).powi(2)).sum::<f64>() / count;
