--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -54,7 +54,7 @@
             })
         };
         if !open || no >= script.ingresses.max_attempts || wait <= 0.0 {
-            return own.push_back(end(Outcome::Moot));
+            return own.push_back(end(Outcome::NotSent));
         }
         let told = self.nodes[i].told.get(&to).copied();
         let late = told.filter(|told| told.state != BackendState::Ready).map(|told| told.since);
@@ -133,7 +133,7 @@
             self.asked[n].inside = self.judge.sent(self.now, id, plan, class, units, script);
         }
         if self.servers[s].drains {
-            return self.after(way, What::Replies(a, Outcome::Full, shown));
+            return self.after(way, What::Replies(a, Outcome::Rejected, shown));
         }
         let taken = self.servers[s].takes(self.now, a, work, &script.servers);
         let breaks = self.watch_cold(a, taken);
@@ -143,7 +143,7 @@
                 self.check.out(self.now, id, plan, true, script);
                 self.foresee(s);
             }
-            Taken::Full => self.after(way, What::Replies(a, Outcome::Full, shown)),
+            Taken::Full => self.after(way, What::Replies(a, Outcome::Rejected, shown)),
             Taken::Falls => {
                 if breaks {
                     self.check.breach(Rule::Cold, self.now, || format!("real server {s} was pushed over"));
@@ -232,7 +232,7 @@
             return;
         }
         let to = server_id(&name(s));
-        let kept = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full);
+        let kept = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Rejected);
         if kept && self.lives[s] == of {
             *self.nodes[i].idle.entry((to, of)).or_default() += 1;
         }
@@ -244,7 +244,7 @@
         let second = self.second();
         match outcome {
             Outcome::TimedOut => second.timed_out += 1,
-            Outcome::Full => second.full += 1,
+            Outcome::Rejected => second.full += 1,
             Outcome::ConnectFailed => second.unreached += 1,
             _ => {}
         }
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -31,7 +31,7 @@
     /// An ingress is told a list, through the bans that lie over it.
     pub(super) fn listed(&mut self, i: usize, kind: ListKind, entries: Vec<ServiceEntry>) {
         if kind == ListKind::Failed {
-            return self.feed(i, Event::Servers(kind, Vec::new()));
+            return self.feed(i, Event::BackendList(kind, Vec::new()));
         }
         let whole = kind != ListKind::Changes;
         let list = self.nodes[i].maintenance.listed(List { generation: 0, whole, entries });
@@ -59,7 +59,7 @@
             told.state = e.entry.state;
         }
         let entries = list.entries.iter().map(|e| e.entry).collect();
-        self.feed(i, Event::Servers(kind, entries));
+        self.feed(i, Event::BackendList(kind, entries));
     }
 
     /// Discovery has learnt of a change.
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -73,7 +73,7 @@
         let life = self.nodes[i].life;
         match act {
             Action::Send { request, server, wait, .. } => self.send(i, request.0, server, wait, own),
-            Action::Refuse(id, after) => self.answer(i, id.0, Ended::Refused { after }),
+            Action::Reject(id, after) => self.answer(i, id.0, Ended::Refused { after }),
             Action::Fail(id) => self.answer(i, id.0, Ended::Failed),
             Action::Cancel(id, no) => {
                 let flow = self.nodes[i].flows.get(&id.0);
@@ -82,12 +82,14 @@
                     self.at(self.now, What::GivesUp(attempt, Outcome::Cancelled));
                 }
             }
-            Action::Probe(server) => own.push_back(Event::ProbeEnded(server, Outcome::Moot, Load::default())),
+            Action::Probe(server) => {
+                own.push_back(Event::ProbeEnded(server, Outcome::NotSent, Load::default()))
+            }
             Action::SetTimer(after, key) => self.after(after.max(0.0), What::Timer(i, life, key)),
-            Action::Tell(to, bytes) => self.mail(i, usize::from(to.0), bytes),
-            Action::Count(name, amount, keep) => {
+            Action::SendToPeer(to, bytes) => self.mail(i, usize::from(to.0), bytes),
+            Action::AddToCounter(name, amount, keep) => {
                 let Some(how) = &self.script.counter else {
-                    return own.push_back(Event::Counted(name, CounterAnswer::NotAdded));
+                    return own.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
                 };
                 self.seq += 1;
                 let call = self.seq;
@@ -235,7 +237,7 @@
     /// The answer to a call arrives at its ingress.
     pub(super) fn call_ends(&mut self, i: usize, life: u32, call: u64, name: u64, answer: CounterAnswer) {
         if self.nodes[i].life == life && self.nodes[i].calls.remove(&call).is_some() {
-            self.feed(i, Event::Counted(CounterName(name), answer));
+            self.feed(i, Event::CounterAnswered(CounterName(name), answer));
         }
     }
 
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -27,7 +27,7 @@
 
 impl Decide for Floods {
     fn handle(&mut self, now: f64, event: Event, acts: &mut Vec<Action>) {
-        if let Event::Servers(_, entries) = &event {
+        if let Event::BackendList(_, entries) = &event {
             let mut started =
                 entries.iter().filter(|e| e.state == BackendState::Ready && e.last_start.is_some());
             self.cold = started.next_back().map(|e| e.server).or(self.cold);
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -127,7 +127,7 @@
 
 impl Decide for Broken {
     fn handle(&mut self, now: f64, mut event: Event, acts: &mut Vec<Action>) {
-        if let Event::Servers(_, entries) = &mut event {
+        if let Event::BackendList(_, entries) = &mut event {
             for e in entries.iter_mut() {
                 if e.state != BackendState::Ready && self.how == "drain" {
                     // Believes that nothing ever drains.
@@ -139,7 +139,7 @@
                 }
             }
             let known: Vec<BackendEntry> = entries.clone();
-            event = Event::Servers(weldhub::interface::ListKind::Changes, known);
+            event = Event::BackendList(weldhub::interface::ListKind::Changes, known);
         }
         if self.how == "answer" && matches!(event, Event::Request(_)) {
             return;
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -240,7 +240,7 @@
         };
         let list = (0..self.fleet.servers).map(entry).collect();
         self.feed(i, Event::Start);
-        self.feed(i, Event::Servers(ListKind::Cached, list));
+        self.feed(i, Event::BackendList(ListKind::Cached, list));
     }
 
     /// Gives a limiter an event, and carries out what it wants.
@@ -251,11 +251,11 @@
         for act in acts {
             match act {
                 Action::Send { request, server, wait, .. } => self.send(i, request, server, wait),
-                Action::Refuse(id, after) => self.answer(i, id, Ended::Refused { after }),
+                Action::Reject(id, after) => self.answer(i, id, Ended::Refused { after }),
                 Action::Fail(id) => self.answer(i, id, Ended::Failed),
                 Action::Cancel(id, no) => self.ended((i, life, id, no), Outcome::Cancelled),
                 Action::SetTimer(after, key) => self.after(after.max(0.0), What::Timer(i, life, key)),
-                Action::Tell(to, bytes) => {
+                Action::SendToPeer(to, bytes) => {
                     let from = IngressId(i as u16);
                     let to = usize::from(to.0);
                     // Messages take no time here; a fleet whose limiters talk wants a delay of its own.
@@ -263,7 +263,7 @@
                         self.feed(to, Event::PeerMessage(from, bytes));
                     }
                 }
-                Action::Probe(_) | Action::Count(..) | Action::Subscribe => {}
+                Action::Probe(_) | Action::AddToCounter(..) | Action::Subscribe => {}
             }
         }
     }
--- a/src/backends/membership/traffic.rs
+++ b/src/backends/membership/traffic.rs
@@ -27,7 +27,7 @@
                 failed.is_multiple_of(most.max(1)) && self.suspects.insert(server)
             }
             // These say nothing of the connection.
-            Outcome::ConnectFailed | Outcome::Moot | Outcome::Cancelled | Outcome::TimedOut => false,
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => false,
             _ => {
                 self.failed.remove(&server);
                 self.suspects.remove(&server);
--- a/src/backends/membership/traffic/tests.rs
+++ b/src/backends/membership/traffic/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(traffic.suspects(), BTreeSet::from([one]));
     assert!(traffic.suspects().is_empty());
     assert!(!traffic.ended(one, down, 3) && !traffic.ended(one, down, 3) && traffic.ended(one, down, 3));
-    traffic.ended(one, Outcome::Full, 3);
+    traffic.ended(one, Outcome::Rejected, 3);
     assert!(traffic.suspects().is_empty() && traffic.failed.is_empty(), "it was reached");
     assert!((0..2 * MAX_INSTANCES as u64).all(|n| !traffic.ended(BackendId(n), down, 3)));
     assert_eq!(traffic.failed.len(), MAX_INSTANCES);
--- a/src/bin/weldhub-adapter/tests.rs
+++ b/src/bin/weldhub-adapter/tests.rs
@@ -84,7 +84,7 @@
     assert_eq!(end.server, BackendId(0x0a12_4a07_1f93));
     assert_eq!((end.load.rate, end.load.latency, end.load.in_flight), (Some(140.0), Some(14.5), None));
     let total = CounterAnswer::Total(38.0);
-    assert_eq!(next(), Record::Happened(Event::Counted(CounterName(0x89_f690), total)));
+    assert_eq!(next(), Record::Happened(Event::CounterAnswered(CounterName(0x89_f690), total)));
     assert_eq!(next(), Record::Happened(Event::PeerMessage(IngressId(2), vec![1, 2, 3])));
     let stream = Event::StreamStarted(request.id, AttemptIndex(1));
     assert_eq!(next(), Record::Happened(stream));
@@ -100,9 +100,9 @@
     let (request, server) = (RequestId(0x0003_1dfb_5d3a_91c4), BackendId(0x0a12_4a07_1f93));
     reply.push(3, &Action::Send { request, server, wait: Some(80.0), within: None });
     reply.push(3, &Action::SetTimer(500.0, TimerKey(77)));
-    reply.push(3, &Action::Count(CounterName(0x89_f690), 4.0, 3000.0));
-    reply.push(3, &Action::Tell(IngressId(2), b"hi 7".to_vec()));
-    reply.push(5, &Action::Refuse(request, Some(500.0)));
+    reply.push(3, &Action::AddToCounter(CounterName(0x89_f690), 4.0, 3000.0));
+    reply.push(3, &Action::SendToPeer(IngressId(2), b"hi 7".to_vec()));
+    reply.push(5, &Action::Reject(request, Some(500.0)));
     reply.push(5, &Action::Fail(request));
     reply.push(5, &Action::Cancel(request, AttemptIndex(1)));
     reply.push(5, &Action::Probe(server));
--- a/src/bin/weldhub-adapter/wire.rs
+++ b/src/bin/weldhub-adapter/wire.rs
@@ -103,12 +103,12 @@
         Ok(match self.u8()? {
             0 => Outcome::Served,
             255 => Outcome::Error,
-            254 => Outcome::Full,
+            254 => Outcome::Rejected,
             253 => Outcome::TimedOut,
             252 => Outcome::ConnectFailed,
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
-            249 => Outcome::Moot,
+            249 => Outcome::NotSent,
             other => return self.error(format!("no outcome {other}")),
         })
     }
@@ -173,7 +173,7 @@
                     other => return self.error(format!("no kind of list {other}")),
                 };
                 let n = self.u32()?;
-                Event::Servers(kind, (0..n).map(|_| self.entry()).collect::<Result<_, _>>()?)
+                Event::BackendList(kind, (0..n).map(|_| self.entry()).collect::<Result<_, _>>()?)
             }
             258 => {
                 let id = RequestId(self.u64()?);
@@ -231,10 +231,10 @@
                 self.f64()?;
                 let answer = match outcome {
                     Outcome::Served => CounterAnswer::Total(total),
-                    Outcome::Full | Outcome::ConnectFailed => CounterAnswer::NotAdded,
+                    Outcome::Rejected | Outcome::ConnectFailed => CounterAnswer::NotAdded,
                     _ => CounterAnswer::Unknown,
                 };
-                Event::Counted(name, answer)
+                Event::CounterAnswered(name, answer)
             }
             other => return self.error(format!("no event has code {other}")),
         }))
@@ -288,7 +288,7 @@
                 self.server(*server);
                 self.bytes.extend(wait.unwrap_or(0.0).to_be_bytes());
             }
-            Action::Refuse(request, after) => {
+            Action::Reject(request, after) => {
                 self.code(257);
                 self.bytes.extend(request.0.to_be_bytes());
                 self.bytes.extend(after.unwrap_or(0.0).to_be_bytes());
@@ -311,7 +311,7 @@
                 self.code(261);
                 self.server(*server);
             }
-            Action::Tell(peer, bytes) => {
+            Action::SendToPeer(peer, bytes) => {
                 self.code(263);
                 self.bytes.extend(u32::from(peer.0).to_be_bytes());
                 self.blob(bytes);
@@ -320,7 +320,7 @@
                 self.code(266);
                 self.bytes.push(1);
             }
-            Action::Count(name, amount, keep) => {
+            Action::AddToCounter(name, amount, keep) => {
                 self.code(268);
                 self.bytes.extend(keep.to_be_bytes());
                 self.bytes.extend((*amount as f32).to_be_bytes());
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -255,7 +255,7 @@
             News::Counted(seq, answer) => {
                 // One that timed out has been told as unknown.
                 if let Some(name) = self.calls.remove(&seq) {
-                    self.feed(Event::Counted(name, answer));
+                    self.feed(Event::CounterAnswered(name, answer));
                 }
             }
             News::Living(living) => {
@@ -360,7 +360,7 @@
         let entries = list.entries.iter().map(|e| e.entry).collect();
         // The client side learns it first: nothing that waits there starts on a drained real server.
         self.order(Order::List(list));
-        self.feed(Event::Servers(kind, entries));
+        self.feed(Event::BackendList(kind, entries));
     }
 
     fn due(&mut self, due: Due) {
@@ -369,7 +369,7 @@
             Due::Scheduling(flow, no) => self.order(Order::GiveUp(flow, no, Outcome::TimedOut)),
             Due::Call(seq) => {
                 if let Some(name) = self.calls.remove(&seq) {
-                    self.feed(Event::Counted(name, CounterAnswer::Unknown));
+                    self.feed(Event::CounterAnswered(name, CounterAnswer::Unknown));
                 }
             }
             Due::Flow(id) => {
@@ -481,7 +481,7 @@
     fn carry_out(&mut self, act: Action) {
         match act {
             Action::Send { request, server, wait, within } => self.start(request, server, (wait, within)),
-            Action::Refuse(id, after) => {
+            Action::Reject(id, after) => {
                 if let Some(client) = self.close(id) {
                     let after = after.filter(|after| *after > 0.0).unwrap_or(self.bounds.retry_after);
                     self.answer(client, Verdict::Rejected(after));
@@ -496,14 +496,14 @@
             Action::Cancel(id, no) => self.order(Order::GiveUp(id, no, Outcome::Cancelled)),
             // The decisions ask for no probes; one that they should ask for tells them nothing.
             Action::Probe(server) => {
-                self.own.push_back(Event::ProbeEnded(server, Outcome::Moot, Load::default()));
+                self.own.push_back(Event::ProbeEnded(server, Outcome::NotSent, Load::default()));
             }
-            Action::Tell(to, bytes) => {
+            Action::SendToPeer(to, bytes) => {
                 if let Some(peers) = self.outlets.peers.as_ref().filter(|_| !self.retired) {
                     let _ = peers.send((to, bytes));
                 }
             }
-            Action::Count(name, amount, keep) => {
+            Action::AddToCounter(name, amount, keep) => {
                 self.next_call += 1;
                 let call = Call { seq: self.next_call, name, amount, keep };
                 let counter = self.outlets.counter.as_ref().filter(|_| !self.retired);
@@ -512,7 +512,7 @@
                     self.calls.insert(call.seq, name);
                     self.deadlines.add(self.now + self.bounds.counter_timeout, Due::Call(call.seq));
                 } else {
-                    self.own.push_back(Event::Counted(name, CounterAnswer::NotAdded));
+                    self.own.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
                 }
             }
             Action::SetTimer(after, key) => {
@@ -535,7 +535,7 @@
         let wait = wait.min(flow.until - self.now);
         if flow.client.is_none() || no.0 >= self.bounds.schedulings || wait <= 0.0 {
             let (closed, load) = (flow.client.is_none(), Load::default());
-            self.own.push_back(attempt_ended((id, no), server, (Outcome::Moot, 0.0), closed, load));
+            self.own.push_back(attempt_ended((id, no), server, (Outcome::NotSent, 0.0), closed, load));
             return;
         }
         self.tally.schedulings += 1;
--- a/src/fronts/ext_authz/authorisers.rs
+++ b/src/fronts/ext_authz/authorisers.rs
@@ -113,7 +113,7 @@
         let pool = self.schedulings.pools.borrow().get(&server).map(|pool| (pool.at, pool.kept.clone()));
         let Some((at, link)) = pool else { return Ending::badly(Outcome::ConnectFailed) };
         if link.out.get() >= STREAMS {
-            return Ending::badly(Outcome::Full);
+            return Ending::badly(Outcome::Rejected);
         }
         link.out.set(link.out.get() + 1);
         let _out = Out(link.out.clone());
@@ -227,7 +227,7 @@
                 let unseen = error.is_some_and(never_looked_at);
                 proof.set(Some(match failed.take_message() {
                     Some(_) => Outcome::ConnectFailed,
-                    None if unseen => Outcome::Full,
+                    None if unseen => Outcome::Rejected,
                     None => Outcome::Reset,
                 }));
                 failed.into_error()
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -340,7 +340,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen: it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection: it never ran.
@@ -350,7 +350,7 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// It was never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
@@ -417,7 +417,7 @@
     /// The gateway starts; always the first event.
     Start,
     /// News of the server list.
-    Servers(ListKind, Vec<BackendEntry>),
+    BackendList(ListKind, Vec<BackendEntry>),
     /// A client's request; one final answer is owed for it.
     Request(Request),
     /// A stream has begun, so the attempt belongs to the client.
@@ -433,7 +433,7 @@
     /// A timer is due.
     Timer(TimerKey),
     /// The counter answered.
-    Counted(CounterName, CounterAnswer),
+    CounterAnswered(CounterName, CounterAnswer),
 }
 
 /// What a gateway is to do.
@@ -451,7 +451,7 @@
         within: Option<Millis>,
     },
     /// Final answer: nothing ran, the client may safely come again, best after this time.
-    Refuse(RequestId, Option<Millis>),
+    Reject(RequestId, Option<Millis>),
     /// Final answer: no promise either way.
     Fail(RequestId),
     /// Stop waiting for an attempt.
@@ -459,9 +459,9 @@
     /// Probe a server.
     Probe(BackendId),
     /// Send a message to a peer.
-    Tell(IngressId, Vec<u8>),
+    SendToPeer(IngressId, Vec<u8>),
     /// Add an amount to a number on the counter; if it is new it is kept this long.
-    Count(CounterName, f64, Millis),
+    AddToCounter(CounterName, f64, Millis),
     /// Ask for a timer.
     SetTimer(Millis, TimerKey),
     /// Ask for the changes of the server list.
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -163,7 +163,7 @@
         if this.links.open.get() >= most && !evict(&mut pools) {
             debug!(this.log, "no descriptor for a connection to a real server"; "real_server" => %at);
             // Prevents a real server from being taken for unreachable, or full, for want of room here.
-            return this.schedulings.ended(job.id, Ending::badly(Outcome::Moot));
+            return this.schedulings.ended(job.id, Ending::badly(Outcome::NotSent));
         }
         spawn_local(connection(Open::new(this), server, at, job));
     }
@@ -355,7 +355,7 @@
     ) -> Result<Asked, Outcome> {
         let rest = match &question.rest {
             // What has gone once is not kept.
-            Some(once) => Some(once.take().ok_or(Outcome::Moot)?),
+            Some(once) => Some(once.take().ok_or(Outcome::NotSent)?),
             None => None,
         };
         let wait = wait.max(1.0) as u64;
@@ -557,7 +557,7 @@
     let never_ran = head.get("not-started").is_some_and(|value| value.trim_ascii() == b"1");
     let outcome = match head.status() {
         200 => Outcome::Served,
-        503 | 504 if never_ran => Outcome::Full,
+        503 | 504 if never_ran => Outcome::Rejected,
         _ => Outcome::Error,
     };
     let load = load(head, &site.load_names);
--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -31,7 +31,7 @@
         let Some(customer) = self.customers.get_mut(&of.customer) else { return };
         let unasked = std::mem::take(&mut customer.unasked);
         let pressure = Some(self.taken.or(0.0));
-        acts.push(Action::Tell(to.0, Mail::Ask { seq: to.1, of: of.ask(), unasked, pressure }.bytes()));
+        acts.push(Action::SendToPeer(to.0, Mail::Ask { seq: to.1, of: of.ask(), unasked, pressure }.bytes()));
         acts.push(Action::SetTimer(ASK_WAIT, ASKED));
         self.asked.insert(to.1, Asked { request: of.id, home: to.0, at: now, again });
     }
@@ -48,7 +48,7 @@
                 self.hear_pressure(now, pressure);
                 let (granted, more) = self.decide(now, (from, seq), &of, unasked);
                 let pressure = Some(self.taken.or(0.0));
-                acts.push(Action::Tell(from, Mail::Answer { seq, granted, more, pressure }.bytes()));
+                acts.push(Action::SendToPeer(from, Mail::Answer { seq, granted, more, pressure }.bytes()));
             }
             Some(Mail::Answer { seq, granted, more, pressure }) => {
                 self.hear_pressure(now, pressure);
@@ -67,7 +67,7 @@
         let done = Mail::Done { seq, customer: open.request.customer };
         match home == self.set.me {
             true => self.on_home_mail(0.0, home, Some(done), acts),
-            false => acts.push(Action::Tell(home, done.bytes())),
+            false => acts.push(Action::SendToPeer(home, done.bytes())),
         }
     }
 
@@ -104,7 +104,7 @@
             let ([drawn, out], step) = (customer.call.begin(now), counter_step(plan, customer.spread));
             let units = if has_pool(plan, customer.spread) { customer.pool.begin(now) } else { drawn };
             let keep = counter_keep(plan, customer.spread);
-            acts.push(Action::Count(CounterName(id.0), units + out * step, keep));
+            acts.push(Action::AddToCounter(CounterName(id.0), units + out * step, keep));
         }
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -139,7 +139,7 @@
                 }
                 acts.push(Action::SetTimer(self.next_tick(), TICK));
             }
-            Event::Servers(kind, entries) => self.on_list(now, kind, entries, acts),
+            Event::BackendList(kind, entries) => self.on_list(now, kind, entries, acts),
             Event::Request(request) => self.on_request(now, request, acts),
             Event::StreamStarted(id, no) => self.streams(id, no),
             Event::AttemptEnded(end) => self.on_end(now, end, acts),
@@ -149,7 +149,7 @@
             Event::Timer(SUBSCRIBE) if self.set.list_on_request => acts.push(Action::Subscribe),
             Event::Timer(ASKED) => self.on_unanswered(now, acts),
             Event::Timer(_) | Event::ProbeEnded(..) => {}
-            Event::Counted(name, answer) => self.on_counted(now, CustomerId(name.0), answer, acts),
+            Event::CounterAnswered(name, answer) => self.on_counted(now, CustomerId(name.0), answer, acts),
         }
     }
 
@@ -509,7 +509,7 @@
     fn on_request(&mut self, now: Millis, mut request: Request, acts: &mut Acts) {
         request.tame();
         if request.class.0 >= self.set.classes.len() || self.requests.contains_key(&request.id) {
-            acts.push(Action::Refuse(request.id, None));
+            acts.push(Action::Reject(request.id, None));
             return;
         }
         self.retries = (self.retries + RETRIES.0).min((RETRIES.1 * self.few()).max(1.0));
@@ -744,7 +744,7 @@
             Some(customer) if known == Known::Granted => customer.unasked -= request.units,
             _ => {}
         }
-        acts.push(Action::Refuse(request.id, self.advice(wait)));
+        acts.push(Action::Reject(request.id, self.advice(wait)));
     }
 
     fn send(&mut self, now: Millis, open: &mut Open, acts: &mut Acts) -> bool {
@@ -824,7 +824,7 @@
             matches!(effect, RetrySafety::Safe | RetrySafety::Keyed { group: DedupScope::All, .. });
         let refuse = open.risky.is_none() || (harmless && open.deadline > now && allowed);
         let advice = self.advice(self.mean_latency(request.class));
-        acts.push(if refuse { Action::Refuse(request.id, advice) } else { Action::Fail(request.id) });
+        acts.push(if refuse { Action::Reject(request.id, advice) } else { Action::Fail(request.id) });
     }
 
     /// What an outcome tells of the server and of the back end as a whole.
@@ -832,10 +832,10 @@
         let usual = self.usual(request.class, request.units).max(1.0);
         let aim = self.set.classes[request.class.0].aim;
         let (served, failed) = (end.outcome == Outcome::Served, end.outcome.may_have_run());
-        let (mut silent, mut overtaken, full) = (false, false, end.outcome == Outcome::Full);
+        let (mut silent, mut overtaken, full) = (false, false, end.outcome == Outcome::Rejected);
         let unreached = end.outcome == Outcome::ConnectFailed;
         let (cold, window) = (self.set.cold, self.set.cold.fall_window.max(1.0));
-        let judged = !matches!(end.outcome, Outcome::Moot | Outcome::Cancelled);
+        let judged = !matches!(end.outcome, Outcome::NotSent | Outcome::Cancelled);
         // Work that cold, drained or gone ones finish says nothing of what a warm one takes.
         let warm = |s: &Server| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
         if let Some(server) = self.servers.get(&end.server).filter(|s| served && warm(s)) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -317,7 +317,7 @@
                 }
             }
         }
-        mail.into_iter().map(|(peer, bytes)| Action::Tell(peer, bytes)).collect()
+        mail.into_iter().map(|(peer, bytes)| Action::SendToPeer(peer, bytes)).collect()
     }
 
     /// Takes in a peer's report; tells what it drew of each customer since its last one.
@@ -711,7 +711,7 @@
     pub(crate) fn strays(&self, now: Millis, outcome: Outcome, [silence, outlier, tau]: [f64; 3]) -> bool {
         (outcome == Outcome::TimedOut && self.silence(now) > silence)
             || self.slowness(now, tau) > outlier
-            || (outcome == Outcome::Full && self.failures > 0)
+            || (outcome == Outcome::Rejected && self.failures > 0)
     }
 
     /// An attempt has ended; tells whether its answer is overdue though younger ones were served. Prevents answers
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -105,7 +105,9 @@
         bench.serve((1 << 32) + customer, 1.0, 3);
     }
     let told = |acts: Vec<Action>| -> Vec<usize> {
-        acts.iter().filter_map(|a| if let Action::Tell(_, b) = a { Some(b.len()) } else { None }).collect()
+        acts.iter()
+            .filter_map(|a| if let Action::SendToPeer(_, b) = a { Some(b.len()) } else { None })
+            .collect()
     };
     let sizes = told(bench.event(Event::Timer(TimerKey(1))));
     assert_eq!(sizes.len(), 2, "one to each peer");
@@ -135,7 +137,7 @@
 #[test]
 fn tokens_return_however_an_attempt_ends() {
     use Outcome::*;
-    for outcome in [Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot] {
+    for outcome in [Served, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent] {
         let mut bench = Bench::new(settings(Plan { open_cap: 1.0, ..Plan::default() }), 1);
         let (id, acts) = bench.ask(1, 2, 1.0, 1);
         let server = sent(&acts).unwrap();
@@ -233,22 +235,22 @@
     let mut bench = Bench::new(Settings { counter: true, ..settings(plan()) }, 10);
     bench.wait(60_000.0);
     let (_, acts) = bench.ask(1, 0, 1.0, 2);
-    assert!(matches!(acts[..], [Action::Count(CounterName(1), 1.0, _)]), "{acts:?}");
-    let acts = bench.event(Event::Counted(CounterName(1), CounterAnswer::Total(1.0)));
+    assert!(matches!(acts[..], [Action::AddToCounter(CounterName(1), 1.0, _)]), "{acts:?}");
+    let acts = bench.event(Event::CounterAnswered(CounterName(1), CounterAnswer::Total(1.0)));
     assert!(sent(&acts).is_some());
     // The slice is its own: half the burst less the first. Beyond it, what others have borrowed cannot be had.
     for expected in [vec![true; 9], vec![false; 3]].concat() {
         let (_, mut acts) = bench.ask(1, 0, 1.0, 2);
-        if matches!(acts[..], [Action::Count(..)]) {
-            acts = bench.event(Event::Counted(CounterName(1), CounterAnswer::Total(42.0)));
+        if matches!(acts[..], [Action::AddToCounter(..)]) {
+            acts = bench.event(Event::CounterAnswered(CounterName(1), CounterAnswer::Total(42.0)));
         }
         assert_eq!((sent(&acts).is_some(), refused(&acts)), (expected, !expected), "others have borrowed 41");
     }
     // And what others have lent can be.
     bench.wait(401.0);
     let (_, acts) = bench.ask(1, 0, 3.0, 2);
-    assert!(matches!(acts[..], [Action::Count(..)]), "{acts:?}");
-    let acts = bench.event(Event::Counted(CounterName(1), CounterAnswer::Total(-2.0)));
+    assert!(matches!(acts[..], [Action::AddToCounter(..)]), "{acts:?}");
+    let acts = bench.event(Event::CounterAnswered(CounterName(1), CounterAnswer::Total(-2.0)));
     assert!(sent(&acts).is_some());
 }
 
@@ -258,7 +260,7 @@
         let mut bench = Bench::new(Settings { counter: true, ..settings(plan()) }, 10);
         bench.wait(60_000.0);
         bench.ask(1, 0, 1.0, 2);
-        assert!(sent(&bench.event(Event::Counted(CounterName(1), answer))).is_some());
+        assert!(sent(&bench.event(Event::CounterAnswered(CounterName(1), answer))).is_some());
         let granted = (0..50).filter(|_| bench.serve(1, 1.0, 2)).count();
         assert_eq!(granted, 9, "half the burst less the first");
     }
@@ -270,7 +272,7 @@
     bench.wait(60_000.0);
     for total in [100.0, 1.0, 2.0] {
         bench.ask(1, 0, 1.0, 2);
-        let acts = bench.event(Event::Counted(CounterName(1), CounterAnswer::Total(total)));
+        let acts = bench.event(Event::CounterAnswered(CounterName(1), CounterAnswer::Total(total)));
         assert!(sent(&acts).is_some(), "{total}");
     }
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -41,16 +41,19 @@
     let (id, acts) = bench.ask(1, 2, 1.0, 1);
     let server = sent(&acts).unwrap();
     let gone = BackendEntry { state: BackendState::Gone, ..entry(server.0) };
-    bench.event(Event::Servers(ListKind::Changes, vec![gone]));
-    assert!(refused(&bench.end(id, 0, server, Outcome::Full, 5.0)), "it never ran, and there is no other");
+    bench.event(Event::BackendList(ListKind::Changes, vec![gone]));
+    assert!(
+        refused(&bench.end(id, 0, server, Outcome::Rejected, 5.0)),
+        "it never ran, and there is no other"
+    );
 }
 
 #[test]
 fn with_attempts_or_retries_used_up_the_answer_does_not_wait() {
     let mut bench = Bench::new(Settings { max_attempts: 2, ..settings(open()) }, 10);
     let (id, acts) = bench.ask(1, 0, 1.0, 1);
-    let acts = bench.end(id, 0, sent(&acts).unwrap(), Outcome::Full, 5.0);
-    assert!(refused(&bench.end(id, 1, sent(&acts).unwrap(), Outcome::Full, 5.0)));
+    let acts = bench.end(id, 0, sent(&acts).unwrap(), Outcome::Rejected, 5.0);
+    assert!(refused(&bench.end(id, 1, sent(&acts).unwrap(), Outcome::Rejected, 5.0)));
 }
 
 #[test]
@@ -60,15 +63,15 @@
         let mut bench = Bench::new(counter(Plan { rate: 1.0, burst: 4.0, ..Plan::default() }), 10);
         bench.wait(60_000.0);
         let (_, acts) = bench.ask(1, 0, 1.0, 2);
-        let [Action::Count(name, ..)] = acts[..] else { panic!("{acts:?}") };
-        let acts = bench.event(Event::Counted(name, answer));
+        let [Action::AddToCounter(name, ..)] = acts[..] else { panic!("{acts:?}") };
+        let acts = bench.event(Event::CounterAnswered(name, answer));
         assert!(sent(&acts).is_some() || refused(&acts), "{answer:?}: {acts:?}");
     }
     // All that the cap allows is out here; the slice of the ceiling is empty.
     let mut bench = Bench::new(counter(Plan { open_cap: 1.0, ..open() }), 10);
     let (_, acts) = bench.ask(1, 2, 1.0, 2);
-    if let [Action::Count(name, added, _)] = acts[..] {
-        assert!(sent(&bench.event(Event::Counted(name, CounterAnswer::Total(added)))).is_some());
+    if let [Action::AddToCounter(name, added, _)] = acts[..] {
+        assert!(sent(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(added)))).is_some());
     }
     let (_, acts) = bench.ask(1, 2, 1.0, 2);
     assert!(refused(&acts) && acts.len() == 1, "the cap: {acts:?}");
@@ -86,7 +89,7 @@
     for customer in 0..20 {
         let mut bench = Bench::new(set.clone(), 10);
         let (_, acts) = bench.ask(customer, 2, 1.0, 120);
-        let Some(Action::Tell(home, ask)) = acts.first().cloned() else { continue };
+        let Some(Action::SendToPeer(home, ask)) = acts.first().cloned() else { continue };
         asked += 1;
         // The home grants it, as told by the number of the ask; then the cap is out here.
         let seq = ask[1..].iter().position(|byte| byte & 0x80 == 0).unwrap() + 2;
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -14,7 +14,7 @@
 #[test]
 fn what_never_ran_goes_elsewhere_whatever_its_class() {
     for class in 0..4 {
-        for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+        for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
             let mut bench = quiet();
             let (id, acts) = bench.ask(1, class, 1.0, 1);
             let first = sent(&acts).unwrap();
@@ -77,7 +77,7 @@
         let first = sent(&acts).unwrap();
         let second = sent(&bench.wait(10.0).end(id, 0, first, Outcome::Error, 10.0)).unwrap();
         let gone = BackendEntry { state: BackendState::Gone, ..entry(first.0) };
-        bench.event(Event::Servers(ListKind::Changes, vec![gone]));
+        bench.event(Event::BackendList(ListKind::Changes, vec![gone]));
         let acts = bench.wait(10.0).end(id, 1, second, Outcome::Error, 10.0);
         assert!(sent(&acts).is_none_or(|third| third.0 % 2 == first.0 % 2), "{acts:?}");
     }
@@ -91,7 +91,7 @@
     let (id, acts) = bench.ask(1, 3, 1.0, 1);
     assert!(refused(&bench.wait(9.0).end(id, 0, sent(&acts).unwrap(), Outcome::Error, 9.0)));
     let (id, acts) = bench.ask(1, 2, 1.0, 1);
-    assert!(refused(&bench.wait(9.0).end(id, 0, sent(&acts).unwrap(), Outcome::Full, 9.0)));
+    assert!(refused(&bench.wait(9.0).end(id, 0, sent(&acts).unwrap(), Outcome::Rejected, 9.0)));
 }
 
 #[test]
@@ -136,11 +136,11 @@
     for state in [BackendState::Draining, BackendState::Gone] {
         let mut bench = quiet();
         let leaving = (1..10).map(|n| BackendEntry { state, ..entry(n) }).collect();
-        bench.event(Event::Servers(ListKind::Changes, leaving));
+        bench.event(Event::BackendList(ListKind::Changes, leaving));
         for _ in 0..5 {
             assert_eq!(sent(&bench.ask(1, 0, 1.0, 1).1), Some(BackendId(0)));
         }
-        bench.event(Event::Servers(
+        bench.event(Event::BackendList(
             ListKind::Full,
             vec![BackendEntry { state: BackendState::Draining, ..entry(0) }],
         ));
@@ -156,7 +156,7 @@
         let mut hits = 0;
         for step in 0..800 {
             if step == 400 {
-                bench.event(Event::Servers(ListKind::Changes, vec![cold]));
+                bench.event(Event::BackendList(ListKind::Changes, vec![cold]));
             }
             bench.wait(5.0);
             let (id, acts) = bench.ask(1, 0, 1.0, 1);
@@ -178,11 +178,11 @@
 #[test]
 fn a_server_that_comes_back_on_a_stale_list_is_cold() {
     let mut bench = quiet();
-    bench.event(Event::Servers(
+    bench.event(Event::BackendList(
         ListKind::Changes,
         vec![BackendEntry { state: BackendState::Gone, ..entry(0) }],
     ));
-    bench.event(Event::Servers(ListKind::Changes, vec![entry(0)]));
+    bench.event(Event::BackendList(ListKind::Changes, vec![entry(0)]));
     let mut hits = 0;
     for _ in 0..200 {
         bench.wait(5.0);
@@ -226,7 +226,7 @@
         let mut no = 0;
         while sent(&acts) == Some(BackendId(0)) {
             turned_away += 1;
-            acts = bench.wait(1.0).end(id, no, BackendId(0), Outcome::Full, 1.0);
+            acts = bench.wait(1.0).end(id, no, BackendId(0), Outcome::Rejected, 1.0);
             no += 1;
         }
         out.extend(sent(&acts).map(|server| (bench.now, id, no, server)));
@@ -284,8 +284,8 @@
     assert!(refused(&bench.ask(1, 99, 1.0, 1).1), "an unknown class");
     bench.ask(1, 0, f64::NAN, 0);
     bench.event(Event::Timer(TimerKey(12345)));
-    bench.event(Event::Counted(CounterName(5), CounterAnswer::Total(f64::NAN)));
-    bench.event(Event::Servers(ListKind::Failed, vec![]));
+    bench.event(Event::CounterAnswered(CounterName(5), CounterAnswer::Total(f64::NAN)));
+    bench.event(Event::BackendList(ListKind::Failed, vec![]));
     assert!(sent(&bench.ask(1, 0, 1.0, 1).1).is_some());
 }
 
@@ -293,7 +293,7 @@
 fn the_list_is_asked_for_where_it_must_be() {
     let mut bench = Bench::new(Settings { list_on_request: true, ..settings(plan()) }, 0);
     assert!(bench.event(Event::Start).contains(&Action::Subscribe));
-    let acts = bench.event(Event::Servers(ListKind::Failed, vec![]));
+    let acts = bench.event(Event::BackendList(ListKind::Failed, vec![]));
     let [Action::SetTimer(_, key)] = acts[..] else { panic!("{acts:?}") };
     assert_eq!(bench.event(Event::Timer(key)), [Action::Subscribe]);
 }
@@ -307,7 +307,7 @@
             bench.wait(7.0);
             let (id, acts) = bench.ask(step % 13, (step % 4) as usize, 1.0 + (step % 3) as f64, 2);
             if let Some(server) = sent(&acts) {
-                let outcome = [Outcome::Served, Outcome::Full, Outcome::TimedOut][step as usize % 3];
+                let outcome = [Outcome::Served, Outcome::Rejected, Outcome::TimedOut][step as usize % 3];
                 all.extend(bench.end(id, 0, server, outcome, 30.0));
             }
             all.extend(acts);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -90,7 +90,7 @@
         let mut limiter = Limiter::new(set(me), self.seed).unwrap();
         let mut acts = Vec::new();
         limiter.handle(self.now, Event::Start, &mut acts);
-        let listed = Event::Servers(ListKind::Cached, self.list.clone());
+        let listed = Event::BackendList(ListKind::Cached, self.list.clone());
         limiter.handle(self.now, listed, &mut acts);
         limiter
     }
@@ -105,7 +105,7 @@
         let list = self.list.clone();
         self.list.retain(|e| e.state == BackendState::Ready);
         for me in 0..usize::from(GATEWAYS) {
-            let listed = Event::Servers(ListKind::Changes, list.clone());
+            let listed = Event::BackendList(ListKind::Changes, list.clone());
             self.limiters[me].handle(self.now, listed, &mut Vec::new());
         }
     }
@@ -331,7 +331,7 @@
 
 #[test]
 fn nor_by_further_attempts_that_it_turns_away() {
-    let full = |server| if server == BackendId(0) { Outcome::Full } else { Outcome::Error };
+    let full = |server| if server == BackendId(0) { Outcome::Rejected } else { Outcome::Error };
     for left in [1, 2, SERVERS] {
         let (worst, _) = worst(left, true, full);
         assert!(worst < 0.9, "{worst} of what makes it fall, of {left}");
@@ -352,7 +352,7 @@
     let server = sent(&acts).unwrap();
     let gone = (1..10).map(|n| BackendEntry { state: BackendState::Gone, ..entry(n) });
     let fresh = BackendEntry { last_start: Some(bench.now), ..entry(0) };
-    bench.event(Event::Servers(ListKind::Changes, gone.chain([fresh]).collect()));
+    bench.event(Event::BackendList(ListKind::Changes, gone.chain([fresh]).collect()));
     bench.end(id, 0, server, outcome, 5.0)
 }
 
@@ -365,20 +365,20 @@
     let mut acts = Vec::new();
     let (now, request) = (fleet.now, fleet.request(2));
     fleet.limiters[0].handle(now, Event::Request(request), &mut acts);
-    assert!(matches!(acts[..], [Action::Refuse(_, Some(wait))] if wait >= 1.0), "{acts:?}");
+    assert!(matches!(acts[..], [Action::Reject(_, Some(wait))] if wait >= 1.0), "{acts:?}");
     // A further one: the class, how the first ended, and whether a refusal is safe.
     for (class, outcome, refusal) in [
         (0, Outcome::Error, true),
-        (0, Outcome::Full, true),
-        (1, Outcome::Full, true),
+        (0, Outcome::Rejected, true),
+        (1, Outcome::Rejected, true),
         (1, Outcome::Error, false), // Its group is one zone.
-        (2, Outcome::Full, true),
+        (2, Outcome::Rejected, true),
         (2, Outcome::Error, false),
         (3, Outcome::Error, true),
     ] {
         let acts = end_without_a_turn(class, outcome);
         let answer = match acts[..] {
-            [Action::Refuse(_, Some(_))] => Some(true),
+            [Action::Reject(_, Some(_))] => Some(true),
             [Action::Fail(_)] => Some(false),
             _ => None,
         };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -64,7 +64,7 @@
     pub fn new(settings: Settings, servers: u64) -> Self {
         let mut bench = Self { limiter: Limiter::new(settings, 7).unwrap(), now: 1_000_000.0, next: 0 };
         bench.event(Event::Start);
-        bench.event(Event::Servers(ListKind::Cached, (0..servers).map(entry).collect()));
+        bench.event(Event::BackendList(ListKind::Cached, (0..servers).map(entry).collect()));
         bench
     }
 
@@ -146,7 +146,7 @@
 }
 
 pub fn refused(acts: &[Action]) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Refuse(..)))
+    acts.iter().any(|a| matches!(a, Action::Reject(..)))
 }
 
 pub fn failed(acts: &[Action]) -> bool {
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -36,7 +36,7 @@
             Self { limiters, numbers: BTreeMap::new(), now: 1e6, next: 0, answers: 1e6, room: (0.0, 1e6) };
         for me in 0..MANY {
             fleet.event(me, Event::Start);
-            fleet.event(me, Event::Servers(ListKind::Cached, (0..30).map(entry).collect()));
+            fleet.event(me, Event::BackendList(ListKind::Cached, (0..30).map(entry).collect()));
         }
         fleet
     }
@@ -47,7 +47,7 @@
             let mut acts = Vec::new();
             self.limiters[usize::from(me)].handle(self.now, event, &mut acts);
             for act in acts {
-                let Action::Count(name, amount, keep) = act else {
+                let Action::AddToCounter(name, amount, keep) = act else {
                     done.push(act);
                     continue;
                 };
@@ -61,7 +61,7 @@
                 }
                 number.0 += amount;
                 let answer = if in_time { CounterAnswer::Total(number.0) } else { CounterAnswer::Unknown };
-                todo.push(Event::Counted(name, answer));
+                todo.push(Event::CounterAnswered(name, answer));
             }
         }
         done
@@ -134,8 +134,10 @@
             let mut bench = Bench::new(set(small()), 30);
             bench.wait(f64::from(seed));
             let (_, acts) = bench.ask(u64::from(seed as u32), 0, 1.0, MANY);
-            if let Some(Action::Count(name, ..)) = acts.first().cloned() {
-                answers.push(sent(&bench.event(Event::Counted(name, CounterAnswer::Total(total)))).is_some());
+            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
+                answers.push(
+                    sent(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(total)))).is_some(),
+                );
             }
         }
         assert!(answers.len() > 3 && answers.iter().all(|a| *a == inside), "{total}: {answers:?}");
@@ -151,9 +153,9 @@
         for _ in 0..200 {
             customer += 1;
             let (id, mut acts) = bench.wait(100.0).ask(customer, 0, 1.0, MANY);
-            if let Some(Action::Count(name, ..)) = acts.first().cloned() {
+            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
                 calls += 1;
-                acts = bench.wait(delay).event(Event::Counted(name, CounterAnswer::Total(9.0)));
+                acts = bench.wait(delay).event(Event::CounterAnswered(name, CounterAnswer::Total(9.0)));
             }
             sent(&acts).map(|server| bench.end(id, 0, server, Outcome::Served, 30.0));
         }
@@ -174,13 +176,13 @@
 fn who_is_refused_for_want_of_news_may_come_again_at_once_and_who_is_beyond_quota_later() {
     let mut bench = Bench::new(Settings { counter_timeout: 0.0, ..set(small()) }, 30);
     let advice =
-        |acts: &[Action]| acts.iter().find_map(|a| if let Action::Refuse(_, w) = a { *w } else { None });
+        |acts: &[Action]| acts.iter().find_map(|a| if let Action::Reject(_, w) = a { *w } else { None });
     let (mut soon, mut late) = (0, 0);
     for customer in 0..200 {
         let (_, mut acts) = bench.wait(10.0).ask(customer, 0, 1.0, MANY);
         let told = acts.first().cloned();
-        if let Some(Action::Count(name, ..)) = told {
-            acts = bench.event(Event::Counted(name, CounterAnswer::Total(500.0)));
+        if let Some(Action::AddToCounter(name, ..)) = told {
+            acts = bench.event(Event::CounterAnswered(name, CounterAnswer::Total(500.0)));
             late += usize::from(advice(&acts).is_some_and(|w| w > AIM));
         } else {
             soon += usize::from(advice(&acts).is_some_and(|w| w <= AIM / 4.0));
@@ -197,8 +199,8 @@
         let mut admitted = 0;
         for round in 0..100 {
             let (id, mut acts) = bench.wait(200.0).ask(round % 10, 2, 1.0, 20);
-            if let Some(Action::Count(name, ..)) = acts.first().cloned() {
-                acts = bench.event(Event::Counted(name, CounterAnswer::Total(1.0)));
+            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
+                acts = bench.event(Event::CounterAnswered(name, CounterAnswer::Total(1.0)));
             }
             let Some(server) = sent(&acts) else { continue };
             admitted += 1;
@@ -234,7 +236,7 @@
         while let Some(to) = server {
             let bad = class == 2 && to.0 % 2 == 0;
             hits[class / 2][(to.0 % 2) as usize] += usize::from(step > 200);
-            let outcome = if bad { Outcome::Full } else { Outcome::Served };
+            let outcome = if bad { Outcome::Rejected } else { Outcome::Served };
             server = sent(&bench.end(id, no, to, outcome, 100.0));
             no += 1;
         }
@@ -252,7 +254,11 @@
         let mut limiter = Limiter::new(set, seed).unwrap();
         let server = |n| BackendEntry { weight: 1.0 + (n % 2) as f64, ..entry(n) };
         limiter.handle(0.0, Event::Start, &mut Vec::new());
-        limiter.handle(0.0, Event::Servers(ListKind::Cached, (0..40).map(server).collect()), &mut Vec::new());
+        limiter.handle(
+            0.0,
+            Event::BackendList(ListKind::Cached, (0..40).map(server).collect()),
+            &mut Vec::new(),
+        );
         let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
         let (left, units, spread, first) = (2000.0, 1.0, 1, IngressId(0));
         let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -611,7 +611,7 @@
     while began.elapsed() < span {
         match call(sender.clone(), at, tonic::Request::new(message(BOARD, 1))).await {
             Ok(_) => answered += 1,
-            Err((Outcome::ConnectFailed | Outcome::Full, _)) => {
+            Err((Outcome::ConnectFailed | Outcome::Rejected, _)) => {
                 unseen += 1;
                 sender = open(at).await.unwrap();
             }
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -34,7 +34,7 @@
         };
         for me in 0..MANY {
             fleet.event(me, Event::Start);
-            fleet.event(me, Event::Servers(ListKind::Cached, (0..servers).map(entry).collect()));
+            fleet.event(me, Event::BackendList(ListKind::Cached, (0..servers).map(entry).collect()));
         }
         fleet
     }
@@ -47,8 +47,10 @@
             self.limiters[usize::from(at)].handle(self.now, event, &mut acts);
             for act in acts {
                 match act {
-                    Action::Tell(to, _) if self.lost => assert_ne!(to.0, at),
-                    Action::Tell(to, bytes) => todo.push((to.0, Event::PeerMessage(IngressId(at), bytes))),
+                    Action::SendToPeer(to, _) if self.lost => assert_ne!(to.0, at),
+                    Action::SendToPeer(to, bytes) => {
+                        todo.push((to.0, Event::PeerMessage(IngressId(at), bytes)))
+                    }
                     act => done.push((at, act)),
                 }
             }
@@ -78,7 +80,7 @@
 }
 
 fn answered(acts: &[(u16, Action)]) -> bool {
-    acts.iter().any(|(_, a)| matches!(a, Action::Send { .. } | Action::Refuse(..) | Action::Fail(_)))
+    acts.iter().any(|(_, a)| matches!(a, Action::Send { .. } | Action::Reject(..) | Action::Fail(_)))
 }
 
 #[test]
@@ -214,7 +216,7 @@
         let asked = (0..200).map(|i| fleet.ask(me, 0, 1000 + i).1);
         asked.take_while(|acts| sends(acts) == 1).count()
     };
-    let all = |kind| Event::Servers(kind, (0..20).map(entry).collect());
+    let all = |kind| Event::BackendList(kind, (0..20).map(entry).collect());
     let mut fleet = Fleet::new(Plan { rate: 0.1, burst: 1e6, ..Plan::default() });
     for me in 0..MANY {
         fleet.event(me, all(ListKind::Full));
@@ -226,10 +228,10 @@
     });
     assert!(first > 0 && first.abs_diff(again) <= 3, "{first} and, with a list repeated, {again}");
     for me in 0..MANY {
-        fleet.event(me, Event::Servers(ListKind::Full, Vec::new()));
+        fleet.event(me, Event::BackendList(ListKind::Full, Vec::new()));
         let (_, acts) = fleet.ask(me, 0, u64::from(me));
         assert!(answered(&acts) && sends(&acts) == 0, "{acts:?} without any server");
-        fleet.event(me, Event::Servers(ListKind::Failed, Vec::new()));
+        fleet.event(me, Event::BackendList(ListKind::Failed, Vec::new()));
         // Who comes back may have started anew: it is spared, and nobody waits.
         fleet.event(me, all(ListKind::Full));
         assert!(answered(&fleet.ask(me, 0, u64::from(me)).1));
@@ -318,7 +320,7 @@
     }
     let fresh = BackendEntry { last_start: Some(fleet.now), ..entry(0) };
     for me in 0..MANY {
-        fleet.event(me, Event::Servers(ListKind::Changes, vec![fresh]));
+        fleet.event(me, Event::BackendList(ListKind::Changes, vec![fresh]));
     }
     let (mut cold, mut all) = (0, 0);
     for round in 0..4u64 {
@@ -344,9 +346,9 @@
             customer += 1;
             bench.wait(20.0);
             let (id, mut acts) = bench.ask(customer, 0, 1.0, MANY);
-            if let Some(Action::Count(name, ..)) = acts.first().cloned() {
+            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
                 calls += 1;
-                acts = bench.event(Event::Counted(name, answer));
+                acts = bench.event(Event::CounterAnswered(name, answer));
             }
             if let Some(server) = sent(&acts) {
                 bench.end(id, 0, server, Outcome::Served, 10.0);
@@ -388,7 +390,11 @@
         let set = Settings { gateways: MANY, me: IngressId(*me), ..settings(Plan { rate: 0.001, ..plan() }) };
         let mut limiter = Limiter::new(set, u64::from(*me)).unwrap();
         limiter.handle(1e6, Event::Start, &mut Vec::new());
-        limiter.handle(1e6, Event::Servers(ListKind::Cached, (0..10).map(entry).collect()), &mut Vec::new());
+        limiter.handle(
+            1e6,
+            Event::BackendList(ListKind::Cached, (0..10).map(entry).collect()),
+            &mut Vec::new(),
+        );
         let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
         let (left, units, spread, first, repeat) = (2000.0, 1.0, MANY, IngressId(0), false);
         let mut acts = Vec::new();
@@ -407,7 +413,7 @@
     let told = |bench: &mut Bench, customer| {
         let (_, acts) = bench.ask(customer, 0, 1.0, MANY);
         acts.iter().find_map(|act| match act {
-            Action::Tell(to, _) => Some(*to),
+            Action::SendToPeer(to, _) => Some(*to),
             _ => None,
         })
     };
--- a/tests/quota_pool.rs
+++ b/tests/quota_pool.rs
@@ -56,7 +56,7 @@
         let mut fleet = Self { limiters, numbers, now: 1e6, next: 0, random, troubles: NONE };
         for me in 0..gateways {
             fleet.event(me, Event::Start);
-            fleet.event(me, Event::Servers(ListKind::Cached, (0..30).map(entry).collect()));
+            fleet.event(me, Event::BackendList(ListKind::Cached, (0..30).map(entry).collect()));
         }
         fleet
     }
@@ -73,9 +73,9 @@
             self.limiters[usize::from(me)].handle(self.now, event, &mut acts);
             for act in acts {
                 match act {
-                    Action::Count(name, amount, _) => {
+                    Action::AddToCounter(name, amount, _) => {
                         let answer = self.count(name, amount);
-                        todo.push(Event::Counted(name, answer));
+                        todo.push(Event::CounterAnswered(name, answer));
                     }
                     act => done.push(act),
                 }
@@ -184,8 +184,8 @@
     let mut units = 0.0;
     for _ in 0..40 {
         let (_, mut acts) = bench.ask(1, 0, 1.0, 3);
-        if let Some(Action::Count(name, ..)) = acts.first().cloned() {
-            acts = bench.event(Event::Counted(name, CounterAnswer::Total(500.0)));
+        if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
+            acts = bench.event(Event::CounterAnswered(name, CounterAnswer::Total(500.0)));
         }
         units += f64::from(u8::from(sent(&acts).is_some()));
     }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -60,7 +60,7 @@
     let all = fill(&mut bench);
     all.iter().for_each(|(id, server)| drop(bench.end(*id, 0, *server, Outcome::Served, 50.0)));
     let gone = (2..10).map(|n| BackendEntry { state: BackendState::Gone, ..entry(n) });
-    bench.event(Event::Servers(ListKind::Changes, gone.collect()));
+    bench.event(Event::BackendList(ListKind::Changes, gone.collect()));
     let left = fill(&mut bench);
     assert!(left.len() * 3 <= all.len() && !left.is_empty(), "{} before, {} left", all.len(), left.len());
 }
@@ -97,7 +97,7 @@
 fn the_end_of_a_capped_attempt_is_told() {
     let plan = Plan { open_cap: 4.0, ..Plan::default() };
     let mut bench = Bench::new(Settings { peers: true, mail_per_second: 100.0, ..settings(plan) }, 10);
-    let told = |acts: Vec<Action>| acts.iter().any(|a| matches!(a, Action::Tell(_, b) if b.len() > 1));
+    let told = |acts: Vec<Action>| acts.iter().any(|a| matches!(a, Action::SendToPeer(_, b) if b.len() > 1));
     let (id, acts) = bench.ask(1, 0, 1.0, 3);
     assert!(told(bench.event(Event::Timer(TimerKey(1)))));
     assert!(!told(bench.event(Event::Timer(TimerKey(1)))), "nothing new");
@@ -111,12 +111,12 @@
     let mut bench = Bench::new(Settings { counter: true, ..settings(plan) }, 10);
     bench.wait(60_000.0);
     let (_, acts) = bench.ask(1, 0, 1.0, 2);
-    let [Action::Count(name, step, _)] = acts[..] else { panic!("{acts:?}") };
+    let [Action::AddToCounter(name, step, _)] = acts[..] else { panic!("{acts:?}") };
     assert!(step > 1000.0, "one attempt and one unit in one number: {step}");
-    assert!(sent(&bench.event(Event::Counted(name, CounterAnswer::Total(step)))).is_some());
+    assert!(sent(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(step)))).is_some());
     bench.ask(1, 0, 1.0, 2);
     // Ours twice, and one of another gateway.
-    assert!(refused(&bench.event(Event::Counted(name, CounterAnswer::Total(3.0 * step)))));
+    assert!(refused(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(3.0 * step)))));
 }
 
 #[test]
@@ -125,9 +125,9 @@
     bench.wait(60_000.0);
     let (id, _) = bench.ask(1, 0, 4.0, 2);
     bench.event(Event::ClientLeft(id));
-    assert!(bench.event(Event::Counted(CounterName(1), CounterAnswer::Total(4.0))).is_empty());
+    assert!(bench.event(Event::CounterAnswered(CounterName(1), CounterAnswer::Total(4.0))).is_empty());
     let (_, acts) = bench.ask(1, 0, 1.0, 2);
-    assert!(matches!(acts[..], [Action::Count(_, -3.0, _)]), "{acts:?}");
+    assert!(matches!(acts[..], [Action::AddToCounter(_, -3.0, _)]), "{acts:?}");
 }
 
 #[test]
@@ -164,8 +164,8 @@
     let mut bench = Bench::new(Settings { counter: true, ..settings(plan) }, 2);
     for _ in 0..8 {
         let (_, acts) = bench.ask(1, 2, 1.0, 2);
-        let [Action::Count(name, added, _)] = acts[..] else { panic!("{acts:?}") };
-        assert!(sent(&bench.event(Event::Counted(name, CounterAnswer::Total(added)))).is_some());
+        let [Action::AddToCounter(name, added, _)] = acts[..] else { panic!("{acts:?}") };
+        assert!(sent(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(added)))).is_some());
     }
     let (_, acts) = bench.ask(1, 2, 1.0, 2);
     assert!(refused(&acts) && acts.len() == 1, "{acts:?}");
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -52,7 +52,7 @@
     let mut old = Bench::new(settings(Plan { rate: 1e4, burst: 1e4, ..Plan::default() }), 1);
     assert!((0..50).all(|_| old.wait(20.0).serve(5, 1.0, 1)));
     let cold = BackendEntry { last_start: Some(old.now), ..entry(0) };
-    old.event(Event::Servers(ListKind::Changes, vec![cold]));
+    old.event(Event::BackendList(ListKind::Changes, vec![cold]));
     old.tick(2000.0);
     let _ = old.limiter.hand_over();
     assert!(!old.serve(5, 1.0, 1));
--- a/trials/src/scale/layers.rs
+++ b/trials/src/scale/layers.rs
@@ -60,7 +60,7 @@
             }
         });
         let entries = list.entries.iter().map(|entry| entry.entry).collect();
-        let (_, below) = measure(|| self.feed(now, Event::Servers(kind, entries)));
+        let (_, below) = measure(|| self.feed(now, Event::BackendList(kind, entries)));
         Kept { list: above.kept, decisions: below.kept }
     }
 
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -232,10 +232,10 @@
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => self.send(at, request, server),
-                Action::Refuse(..) => self.outcome.refused += 1,
+                Action::Reject(..) => self.outcome.refused += 1,
                 Action::SetTimer(wait, key) => self.timer(at, wait, key),
-                Action::Tell(to, bytes) => self.tell(at, to, bytes),
-                Action::Count(name, amount, keep) => self.count(at, name, amount, keep),
+                Action::SendToPeer(to, bytes) => self.tell(at, to, bytes),
+                Action::AddToCounter(name, amount, keep) => self.count(at, name, amount, keep),
                 _ => {}
             }
         }
@@ -273,7 +273,7 @@
         let answers =
             self.others.feed(millis(at + PEER_WAY), Event::PeerMessage(IngressId(0), bytes.clone()));
         for answer in answers {
-            if let Action::Tell(_, bytes) = answer {
+            if let Action::SendToPeer(_, bytes) = answer {
                 self.queue.push(at + 2 * PEER_WAY, Due::Feed(Event::PeerMessage(to, bytes)));
             }
         }
@@ -287,7 +287,7 @@
         self.counted[1] += line.len() as u64;
         self.total = (self.total + amount).min(10.0);
         let answer = CounterAnswer::Total(self.total);
-        self.queue.push(at + COUNTER_WAY, Due::Feed(Event::Counted(name, answer)));
+        self.queue.push(at + COUNTER_WAY, Due::Feed(Event::CounterAnswered(name, answer)));
     }
 
     fn sum_up(mut self) -> Played {
