--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -203,7 +203,7 @@
             if how == "ceiling" {
                 // Knows of no quota at all.
                 for plan in &mut settings.plans {
-                    (plan.rate, plan.open_cap, plan.ceiling_rate) = (0.0, 0.0, 0.0);
+                    (plan.rate, plan.max_in_flight, plan.ceiling_rate) = (0.0, 0.0, 0.0);
                 }
             }
             let inner = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -124,47 +124,52 @@
     let kind = |class: &Class| Kind {
         aim: f64::from(class.timeout) / 2.0,
         worth: 1.0,
-        effect: match class.effect {
+        retry_safety: match class.effect {
             Effect::Safe => Repeat::Safe,
-            Effect::Keyed { window } => Repeat::Keyed { group: DedupScope::All, window },
+            Effect::Keyed { window } => Repeat::Keyed { scope: DedupScope::All, window },
             Effect::Unsafe => Repeat::Unsafe,
         },
     };
     let quota = |i: usize| quota.get(i).copied().unwrap_or(1e6);
     Settings {
-        me: IngressId(0),
-        gateways,
+        ingress: IngressId(0),
+        ingress_count: gateways,
         zone: ZoneId(0),
         classes: work.classes.iter().map(kind).collect(),
         plans: vec![Plan { rate: quota(0), burst: quota(1), ..Plan::default() }],
-        largest: f64::from(work.units),
-        settles: false,
+        max_request_units: f64::from(work.units),
+        units_are_estimates: false,
         meter_period: 0.0,
         counter: false,
         counter_timeout: 50.0,
         peers: gateways > 1,
-        mail_per_second: 60.0,
+        peer_messages_per_second: 60.0,
         max_attempts: 4,
-        second_copies: false,
-        cancelling: true,
+        hedging: false,
+        cancellation: true,
         max_retry_after: 1000.0,
         list_on_request: false,
-        cold: ColdStart { from: 0.25, warm_after: 18_000.0, fall_multiple: 2.0, fall_window: 3000.0 },
-        zone_price: false,
+        cold: ColdStart {
+            initial_capacity: 0.25,
+            warm_after: 18_000.0,
+            overload_multiple: 2.0,
+            overload_window: 3000.0,
+        },
+        cross_zone_cost: false,
     }
 }
 
 /// Plays the work.
 pub fn play(work: &Work, fleet: &Fleet) -> Result<Report, String> {
     work.check()?;
-    let many = usize::from(fleet.settings.gateways);
+    let many = usize::from(fleet.settings.ingress_count);
     let report = Report::new(work.classes.iter().map(|class| class.name.as_str()))?;
     if fleet.settings.classes.len() < work.classes.len() || fleet.clients == 0 || fleet.cores == 0 {
         return Err("the fleet has too few classes, clients or cores".into());
     }
     let mut rng = fastrand::Rng::with_seed(work.seed);
     let node = |i: usize, seed: u64| -> Result<Node, String> {
-        let settings = Settings { me: IngressId(i as u16), ..fleet.settings.clone() };
+        let settings = Settings { ingress: IngressId(i as u16), ..fleet.settings.clone() };
         let limiter = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
         Ok(Node { limiter, life: 0, up: true, flows: HashMap::new(), next: HashMap::new() })
     };
@@ -371,7 +376,7 @@
                 }
             }
             What::Up(i) => {
-                let settings = Settings { me: IngressId(i as u16), ..self.fleet.settings.clone() };
+                let settings = Settings { ingress: IngressId(i as u16), ..self.fleet.settings.clone() };
                 if let Ok(limiter) = Limiter::new(settings, self.rng.u64(..)) {
                     (self.nodes[i].limiter, self.nodes[i].up) = (limiter, true);
                     self.start(i);
--- a/src/config/instance.rs
+++ b/src/config/instance.rs
@@ -63,7 +63,7 @@
             subset: subset::read(pairs)?,
             site,
         };
-        let (have, want) = (this.peers.len(), usize::from(this.site.settings.gateways));
+        let (have, want) = (this.peers.len(), usize::from(this.site.settings.ingress_count));
         if this.site.settings.peers && have != want {
             let reason = format!("lists {have} addresses, settings.balancers says {want}");
             return Err(ConfigError::invalid("peers", reason));
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -60,7 +60,7 @@
             Ok(ClassInfo {
                 name: pairs.get(&key("name"))?.unwrap_or_else(|| i.to_string()),
                 give_up: pairs.get(&key("giveUp"))?.unwrap_or(DEFAULT_GIVE_UP),
-                keyed: matches!(settings.classes[i].effect, RetrySafety::Keyed { .. }),
+                keyed: matches!(settings.classes[i].retry_safety, RetrySafety::Keyed { .. }),
             })
         };
         let plan = |i: usize| {
@@ -81,13 +81,14 @@
 
     /// Whether a request may draw so many units.
     pub fn good_units(&self, units: f64) -> bool {
-        let most = if self.settings.largest > 0.0 { self.settings.largest } else { f64::MAX };
+        let most =
+            if self.settings.max_request_units > 0.0 { self.settings.max_request_units } else { f64::MAX };
         units > 0.0 && units <= most
     }
 
     /// A customer's set, where there are such ingresses.
     pub fn good_set(&self, spread: u16, first: u16) -> Option<(u16, u16)> {
-        let all = self.settings.gateways;
+        let all = self.settings.ingress_count;
         ((1..=all).contains(&spread) && first < all).then_some((spread, first))
     }
 
@@ -106,30 +107,30 @@
     let advice: bool = pairs.opt("limits.retryAfter")?;
     let mode: String = pairs.opt("membershipMode")?;
     let settings = Settings {
-        me: IngressId(pairs.need("myNumber")?),
-        gateways: pairs.need("balancers")?,
+        ingress: IngressId(pairs.need("myNumber")?),
+        ingress_count: pairs.need("balancers")?,
         zone: ZoneId(pairs.opt("zone")?),
         classes: (0..classes).map(|i| read_class(pairs, i)).collect::<Result<_, _>>()?,
         plans: (0..plans).map(|i| read_plan(pairs, i)).collect::<Result<_, _>>()?,
-        largest: pairs.opt("familyInfo.largest")?,
-        settles: pairs.opt("familyInfo.truedUp")?,
+        max_request_units: pairs.opt("familyInfo.largest")?,
+        units_are_estimates: pairs.opt("familyInfo.truedUp")?,
         meter_period: pairs.opt("familyInfo.usePeriod")?,
         counter: pairs.opt("familyInfo.hasCounter")?,
         counter_timeout: pairs.opt("familyInfo.counterTimeout")?,
         peers: pairs.opt("limits.mayTell")?,
-        mail_per_second: pairs.opt("familyInfo.mailPerS")?,
+        peer_messages_per_second: pairs.opt("familyInfo.mailPerS")?,
         max_attempts: pairs.need("limits.maxAttempts")?,
-        second_copies: pairs.opt("limits.secondCopies")?,
-        cancelling: pairs.opt("limits.cancelling")?,
+        hedging: pairs.opt("limits.secondCopies")?,
+        cancellation: pairs.opt("limits.cancelling")?,
         max_retry_after: if advice { pairs.opt("limits.maxRetryAfter")? } else { 0.0 },
         list_on_request: mode == "on_request",
         cold: ColdStart {
-            from: pairs.need("rules.coldFrom")?,
+            initial_capacity: pairs.need("rules.coldFrom")?,
             warm_after: pairs.need("rules.cold")?,
-            fall_multiple: pairs.need("rules.fallMultiple")?,
-            fall_window: pairs.need("rules.overloadFor")?,
+            overload_multiple: pairs.need("rules.fallMultiple")?,
+            overload_window: pairs.need("rules.overloadFor")?,
         },
-        zone_price: pairs.opt::<f64>("prices.crossZone")? > 0.0,
+        cross_zone_cost: pairs.opt::<f64>("prices.crossZone")? > 0.0,
     };
     settings.check().map_err(|e| ConfigError::Settings(e.to_string()))?;
     Ok(settings)
@@ -138,24 +139,24 @@
 /// Reads the class of this place in the list.
 fn read_class(pairs: &Pairs, i: usize) -> Result<Class, ConfigError> {
     let key = |name: &str| format!("classes.{i}.{name}");
-    let effect: String = pairs.need(&key("effect"))?;
-    let effect = match effect.as_str() {
+    let retry_safety: String = pairs.need(&key("effect"))?;
+    let retry_safety = match retry_safety.as_str() {
         "read_like" => RetrySafety::Safe,
         "non_idempotent" => RetrySafety::Unsafe,
         "idempotency_key" => {
-            let group: String = pairs.need(&key("group"))?;
-            let group = match group.as_str() {
+            let scope: String = pairs.need(&key("group"))?;
+            let scope = match scope.as_str() {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
                 "cell" => DedupScope::Cell,
-                _ => return Err(ConfigError::unreadable(key("group"), &group)),
+                _ => return Err(ConfigError::unreadable(key("group"), &scope)),
             };
-            RetrySafety::Keyed { group, window: pairs.need(&key("window"))? }
+            RetrySafety::Keyed { scope, window: pairs.need(&key("window"))? }
         }
-        _ => return Err(ConfigError::unreadable(key("effect"), &effect)),
+        _ => return Err(ConfigError::unreadable(key("effect"), &retry_safety)),
     };
     let worth = pairs.get(&key("worth"))?.unwrap_or(DEFAULT_WORTH);
-    Ok(Class { aim: pairs.need(&key("aim"))?, worth, effect })
+    Ok(Class { aim: pairs.need(&key("aim"))?, worth, retry_safety })
 }
 
 /// Reads the plan of this place in the list.
@@ -164,10 +165,10 @@
     Ok(Plan {
         rate: pairs.need(&key("perSecond"))?,
         burst: pairs.need(&key("storeSize"))?,
-        open_cap: pairs.need(&key("atOnce"))?,
+        max_in_flight: pairs.need(&key("atOnce"))?,
         ceiling_rate: pairs.need(&key("ceilingRate"))?,
         ceiling_burst: pairs.need(&key("neverOverDepth"))?,
-        extra_worth: pairs.opt(&key("extraWorth"))?,
+        excess_worth: pairs.opt(&key("extraWorth"))?,
         excess_cost: pairs.opt(&key("excessCost"))?,
     })
 }
--- a/src/fronts/ext_authz/mod.rs
+++ b/src/fronts/ext_authz/mod.rs
@@ -65,7 +65,7 @@
         };
         let (spread, first) = match get(&self.authz.set) {
             Some(text) => self.set(text).ok_or_else(|| bad("the set cannot be read"))?,
-            None => (self.site.settings.gateways, 0),
+            None => (self.site.settings.ingress_count, 0),
         };
         let timeout = check.metadata.get("grpc-timeout").map(|value| timeout(value.as_bytes()));
         let left = match timeout {
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -42,7 +42,7 @@
     let class = class.ok_or((404, "the path names no class"))?;
     let info = &site.classes[class];
     let keyed = info.keyed;
-    let safe = site.settings.classes[class].effect == RetrySafety::Safe;
+    let safe = site.settings.classes[class].retry_safety == RetrySafety::Safe;
     let bodiless = safe && method == b"HEAD";
     if !bodiless && method != if safe { b"GET".as_slice() } else { b"POST".as_slice() } {
         return Err((405, "the class takes the other method"));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -63,7 +63,7 @@
     /// Nothing within the group and for this long from the first attempt that may have run.
     Keyed {
         /// Which servers drop it.
-        group: DedupScope,
+        scope: DedupScope,
         /// For how long.
         window: Millis,
     },
@@ -73,11 +73,11 @@
 
 impl RetrySafety {
     /// Whether a request whose first attempt at `first`, if that is still known, may have run can go to `other`.
-    pub fn allows_at(&self, first: Option<&BackendEntry>, other: &BackendEntry) -> bool {
+    pub fn allows_backend(&self, first: Option<&BackendEntry>, other: &BackendEntry) -> bool {
         match self {
-            Self::Safe | Self::Keyed { group: DedupScope::All, .. } => true,
-            Self::Keyed { group: DedupScope::Zone, .. } => first.is_some_and(|s| s.zone == other.zone),
-            Self::Keyed { group: DedupScope::Cell, .. } => first.is_some_and(|s| s.cell == other.cell),
+            Self::Safe | Self::Keyed { scope: DedupScope::All, .. } => true,
+            Self::Keyed { scope: DedupScope::Zone, .. } => first.is_some_and(|s| s.zone == other.zone),
+            Self::Keyed { scope: DedupScope::Cell, .. } => first.is_some_and(|s| s.cell == other.cell),
             Self::Unsafe => false,
         }
     }
@@ -105,7 +105,7 @@
     /// What a unit of it is worth.
     pub worth: f64,
     /// What a repeat does.
-    pub effect: RetrySafety,
+    pub retry_safety: RetrySafety,
 }
 
 /// A plan: the quotas that each of its customers has over all gateways together.
@@ -116,20 +116,20 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts out at once; 0 for no such quota.
-    pub open_cap: f64,
+    pub max_in_flight: f64,
     /// Units a second of the hard ceiling; 0 for none.
     pub ceiling_rate: f64,
     /// Units of the ceiling that may be used at once.
     pub ceiling_burst: f64,
     /// What a request beyond the quota earns, as a part of its worth.
-    pub extra_worth: f64,
+    pub excess_worth: f64,
     /// What a request beyond the quota costs, as a part of its worth.
     pub excess_cost: f64,
 }
 
 impl Plan {
     /// The chance of being inside the quota at which sending on earns as much as it costs.
-    pub(crate) fn breaks_even(&self) -> f64 {
+    pub(crate) fn break_even_probability(&self) -> f64 {
         self.excess_cost / (1.0 + self.excess_cost)
     }
 }
@@ -138,19 +138,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
     /// The part of its full work that it can do at first.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// The time until it is warm.
     pub warm_after: Millis,
     /// It falls over at this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_window: Millis,
+    pub overload_window: Millis,
 }
 
 impl ColdStart {
     /// The part of its full work that a server can do at this age, at the least.
     pub fn warmth(&self, age: Millis) -> f64 {
-        (self.from + (1.0 - self.from) * age.max(0.0) / self.warm_after.max(1.0)).min(1.0)
+        (self.initial_capacity + (1.0 - self.initial_capacity) * age.max(0.0) / self.warm_after.max(1.0))
+            .min(1.0)
     }
 
     /// The same for a server that started at `started`; one that started long ago, none, is warm.
@@ -168,9 +169,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// This gateway's number.
-    pub me: IngressId,
+    pub ingress: IngressId,
     /// How many gateways there are.
-    pub gateways: u16,
+    pub ingress_count: u16,
     /// This gateway's zone.
     pub zone: ZoneId,
     /// The classes of requests.
@@ -178,9 +179,9 @@
     /// The plans.
     pub plans: Vec<Plan>,
     /// The most units of one request.
-    pub largest: f64,
+    pub max_request_units: f64,
     /// Units of a request are a guess that the answer settles.
-    pub settles: bool,
+    pub units_are_estimates: bool,
     /// The period of the meter; 0 for no meter.
     pub meter_period: Millis,
     /// The shared counter may be called.
@@ -190,13 +191,13 @@
     /// Messages to peers may be sent.
     pub peers: bool,
     /// Messages a second that a gateway takes in.
-    pub mail_per_second: f64,
+    pub peer_messages_per_second: f64,
     /// The most attempts of a request.
     pub max_attempts: u16,
     /// A request may have two attempts out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
-    pub cancelling: bool,
+    pub cancellation: bool,
     /// The longest advice to keep away that clients follow; 0 for none.
     pub max_retry_after: Millis,
     /// The list of servers comes only on request.
@@ -204,12 +205,12 @@
     /// How started servers are to be spared.
     pub cold: ColdStart,
     /// An attempt across zones costs something.
-    pub zone_price: bool,
+    pub cross_zone_cost: bool,
 }
 
 impl Settings {
     /// Whether there is such a plan and such a class.
-    pub(crate) fn has(&self, plan: PlanId, class: ClassId) -> bool {
+    pub(crate) fn defines(&self, plan: PlanId, class: ClassId) -> bool {
         plan.0 < self.plans.len() && class.0 < self.classes.len()
     }
 
@@ -224,7 +225,7 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let error = |what: &str| Err(SettingsError(what.to_owned()));
         let good = |x: f64| x.is_finite() && x >= 0.0;
-        if self.classes.is_empty() || self.gateways == 0 || self.max_attempts == 0 {
+        if self.classes.is_empty() || self.ingress_count == 0 || self.max_attempts == 0 {
             return error("there must be a class, a gateway and an attempt at least");
         }
         if !self.classes.iter().all(|c| good(c.aim) && c.aim > 0.0) {
@@ -234,10 +235,16 @@
             return error("a class has a worth that is negative or no number");
         }
         let figures = |p: &Plan| {
-            [p.rate, p.burst, p.open_cap, p.ceiling_rate, p.ceiling_burst, p.extra_worth, p.excess_cost]
+            [p.rate, p.burst, p.max_in_flight, p.ceiling_rate, p.ceiling_burst, p.excess_worth, p.excess_cost]
         };
-        let cold = [self.cold.from, self.cold.warm_after, self.cold.fall_multiple, self.cold.fall_window];
-        let others = [self.mail_per_second, self.max_retry_after, self.largest, self.meter_period];
+        let cold = [
+            self.cold.initial_capacity,
+            self.cold.warm_after,
+            self.cold.overload_multiple,
+            self.cold.overload_window,
+        ];
+        let others =
+            [self.peer_messages_per_second, self.max_retry_after, self.max_request_units, self.meter_period];
         let others = others.into_iter().chain([self.counter_timeout]);
         if !self.plans.iter().flat_map(figures).chain(cold).chain(others).all(good) {
             return error("a figure is negative or no number");
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -59,7 +59,7 @@
     /// Watches for ever, from the generation that is known, if any; every list goes to `tell`. Silence, failures and
     /// garbage leave the list as it is.
     pub async fn run(self, mut known: Option<u64>, mut tell: impl FnMut(List)) {
-        let mut pacing = Pacing::new(self.site.settings.gateways, BACKOFF, self.seed);
+        let mut pacing = Pacing::new(self.site.settings.ingress_count, BACKOFF, self.seed);
         let pushed = !self.site.settings.list_on_request;
         // Who knows no list cannot serve without one.
         let mut pause = if known.is_some() && !pushed { pacing.first() } else { 0.0 };
--- a/src/node.rs
+++ b/src/node.rs
@@ -259,11 +259,11 @@
             let now = deadlines.clock().now();
             let me = Identity {
                 name: instance.name.clone(),
-                number: site.settings.me.0,
+                number: site.settings.ingress.0,
                 at: fleet.advertise,
                 born: now as u64,
             };
-            let of = FleetId { key: fleet_key(&fleet.name), size: site.settings.gateways };
+            let of = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
             let cluster =
                 Cluster::new(me, of, fleet.seeds.clone(), Timing::default(), instance.seed ^ 2, now);
             let cluster: SharedCluster = Rc::new(RefCell::new(cluster));
@@ -300,7 +300,8 @@
         };
         let maintenance = Maintenance::with(out);
         let deciding = (limiter, maintenance);
-        let subset = instance.subset.map(|size| Subset::new(site.settings.me, site.settings.gateways, size));
+        let subset =
+            instance.subset.map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
         let engine = Engine::new(deciding, deadlines.clone(), news, outlets, bounds, log.clone());
         let engine = engine.with_subset(subset);
         parts.spawn_local(engine.run(known));
@@ -381,7 +382,7 @@
             consul,
             ways: ways.clone(),
             places: instance.site.places.clone(),
-            instances: instance.site.settings.gateways,
+            instances: instance.site.settings.ingress_count,
             deadlines: self.deadlines.clone(),
             seed: instance.seed,
             witness,
--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -44,7 +44,7 @@
         acts: &mut Vec<Action>,
     ) {
         match mail {
-            Some(Mail::Ask { seq, of, unasked, pressure }) if self.set.has(of.plan, of.class) => {
+            Some(Mail::Ask { seq, of, unasked, pressure }) if self.set.defines(of.plan, of.class) => {
                 self.hear_pressure(now, pressure);
                 let (granted, more) = self.decide(now, (from, seq), &of, unasked);
                 let pressure = Some(self.taken.or(0.0));
@@ -65,7 +65,7 @@
     pub(crate) fn release(&mut self, open: &Open, acts: &mut Vec<Action>) {
         let Some((home, seq)) = open.home else { return };
         let done = Mail::Done { seq, customer: open.request.customer };
-        match home == self.set.me {
+        match home == self.set.ingress {
             true => self.on_home_mail(0.0, home, Some(done), acts),
             false => acts.push(Action::SendToPeer(home, done.bytes())),
         }
@@ -112,7 +112,7 @@
 /// What one attempt out counts beside units in one number; 0 where a slice of the cap is far below one.
 pub(crate) fn counter_step(plan: &Plan, spread: u16) -> f64 {
     let most = plan.rate.max(1.0) * COUNTER_KEEP[0] / 1000.0 + plan.burst;
-    let counts = plan.open_cap > 0.0 && f64::from(spread) <= FEW;
+    let counts = plan.max_in_flight > 0.0 && f64::from(spread) <= FEW;
     if counts { (2.0 * most).log2().ceil().exp2() } else { 0.0 }
 }
 
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -178,7 +178,7 @@
 impl Limiter {
     /// Whether a customer's unused units are pooled at the counter.
     pub(crate) fn pooled(&self, plan: PlanId, spread: u16) -> bool {
-        let (plan, spread) = (self.plan(plan), spread.min(self.set.gateways));
+        let (plan, spread) = (self.plan(plan), spread.min(self.set.ingress_count));
         self.source == Source::Counter && spread > 1 && has_pool(&plan, spread)
     }
 
@@ -200,7 +200,7 @@
         if !self.pooled(plan, spread) {
             return false;
         }
-        let (plan, largest) = (self.plan(plan), self.set.largest.max(1.0));
+        let (plan, largest) = (self.plan(plan), self.set.max_request_units.max(1.0));
         let Some(customer) = self.customers.get_mut(&id) else { return false };
         customer.fill(now, plan.rate, &plan, largest);
         let enough = customer.set_aside_unused(now, [POOL.lend_least * largest, POOL.most * plan.burst]);
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -148,12 +148,12 @@
 impl Limiter {
     /// How many living ingresses come before this one in the order in which they fill a cold backend.
     pub(crate) fn slow_start_rank(&self, id: BackendId) -> u16 {
-        let order = FillOrder::new(id, self.set.gateways);
-        let own = order.rank(self.set.me);
+        let order = FillOrder::new(id, self.set.ingress_count);
+        let own = order.rank(self.set.ingress);
         match &self.living {
             Some(_) => {
                 let before = |of: &IngressId| order.rank(*of) < own && self.lives(*of);
-                (0..self.set.gateways).map(IngressId).filter(before).count() as u16
+                (0..self.set.ingress_count).map(IngressId).filter(before).count() as u16
             }
             None => own,
         }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -119,7 +119,7 @@
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.check()?;
         let source = match &set {
-            s if s.peers && s.mail_per_second > 0.0 => Source::Peers,
+            s if s.peers && s.peer_messages_per_second > 0.0 => Source::Peers,
             s if s.counter => Source::Counter,
             s if s.meter_period > 0.0 => Source::Meter,
             _ => Source::Nowhere,
@@ -155,13 +155,13 @@
 
     /// The part of a floor for each gateway that keeps the sum of all within that of a few.
     fn few(&self) -> f64 {
-        FEW / FEW.max(f64::from(self.set.gateways))
+        FEW / FEW.max(f64::from(self.set.ingress_count))
     }
 
     /// The interval at which the peers' mail limit takes in reports of all.
     fn report_gap(&self) -> Millis {
-        let listeners = f64::from(self.set.gateways.max(2) - 1);
-        1000.0 * listeners / (self.set.mail_per_second.max(1.0) * MAIL_SHARE)
+        let listeners = f64::from(self.set.ingress_count.max(2) - 1);
+        1000.0 * listeners / (self.set.peer_messages_per_second.max(1.0) * MAIL_SHARE)
     }
 
     pub(crate) fn report_every(&self) -> Millis {
@@ -175,9 +175,9 @@
 
     /// The gateway of the set that keeps the customer's quota, or the next in line while that is silent.
     fn home(&self, now: Millis, request: &Request) -> Option<IngressId> {
-        let in_line = request.in_line(self.set.gateways);
+        let in_line = request.in_line(self.set.ingress_count);
         let well = |id: &IngressId| self.lives(*id) && self.peers.get(id).is_none_or(|p| p.gone_until <= now);
-        in_line.into_iter().find(|id| *id == self.set.me || well(id))
+        in_line.into_iter().find(|id| *id == self.set.ingress || well(id))
     }
 
     fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<BackendEntry>, acts: &mut Acts) {
@@ -221,9 +221,9 @@
         self.count_warm(now);
         // Prevents many gateways, each of which meets a server once in a while, from a handshake for every
         // other request. Each server is near to as many of them, so the load stays even.
-        let near = f64::from(self.set.gateways) * NEAR / self.warm.count.max(NEAR);
-        let few = f64::from(self.set.gateways) <= FEW;
-        let place = |id: BackendId| f64::from(self.set.me.place_after(id, self.set.gateways));
+        let near = f64::from(self.set.ingress_count) * NEAR / self.warm.count.max(NEAR);
+        let few = f64::from(self.set.ingress_count) <= FEW;
+        let place = |id: BackendId| f64::from(self.set.ingress.place_after(id, self.set.ingress_count));
         let is_near = |id: &&BackendId| !few && !self.cold.contains(id) && place(**id) < near;
         self.near = self.ready.iter().filter(is_near).copied().collect();
     }
@@ -239,7 +239,7 @@
         let slow = server.slowness(now, SLOWNESS_TAU).max(0.2).max(server.waiting(now) * OUTLIER / SILENCE);
         // Prevents a server that tells nothing, as its answers never come, from looking idler.
         let (own, busy) = (server.out.len() as f64, 1.0 / (1.3 - server.busy.or(self.busy.or(0.3))));
-        let far = self.set.zone_price && server.entry.zone != self.set.zone;
+        let far = self.set.cross_zone_cost && server.entry.zone != self.set.zone;
         slow * busy * (IDLE + own / server.weight()) * if far { ZONE_FACTOR } else { 1.0 }
     }
 
@@ -250,9 +250,9 @@
     }
 
     fn pick(&mut self, now: Millis, open: &Open) -> Option<BackendId> {
-        let effect = self.set.classes[open.request.class.0].effect;
+        let effect = self.set.classes[open.request.class.0].retry_safety;
         let home = open.risky.and_then(|i| self.servers.get(&open.attempts[i].server)).map(|s| s.entry);
-        let in_group = |id: &&BackendId| effect.allows_at(home.as_ref(), &self.servers[*id].entry);
+        let in_group = |id: &&BackendId| effect.allows_backend(home.as_ref(), &self.servers[*id].entry);
         let group = open.risky.map(|_| self.ready.iter().filter(in_group).copied().collect::<Vec<_>>());
         if group.is_none()
             && let Some(id) = self.cold_turn(now, open)
@@ -331,8 +331,8 @@
 
     fn customer(&mut self, now: Millis, request: &Request) -> &mut Customer {
         let plan = self.plan(request.plan);
-        let (started, spread) = (self.started, request.spread.clamp(1, self.set.gateways));
-        let (n, least) = (f64::from(spread), self.set.largest.max(1.0).min(plan.burst));
+        let (started, spread) = (self.started, request.spread.clamp(1, self.set.ingress_count));
+        let (n, least) = (f64::from(spread), self.set.max_request_units.max(1.0).min(plan.burst));
         // An unknown store is not a full one, nor is a whole request each gateway's part where they are many.
         let chance = request.units * self.rng.unit();
         let store = if n > FEW { plan.burst / n + chance } else { (plan.burst / n).max(least) };
@@ -379,12 +379,13 @@
         let pooled = self.pooled(customer.plan, customer.spread);
         // Prevents gateways that see the same units from all granting them before they hear of each other:
         // what others may draw meanwhile stays in the store, so that a second grant still finds its units.
-        let most = f64::from(self.source == Source::Peers) * self.set.largest.max(1.0).min(plan.burst / 3.0);
+        let most = f64::from(self.source == Source::Peers)
+            * self.set.max_request_units.max(1.0).min(plan.burst / 3.0);
         let ahead = (customer.asked_elsewhere(now, DEMAND_TAU) * AHEAD / 1000.0).min(most);
         let rate = if self.source == Source::Meter { plan.rate * part } else { plan.rate };
         let Some(customer) = self.customers.get_mut(&id) else { return 0.0 };
         customer.living = living;
-        let (store, slice) = customer.fill(now, rate, &plan, self.set.largest.max(1.0));
+        let (store, slice) = customer.fill(now, rate, &plan, self.set.max_request_units.max(1.0));
         if pooled {
             return customer.pooled_units();
         }
@@ -405,7 +406,7 @@
     pub(crate) fn capacity(&self) -> f64 {
         // To begin with there is room for a few requests: what all can do is not known yet.
         let start = FIRST_UNITS * self.able.max(1.0) * self.few();
-        self.capacity.unwrap_or(start.max(2.0 * self.set.largest.max(1.0))).max(self.least())
+        self.capacity.unwrap_or(start.max(2.0 * self.set.max_request_units.max(1.0))).max(self.least())
     }
 
     /// How much of their aims answers take. Prevents gateways that see few answers each from cutting their
@@ -419,7 +420,7 @@
     /// The least capacity: a floor for all gateways together.
     fn least(&self) -> f64 {
         let least = self.mean_units().map_or(FIRST_UNITS, |units| units * LEAST_REQUESTS);
-        (self.ready.len() as f64).max(1.0) * least / f64::from(self.set.gateways)
+        (self.ready.len() as f64).max(1.0) * least / f64::from(self.set.ingress_count)
     }
 
     /// Steps 2 and 3: whether the request fits its customer's reservation or the shared room.
@@ -443,7 +444,7 @@
             return plan.rate * part * self.mean_latency(class) / 1000.0;
         }
         // A plan without a rate has no rate slice: half its slice of attempts is its own.
-        plan.open_cap * part / 2.0 * self.classes[class.0].units.or(1.0)
+        plan.max_in_flight * part / 2.0 * self.classes[class.0].units.or(1.0)
     }
 
     fn admit(&mut self, now: Millis, request: &Request, known: Known) -> Verdict {
@@ -464,7 +465,7 @@
         }
         let inside =
             known != Known::Denied && (plan.rate <= 0.0 || available >= weight || known == Known::Likely);
-        let soft = plan.ceiling_rate <= 0.0 && plan.extra_worth > plan.excess_cost;
+        let soft = plan.ceiling_rate <= 0.0 && plan.excess_worth > plan.excess_cost;
         if !inside && !soft {
             let refill = 1000.0 * (weight - available) / (plan.rate * part.max(0.05));
             // Who was turned away for want of news may come again while an answer is still of use.
@@ -473,11 +474,11 @@
             return Verdict::Refused(refill.max(customer.quiet_until - now).min(soon));
         }
         // 1. The in-flight limit; a small cap must not round to nothing.
-        if plan.open_cap > 0.0 && inside {
-            let share = plan.open_cap * part.max(even);
+        if plan.max_in_flight > 0.0 && inside {
+            let share = plan.max_in_flight * part.max(even);
             let others = self.out_elsewhere(customer, now - self.report_every() * SILENT_REPORTS);
             // Prevents floors that together pass the cap: what peers have out, or may have begun, counts.
-            let left = plan.open_cap - others;
+            let left = plan.max_in_flight - others;
             let unheard = self.report_every() / REPORT[0];
             let (hears, out) = (self.hears(now, customer), customer.out);
             let rate = if plan.rate > 0.0 { plan.rate * (1.0 - even) * USED.0 } else { f64::INFINITY };
@@ -487,8 +488,8 @@
                 Source::Counter if hears && counter_step(&plan, customer.spread) > 0.0 => left,
                 // By what the others' rate lets them have out it is more likely to fit than not to pay.
                 Source::Counter if even * FEW < 1.0 && elsewhere.is_finite() => {
-                    let fits = poisson_below(plan.open_cap - out, elsewhere * USED.1);
-                    if fits > plan.breaks_even() { plan.open_cap } else { share }
+                    let fits = poisson_below(plan.max_in_flight - out, elsewhere * USED.1);
+                    if fits > plan.break_even_probability() { plan.max_in_flight } else { share }
                 }
                 // Over many gateways a chance stands for the part of one.
                 _ if even * FEW < 1.0 && share < 1.0 => f64::from(self.rng.unit() < share),
@@ -533,12 +534,12 @@
         let plan = self.plan(request.plan);
         let (spread, out, quiet) =
             self.customers.get(&request.customer).map(|c| (c.spread, c.out, c.quiet_until))?;
-        let quota = spread > 1 && (plan.rate > 0.0 || plan.open_cap > 0.0);
+        let quota = spread > 1 && (plan.rate > 0.0 || plan.max_in_flight > 0.0);
         if !quota || self.ceiling(now, request.customer, &plan) < request.units {
             return Some(Known::Alone);
         }
         // Prevents asks whose answer cannot help: the refusal goes out at once.
-        let full = plan.open_cap > 0.0 && out >= plan.open_cap;
+        let full = plan.max_in_flight > 0.0 && out >= plan.max_in_flight;
         if now < quiet || full || !self.has_room(now, &request) {
             return Some(Known::Denied);
         }
@@ -552,8 +553,8 @@
         let Some(home) = self.home(now, &request) else { return Some(Known::Alone) };
         self.asks = (self.asks + 1) & 0x3fff;
         let seq = self.asks;
-        open.home = (plan.open_cap > 0.0).then_some((home, seq));
-        if home == self.set.me {
+        open.home = (plan.max_in_flight > 0.0).then_some((home, seq));
+        if home == self.set.ingress {
             let (granted, quiet) = self.decide(now, (home, seq), &request.ask(), unasked);
             let customer = self.customers.get_mut(&request.customer)?;
             (customer.unasked, customer.quiet_until) = (0.0, if granted { 0.0 } else { now + quiet });
@@ -577,10 +578,11 @@
     ) -> (bool, f64) {
         let plan = self.plan(of.plan);
         // Huge or odd figures must not change a quota for the better.
-        let units = of.units.clamp(0.25, self.set.largest.max(1.0));
-        let unasked = unasked.max(-self.set.largest);
+        let units = of.units.clamp(0.25, self.set.max_request_units.max(1.0));
+        let unasked = unasked.max(-self.set.max_request_units);
         let end = now + self.set.classes[of.class.0].aim;
-        let store = Bucket::new((plan.burst * UNKNOWN).max(self.set.largest).min(plan.burst), self.started);
+        let store =
+            Bucket::new((plan.burst * UNKNOWN).max(self.set.max_request_units).min(plan.burst), self.started);
         let ledger = self.ledgers.entry(of.customer).or_insert_with(|| Ledger::new(store, QUIET[0]));
         ledger.seen = now;
         ledger.asked.add(now, 1.0, SHORT_TAU);
@@ -593,14 +595,14 @@
         let (level, asked) = (ledger.store.level, ledger.asked.per_second(now, SHORT_TAU));
         // Prevents a flood of asks beyond what the mail limit bears. Every ask tells: a home that grants most
         // of them denies too few to learn from these alone that the flood is over.
-        let most = (self.set.mail_per_second * ASKS).max(1.0);
+        let most = (self.set.peer_messages_per_second * ASKS).max(1.0);
         ledger.quiet = (ledger.quiet * if asked > most { 1.1 } else { 0.9 }).clamp(QUIET[0], QUIET[1]);
         let fits = plan.rate <= 0.0 || level >= units;
-        if fits && (plan.open_cap <= 0.0 || (ledger.out.len() as f64) < plan.open_cap) {
+        if fits && (plan.max_in_flight <= 0.0 || (ledger.out.len() as f64) < plan.max_in_flight) {
             ledger.store.level -= units;
             ledger.out.insert(who, end);
             let ahead = (level - units - plan.burst / 2.0).max(0.0) / 2.0 / asked.max(1.0);
-            return (true, if plan.open_cap > 0.0 { 0.0 } else { ahead });
+            return (true, if plan.max_in_flight > 0.0 { 0.0 } else { ahead });
         }
         let refill = if fits { 0.0 } else { 1000.0 * (units - level) / plan.rate };
         (false, ledger.quiet.max(refill).min(QUIET[1]))
@@ -658,7 +660,7 @@
     /// that each see a part from granting the same units.
     fn hold(&mut self, now: Millis, request: &Request, acts: &mut Acts) -> Option<Known> {
         let plan = self.plan(request.plan);
-        let quota = plan.rate > 0.0 || plan.open_cap > 0.0;
+        let quota = plan.rate > 0.0 || plan.max_in_flight > 0.0;
         let short = request.left < CALLS.2 * self.set.counter_timeout;
         // Prevents calls for tries that the ceiling or the full room turns away: floods would use them up.
         let shut = self.in_flight + request.units > self.capacity()
@@ -669,11 +671,11 @@
         let (known, likely, decides) = self.likely(now, request);
         let customer = self.customers.get_mut(&request.customer)?;
         // Nor does a call help where the last answer holds, or all that the cap allows is out here.
-        if now < customer.quiet_until || (plan.open_cap > 0.0 && customer.out >= plan.open_cap) {
+        if now < customer.quiet_until || (plan.max_in_flight > 0.0 && customer.out >= plan.max_in_flight) {
             return Some(Known::Denied);
         }
         let single = sparse(&plan, customer.spread);
-        let (_, slice) = customer.fill(now, plan.rate, &plan, self.set.largest.max(1.0));
+        let (_, slice) = customer.fill(now, plan.rate, &plan, self.set.max_request_units.max(1.0));
         if customer.spread <= 1 {
             return Some(Known::Alone);
         }
@@ -707,7 +709,7 @@
     /// Prevents customers that each gateway sees once a day from being refused for slices far below one
     /// request. It could harm where a few customers ask most of what is asked.
     fn likely(&mut self, now: Millis, request: &Request) -> (Known, f64, f64) {
-        let even = self.plan(request.plan).breaks_even();
+        let even = self.plan(request.plan).break_even_probability();
         let fit = self.fit.get(&(request.plan, request.repeat));
         let fit = fit.map_or(even, |f| f.read(now, even, FIT_TAU));
         // Only what the back end has room for: where it is pressed, tries that are known to fit come first.
@@ -723,7 +725,8 @@
         open.counted = counted;
         let verdict = self.admit(now, &request, known);
         let inside = verdict == Verdict::Inside;
-        let single = self.source == Source::Counter && sparse(&plan, request.spread.min(self.set.gateways));
+        let single =
+            self.source == Source::Counter && sparse(&plan, request.spread.min(self.set.ingress_count));
         if counted && single {
             self.fit.entry((request.plan, request.repeat)).or_default().add(now, inside, FIT_TAU);
         }
@@ -756,11 +759,11 @@
         let patience = (usual * PATIENCE.0).max(class.aim * PATIENCE.1) * hurry;
         let well = self.retries >= 1.0 && self.pressure(now) < PRESSED && patience + usual < left;
         let more = open.attempts.len() + 1 < usize::from(self.set.max_attempts);
-        let again = class.effect != RetrySafety::Unsafe && well && more;
+        let again = class.retry_safety != RetrySafety::Unsafe && well && more;
         // Prevents an answer that never comes from pinning a capped customer's attempts.
-        let capped = hurry < 1.0 && self.plan(open.request.plan).open_cap > 0.0 && class.aim < left;
+        let capped = hurry < 1.0 && self.plan(open.request.plan).max_in_flight > 0.0 && class.aim < left;
         let wait = if again { Some(patience) } else { capped.then_some(class.aim) };
-        let within = open.within(now, &class.effect);
+        let within = open.within(now, &class.retry_safety);
         let no = AttemptIndex(u16::try_from(open.attempts.len()).unwrap_or(u16::MAX));
         let units = open.request.units;
         if let Some(server) = self.servers.get_mut(&id) {
@@ -790,7 +793,7 @@
         if let Some(customer) = self.customers.get_mut(&request.customer) {
             customer.returned(request.units);
             // A cap shared with others goes by what is out: tell them of the end, not of sends alone.
-            if plan.open_cap > 0.0 {
+            if plan.max_in_flight > 0.0 {
                 self.untold.insert(request.customer);
                 customer.call.pending[1] -= f64::from(open.counted);
             }
@@ -808,7 +811,7 @@
         if open.done {
             return self.release(&open, acts);
         }
-        let effect = self.set.classes[request.class.0].effect;
+        let effect = self.set.classes[request.class.0].retry_safety;
         let allowed =
             open.risky.is_none_or(|first| effect.allows_after(now + 1.0 - open.attempts[first].sent));
         let time = open.deadline - now > self.usual(request.class, request.units) / 2.0;
@@ -821,7 +824,7 @@
         self.release(&open, acts);
         // A refusal promises that nothing ran, or that a repeat does no harm.
         let harmless =
-            matches!(effect, RetrySafety::Safe | RetrySafety::Keyed { group: DedupScope::All, .. });
+            matches!(effect, RetrySafety::Safe | RetrySafety::Keyed { scope: DedupScope::All, .. });
         let refuse = open.risky.is_none() || (harmless && open.deadline > now && allowed);
         let advice = self.advice(self.mean_latency(request.class));
         acts.push(if refuse { Action::Reject(request.id, advice) } else { Action::Fail(request.id) });
@@ -834,7 +837,7 @@
         let (served, failed) = (end.outcome == Outcome::Served, end.outcome.may_have_run());
         let (mut silent, mut overtaken, full) = (false, false, end.outcome == Outcome::Rejected);
         let unreached = end.outcome == Outcome::ConnectFailed;
-        let (cold, window) = (self.set.cold, self.set.cold.fall_window.max(1.0));
+        let (cold, window) = (self.set.cold, self.set.cold.overload_window.max(1.0));
         let judged = !matches!(end.outcome, Outcome::NotSent | Outcome::Cancelled);
         // Work that cold, drained or gone ones finish says nothing of what a warm one takes.
         let warm = |s: &Server| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
@@ -896,7 +899,7 @@
         let pause = self.mean_latency(request.class).min(aim * PRESSED);
         if (taken > PRESSED || waits > HANGING.0) && !silent && now - self.cut_at > pause {
             // From what is out, not from an estimate that was never tried: prevents one stuck high.
-            let tried = capacity.min((self.in_flight + request.units).max(2.0 * self.set.largest));
+            let tried = capacity.min((self.in_flight + request.units).max(2.0 * self.set.max_request_units));
             self.capacity = Some((tried * CUT).max(self.least()));
             self.cut_at = now;
         } else if served && taken.max(waits) < PRESSED && self.in_flight + request.units > capacity / 2.0 {
@@ -935,7 +938,7 @@
 
     fn on_message(&mut self, now: Millis, from: IngressId, bytes: &[u8], acts: &mut Acts) {
         let Some((incarnation, rest)) = bytes.split_first() else { return };
-        if from == self.set.me || from.0 >= self.set.gateways {
+        if from == self.set.ingress || from.0 >= self.set.ingress_count {
             return;
         }
         if self.homes() {
@@ -951,7 +954,7 @@
     }
 
     fn on_counted(&mut self, now: Millis, id: CustomerId, answer: CounterAnswer, acts: &mut Acts) {
-        let (me, name) = (self.set.me, id);
+        let (me, name) = (self.set.ingress, id);
         let Some(customer) = self.customers.get_mut(&id) else { return };
         let Some([added, out]) = customer.call.waiting.take() else { return };
         let plan = self.set.plans.get(customer.plan.0).cloned().unwrap_or_default();
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -32,11 +32,11 @@
 impl Limiter {
     /// Whether a cold backend may get a request of these units now; a yes uses its part of the slice.
     pub(crate) fn slow_start_admits(&mut self, now: Millis, id: BackendId, units: f64) -> bool {
-        let (largest, window) = (self.set.largest.max(1.0), self.set.cold.fall_window.max(1.0));
+        let (largest, window) = (self.set.max_request_units.max(1.0), self.set.cold.overload_window.max(1.0));
         let fleet = self.slow_start_rate(now, id).max(UNKNOWN_REQUESTS * largest * 1000.0 / window);
         let request = self.mean_units().unwrap_or(largest);
         let slices = (fleet * window / (1000.0 * request)).ceil();
-        let senders = slices.clamp(1.0, f64::from(self.set.gateways));
+        let senders = slices.clamp(1.0, f64::from(self.set.ingress_count));
         if f64::from(self.slow_start_rank(id)) >= senders || self.retired {
             return false;
         }
@@ -65,19 +65,19 @@
         let serves = |warm: &WarmBackends| warm.one_serves(now, server.weight(), SERVED_OVER);
         let alike = self.warm_by_kind.get(&server.entry.kind).and_then(serves);
         let own = alike.or_else(|| serves(&self.warm)).unwrap_or(0.0) * self.warmth(now, server);
-        own * f64::from(self.set.gateways) * self.slow_start_share()
+        own * f64::from(self.set.ingress_count) * self.slow_start_share()
     }
 
     /// What the fleet sends a cold backend, as a multiple of what that can do.
     fn slow_start_share(&self) -> f64 {
-        (self.set.cold.fall_multiple * FALL_SHARE).min(CAPACITY_SHARE)
+        (self.set.cold.overload_multiple * FALL_SHARE).min(CAPACITY_SHARE)
     }
 
     /// Up to how many slices its own answers let an ingress send. Few ingresses each see most of what the
     /// backend does, and its delay in time; of many each sees little.
     fn slow_start_most_slices(&self) -> f64 {
-        let many = self.set.cold.fall_multiple * FALL_SHARE_SERVED / self.slow_start_share();
-        if f64::from(self.set.gateways) <= FEW { f64::INFINITY } else { many }
+        let many = self.set.cold.overload_multiple * FALL_SHARE_SERVED / self.slow_start_share();
+        if f64::from(self.set.ingress_count) <= FEW { f64::INFINITY } else { many }
     }
 
     /// A warm backend has served some of this ingress's work.
--- a/src/state.rs
+++ b/src/state.rs
@@ -189,7 +189,7 @@
     ) -> Result<Vec<(RequestId, AttemptIndex, BackendId)>, &'static str> {
         let bytes = bytes.strip_prefix(STATE_LAYOUT).ok_or("it is of another version")?;
         let mut old: Self = postcard::from_bytes(bytes).map_err(|_| "it cannot be read")?;
-        let shape = |s: &Settings| (s.me, s.gateways, s.classes.len(), s.plans.len());
+        let shape = |s: &Settings| (s.ingress, s.ingress_count, s.classes.len(), s.plans.len());
         let fits = shape(&old.set) == shape(&self.set) && old.classes.len() == old.set.classes.len();
         if !fits || old.source != self.source {
             return Err("it is of other settings");
@@ -246,7 +246,7 @@
 
     /// The peers of a customer's set.
     pub(crate) fn set_of(&self, customer: &Customer) -> impl Iterator<Item = IngressId> + use<> {
-        let (me, all, first) = (self.set.me, self.set.gateways, customer.first.0);
+        let (me, all, first) = (self.set.ingress, self.set.ingress_count, customer.first.0);
         (0..customer.spread).map(move |i| IngressId((first % all + i) % all)).filter(move |id| *id != me)
     }
 
@@ -258,12 +258,12 @@
             |id: IngressId| !self.lives(id) || self.peers.get(&id).is_some_and(|peer| peer.heard > since);
         let most = || {
             let others = self.peers.values().filter(|peer| peer.heard > since).count();
-            2 * (others + 1) > usize::from(self.set.gateways)
+            2 * (others + 1) > usize::from(self.set.ingress_count)
         };
         // Prevents a part that is cut off from taking what the others grant: those that it takes for dead count only
         // where more than half of all live here.
-        let lives = (0..self.set.gateways).filter(|id| self.lives(IngressId(*id))).count();
-        let whole = 2 * lives > usize::from(self.set.gateways);
+        let lives = (0..self.set.ingress_count).filter(|id| self.lives(IngressId(*id))).count();
+        let whole = 2 * lives > usize::from(self.set.ingress_count);
         whole && self.set_of(customer).all(heard) || most()
     }
 
@@ -272,7 +272,7 @@
     /// cut off keep to the slices of all.
     pub(crate) fn living_of(&self, customer: &Customer) -> u16 {
         let Some(living) = &self.living else { return 0 };
-        if 2 * living.iter().filter(|lives| **lives).count() <= usize::from(self.set.gateways) {
+        if 2 * living.iter().filter(|lives| **lives).count() <= usize::from(self.set.ingress_count) {
             return 0;
         }
         1 + self.set_of(customer).filter(|id| self.lives(*id)).count() as u16
@@ -280,8 +280,9 @@
 
     /// What others have out for a customer; of a peer not heard of since then, what it had is over.
     pub(crate) fn out_elsewhere(&self, customer: &Customer, since: Millis) -> f64 {
-        let lives =
-            |id: &IngressId| *id == self.set.me || self.peers.get(id).is_some_and(|peer| peer.heard > since);
+        let lives = |id: &IngressId| {
+            *id == self.set.ingress || self.peers.get(id).is_some_and(|peer| peer.heard > since)
+        };
         customer.told.iter().filter(|(id, _)| lives(id)).map(|(_, told)| told.out).sum()
     }
 
@@ -301,7 +302,7 @@
     /// What each peer is told of the customers they share: drawn in all, asked since the last, out.
     pub(crate) fn reports(&mut self) -> Vec<Action> {
         let mut mail: BTreeMap<IngressId, Vec<u8>> = BTreeMap::new();
-        for peer in (0..self.set.gateways).map(IngressId).filter(|p| *p != self.set.me) {
+        for peer in (0..self.set.ingress_count).map(IngressId).filter(|p| *p != self.set.ingress) {
             mail.insert(peer, vec![self.incarnation]);
         }
         for id in &self.untold {
@@ -397,7 +398,7 @@
         if cancels.is_empty() {
             self.requests.remove(&id);
         }
-        if self.set.cancelling { cancels } else { Vec::new() }
+        if self.set.cancellation { cancels } else { Vec::new() }
     }
 }
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -20,7 +20,7 @@
 }
 
 fn with_peers(plan: Plan) -> Settings {
-    Settings { peers: true, mail_per_second: 100.0, ..settings(plan) }
+    Settings { peers: true, peer_messages_per_second: 100.0, ..settings(plan) }
 }
 
 #[test]
@@ -116,7 +116,7 @@
 
 #[test]
 fn the_limit_counts_attempts_out_here_and_told() {
-    let capped = Plan { open_cap: 4.0, ..Plan::default() };
+    let capped = Plan { max_in_flight: 4.0, ..Plan::default() };
     let mut bench = Bench::new(settings(capped), 10);
     let granted = (0..9).filter(|_| sent(&bench.ask(1, 0, 1.0, 2).1).is_some()).count();
     assert_eq!(granted, 2, "silent: the even slice of four");
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_small_cap_over_many_gateways_does_not_round_to_nothing() {
-    let mut bench = Bench::new(settings(Plan { open_cap: 1.0, ..Plan::default() }), 10);
+    let mut bench = Bench::new(settings(Plan { max_in_flight: 1.0, ..Plan::default() }), 10);
     assert!(sent(&bench.ask(1, 0, 1.0, 3).1).is_some());
     assert!(refused(&bench.ask(1, 0, 1.0, 3).1));
 }
@@ -138,7 +138,7 @@
 fn tokens_return_however_an_attempt_ends() {
     use Outcome::*;
     for outcome in [Served, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent] {
-        let mut bench = Bench::new(settings(Plan { open_cap: 1.0, ..Plan::default() }), 1);
+        let mut bench = Bench::new(settings(Plan { max_in_flight: 1.0, ..Plan::default() }), 1);
         let (id, acts) = bench.ask(1, 2, 1.0, 1);
         let server = sent(&acts).unwrap();
         bench.wait(1990.0);
@@ -151,7 +151,7 @@
 #[test]
 fn the_shared_room_ends_at_the_capacity_and_the_reservation_goes_beyond_it() {
     // Without a rate nothing but half the slice of attempts is reserved.
-    let open = Plan { open_cap: 1000.0, ..Plan::default() };
+    let open = Plan { max_in_flight: 1000.0, ..Plan::default() };
     let mut bench = Bench::new(settings(open), 1);
     let granted = (0..1000).filter(|_| sent(&bench.ask(1, 0, 1.0, 1).1).is_some()).count();
     assert_eq!(granted, 500, "the reservation");
@@ -184,7 +184,7 @@
 
 #[test]
 fn beyond_the_quota_only_what_earns_more_than_it_costs_is_let_in() {
-    let soft = Plan { extra_worth: 0.1, ..plan() };
+    let soft = Plan { excess_worth: 0.1, ..plan() };
     for (plan, more) in [(soft, true), (Plan { excess_cost: 0.5, ..soft }, false), (plan(), false)] {
         let mut bench = Bench::new(settings(plan), 10);
         bench.wait(60_000.0);
@@ -202,7 +202,7 @@
     let plan = Plan { rate: 500.0, burst: 500.0, ceiling_rate: 20.0, ceiling_burst: 30.0, ..Plan::default() };
     let gateways = 3;
     let start = |me: u16, now: f64| {
-        let mut bench = Bench::new(Settings { me: IngressId(me), ..with_peers(plan) }, 10);
+        let mut bench = Bench::new(Settings { ingress: IngressId(me), ..with_peers(plan) }, 10);
         bench.now = now;
         bench.event(Event::Start);
         bench
@@ -304,7 +304,7 @@
 
 #[test]
 fn settled_units_are_taken_or_given_back() {
-    let mut bench = Bench::new(Settings { settles: true, ..settings(plan()) }, 10);
+    let mut bench = Bench::new(Settings { units_are_estimates: true, ..settings(plan()) }, 10);
     bench.wait(60_000.0);
     let (id, acts) = bench.ask(1, 0, 1.0, 1);
     bench.event(Event::AttemptEnded(AttemptEnd {
@@ -324,16 +324,16 @@
 #[test]
 fn invalid_settings_are_an_error() {
     assert!(Limiter::new(Settings { classes: vec![], ..settings(plan()) }, 1).is_err());
-    assert!(Limiter::new(Settings { gateways: 0, ..settings(plan()) }, 1).is_err());
+    assert!(Limiter::new(Settings { ingress_count: 0, ..settings(plan()) }, 1).is_err());
     assert!(Limiter::new(settings(Plan { rate: f64::NAN, ..plan() }), 1).is_err());
     assert!(Limiter::new(settings(Plan { burst: -1.0, ..plan() }), 1).is_err());
 }
 
 #[test]
 fn the_margin_of_a_cap_grows_with_the_interval_of_reports() {
-    let granted = |mail_per_second| {
-        let capped = Plan { open_cap: 10.0, ..Plan::default() };
-        let mut bench = Bench::new(Settings { mail_per_second, ..with_peers(capped) }, 10);
+    let granted = |peer_messages_per_second| {
+        let capped = Plan { max_in_flight: 10.0, ..Plan::default() };
+        let mut bench = Bench::new(Settings { peer_messages_per_second, ..with_peers(capped) }, 10);
         assert!(bench.serve(1, 1.0, 2));
         // The peer asked for nearly all, so that this gateway's own part is the even slice of five.
         bench.event(Event::PeerMessage(IngressId(1), report(9, &[[1, 0, 4000, 1]])));
@@ -346,7 +346,7 @@
 fn a_room_of_which_nothing_comes_back_does_not_grow() {
     // Every other attempt is answered quickly and lets the room grow; the rest hang, and no end tells of them.
     let plan = Plan { rate: 1e4, burst: 1e6, ..Plan::default() };
-    let mut bench = Bench::new(Settings { gateways: 500, ..settings(plan) }, 600);
+    let mut bench = Bench::new(Settings { ingress_count: 500, ..settings(plan) }, 600);
     let (mut most, mut out) = (0, 0);
     for step in 0..3000u64 {
         bench.wait(4.0);
@@ -367,7 +367,7 @@
 #[test]
 fn a_silent_peer_costs_its_customers_nothing_while_most_gateways_are_heard() {
     let granted = |heard: &[u16]| {
-        let four = Settings { gateways: 4, ..with_peers(Plan { open_cap: 6.0, ..plan() }) };
+        let four = Settings { ingress_count: 4, ..with_peers(Plan { max_in_flight: 6.0, ..plan() }) };
         let mut bench = Bench::new(four, 10);
         bench.wait(60_000.0);
         assert!(bench.serve(1, 1.0, 4));
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -68,7 +68,7 @@
         assert!(sent(&acts).is_some() || refused(&acts), "{answer:?}: {acts:?}");
     }
     // All that the cap allows is out here; the slice of the ceiling is empty.
-    let mut bench = Bench::new(counter(Plan { open_cap: 1.0, ..open() }), 10);
+    let mut bench = Bench::new(counter(Plan { max_in_flight: 1.0, ..open() }), 10);
     let (_, acts) = bench.ask(1, 2, 1.0, 2);
     if let [Action::AddToCounter(name, added, _)] = acts[..] {
         assert!(sent(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(added)))).is_some());
@@ -82,9 +82,14 @@
 
 #[test]
 fn no_home_is_asked_for_what_its_word_cannot_help() {
-    let plan = Plan { open_cap: 1.0, ..open() };
-    let set =
-        Settings { gateways: 120, peers: true, mail_per_second: 40.0, me: IngressId(5), ..settings(plan) };
+    let plan = Plan { max_in_flight: 1.0, ..open() };
+    let set = Settings {
+        ingress_count: 120,
+        peers: true,
+        peer_messages_per_second: 40.0,
+        ingress: IngressId(5),
+        ..settings(plan)
+    };
     let mut asked = 0;
     for customer in 0..20 {
         let mut bench = Bench::new(set.clone(), 10);
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -301,7 +301,8 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut bench = Bench::new(Settings { peers: true, mail_per_second: 40.0, ..settings(plan()) }, 10);
+        let mut bench =
+            Bench::new(Settings { peers: true, peer_messages_per_second: 40.0, ..settings(plan()) }, 10);
         let mut all = Vec::new();
         for step in 0..500u64 {
             bench.wait(7.0);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -18,8 +18,13 @@
 
 fn set(me: u16) -> Settings {
     let plan = Plan { rate: 1e6, burst: 1e6, ..Plan::default() };
-    let cold = ColdStart { from: 0.21, warm_after: 16_000.0, fall_multiple: 2.5, fall_window: 1000.0 };
-    Settings { me: IngressId(me), gateways: GATEWAYS, cold, ..settings(plan) }
+    let cold = ColdStart {
+        initial_capacity: 0.21,
+        warm_after: 16_000.0,
+        overload_multiple: 2.5,
+        overload_window: 1000.0,
+    };
+    Settings { ingress: IngressId(me), ingress_count: GATEWAYS, cold, ..settings(plan) }
 }
 
 /// Gateways before servers of which number 0 is watched.
@@ -129,12 +134,12 @@
         let cold = set(0).cold;
         self.sent += units;
         self.recent.push_back((self.now, units));
-        while self.recent.front().is_some_and(|(at, _)| self.now - at > cold.fall_window) {
+        while self.recent.front().is_some_and(|(at, _)| self.now - at > cold.overload_window) {
             self.recent.pop_front();
         }
         let sum: f64 = self.recent.iter().map(|(_, units)| units).sum();
         // The work of the whole window must fit what it could do when the window ended.
-        let most = cold.fall_multiple * self.can() * cold.fall_window / 1000.0;
+        let most = cold.overload_multiple * self.can() * cold.overload_window / 1000.0;
         self.worst = self.worst.max(sum / most);
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,32 +12,37 @@
 
 /// Three gateways without any talk; classes safe (0), keyed by zone (1) and unsafe (2); one plan.
 pub fn settings(plan: Plan) -> Settings {
-    let class = |effect| Class { aim: AIM, worth: 1.0, effect };
+    let class = |retry_safety| Class { aim: AIM, worth: 1.0, retry_safety };
     Settings {
-        me: IngressId(0),
-        gateways: 3,
+        ingress: IngressId(0),
+        ingress_count: 3,
         zone: ZoneId(0),
         classes: vec![
             class(RetrySafety::Safe),
-            class(RetrySafety::Keyed { group: DedupScope::Zone, window: 1000.0 }),
+            class(RetrySafety::Keyed { scope: DedupScope::Zone, window: 1000.0 }),
             class(RetrySafety::Unsafe),
-            class(RetrySafety::Keyed { group: DedupScope::All, window: 1000.0 }),
+            class(RetrySafety::Keyed { scope: DedupScope::All, window: 1000.0 }),
         ],
         plans: vec![plan],
-        largest: 4.0,
-        settles: false,
+        max_request_units: 4.0,
+        units_are_estimates: false,
         meter_period: 0.0,
         counter: false,
         counter_timeout: 50.0,
         peers: false,
-        mail_per_second: 0.0,
+        peer_messages_per_second: 0.0,
         max_attempts: 4,
-        second_copies: false,
-        cancelling: true,
+        hedging: false,
+        cancellation: true,
         max_retry_after: 1000.0,
         list_on_request: false,
-        cold: ColdStart { from: 0.25, warm_after: 10_000.0, fall_multiple: 3.0, fall_window: 1000.0 },
-        zone_price: false,
+        cold: ColdStart {
+            initial_capacity: 0.25,
+            warm_after: 10_000.0,
+            overload_multiple: 3.0,
+            overload_window: 1000.0,
+        },
+        cross_zone_cost: false,
     }
 }
 
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -14,7 +14,7 @@
 }
 
 fn set(plan: Plan) -> Settings {
-    Settings { counter: true, gateways: MANY, largest: 1.0, ..settings(plan) }
+    Settings { counter: true, ingress_count: MANY, max_request_units: 1.0, ..settings(plan) }
 }
 
 /// Gateways and a counter that answers so many calls a second in time, and the others too late.
@@ -30,7 +30,7 @@
 impl Fleet {
     fn new(plan: Plan) -> Self {
         let limiter =
-            |me| Limiter::new(Settings { me: IngressId(me), ..set(plan) }, 3 + u64::from(me)).unwrap();
+            |me| Limiter::new(Settings { ingress: IngressId(me), ..set(plan) }, 3 + u64::from(me)).unwrap();
         let limiters = (0..MANY).map(limiter).collect();
         let mut fleet =
             Self { limiters, numbers: BTreeMap::new(), now: 1e6, next: 0, answers: 1e6, room: (0.0, 1e6) };
@@ -193,7 +193,7 @@
 
 #[test]
 fn a_capped_customer_of_many_gateways_is_let_in_unless_its_attempts_stay_out_long() {
-    let plan = Plan { rate: 10.0, burst: 200.0, open_cap: 4.0, excess_cost: 0.8, ..Plan::default() };
+    let plan = Plan { rate: 10.0, burst: 200.0, max_in_flight: 4.0, excess_cost: 0.8, ..Plan::default() };
     let admitted = |spent: Millis| {
         let mut bench = Bench::new(set(plan), 30);
         let mut admitted = 0;
@@ -216,7 +216,7 @@
 #[test]
 fn the_floors_of_many_gateways_do_not_hold_pressed_servers_down() {
     let plan = Plan { rate: 0.1, burst: 1e6, ..Plan::default() };
-    let mut bench = Bench::new(Settings { gateways: 120, ..settings(plan) }, 60);
+    let mut bench = Bench::new(Settings { ingress_count: 120, ..settings(plan) }, 60);
     for _ in 0..100 {
         let (id, acts) = bench.wait(1000.0).ask(1, 2, 1.0, 1);
         sent(&acts).map(|server| bench.end(id, 0, server, Outcome::Served, 2.0 * AIM));
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -23,9 +23,10 @@
 
     /// A fleet before so many servers.
     fn before(servers: u64, plan: Plan) -> Self {
-        let set = Settings { gateways: MANY, peers: true, mail_per_second: 40.0, ..settings(plan) };
+        let set =
+            Settings { ingress_count: MANY, peers: true, peer_messages_per_second: 40.0, ..settings(plan) };
         let limiter =
-            |me: u16| Limiter::new(Settings { me: IngressId(me), ..set.clone() }, 7 + u64::from(me));
+            |me: u16| Limiter::new(Settings { ingress: IngressId(me), ..set.clone() }, 7 + u64::from(me));
         let mut fleet = Self {
             limiters: (0..MANY).map(|me| limiter(me).unwrap()).collect(),
             now: 1e6,
@@ -151,7 +152,7 @@
 
 #[test]
 fn many_gateways_keep_a_small_cap_and_get_its_places_back() {
-    let mut fleet = Fleet::new(Plan { rate: 1000.0, burst: 1000.0, open_cap: 3.0, ..Plan::default() });
+    let mut fleet = Fleet::new(Plan { rate: 1000.0, burst: 1000.0, max_in_flight: 3.0, ..Plan::default() });
     fleet.now += 60_000.0;
     let mut out = Vec::new();
     for me in 0..MANY {
@@ -268,7 +269,7 @@
 #[test]
 fn where_all_servers_that_come_first_fail_the_others_are_sent_to() {
     let plan = Plan { rate: 1e6, burst: 1e6, ..Plan::default() };
-    let mut bench = Bench::new(Settings { gateways: MANY, ..settings(plan) }, 60);
+    let mut bench = Bench::new(Settings { ingress_count: MANY, ..settings(plan) }, 60);
     let mut tried = std::collections::BTreeSet::new();
     for _ in 0..60 {
         let (id, acts) = bench.wait(1.0).ask(1, 2, 1.0, 1);
@@ -338,7 +339,7 @@
 #[test]
 fn calls_follow_the_failures_of_the_counter() {
     let plan = Plan { rate: 1.0, burst: 61.0, ..Plan::default() };
-    let mut bench = Bench::new(Settings { counter: true, gateways: MANY, ..settings(plan) }, 10);
+    let mut bench = Bench::new(Settings { counter: true, ingress_count: MANY, ..settings(plan) }, 10);
     let mut customer = 0;
     let mut calls = |answer: CounterAnswer| {
         let mut calls = 0;
@@ -371,8 +372,8 @@
 
 #[test]
 fn where_answers_get_lost_an_attempt_of_a_capped_customer_ends_with_its_aim() {
-    for (open_cap, wait) in [(5.0, Some(AIM)), (0.0, None)] {
-        let mut bench = Bench::new(settings(Plan { open_cap, ..plan() }), 10);
+    for (max_in_flight, wait) in [(5.0, Some(AIM)), (0.0, None)] {
+        let mut bench = Bench::new(settings(Plan { max_in_flight, ..plan() }), 10);
         let mut waits = Vec::new();
         for customer in 1..3 {
             let (id, acts) = bench.ask(customer, 2, 1.0, 1);
@@ -387,7 +388,11 @@
 #[test]
 fn without_news_the_slices_of_many_gateways_come_to_one_burst() {
     let granted = (0..MANY).filter(|me| {
-        let set = Settings { gateways: MANY, me: IngressId(*me), ..settings(Plan { rate: 0.001, ..plan() }) };
+        let set = Settings {
+            ingress_count: MANY,
+            ingress: IngressId(*me),
+            ..settings(Plan { rate: 0.001, ..plan() })
+        };
         let mut limiter = Limiter::new(set, u64::from(*me)).unwrap();
         limiter.handle(1e6, Event::Start, &mut Vec::new());
         limiter.handle(
@@ -408,7 +413,8 @@
 
 #[test]
 fn a_home_that_is_known_to_be_dead_is_not_asked_and_one_that_lives_again_is() {
-    let set = Settings { gateways: MANY, peers: true, mail_per_second: 40.0, ..settings(plan()) };
+    let set =
+        Settings { ingress_count: MANY, peers: true, peer_messages_per_second: 40.0, ..settings(plan()) };
     let mut bench = Bench::new(set, 20);
     let told = |bench: &mut Bench, customer| {
         let (_, acts) = bench.ask(customer, 0, 1.0, MANY);
--- a/tests/quota_pool.rs
+++ b/tests/quota_pool.rs
@@ -48,7 +48,7 @@
 impl Fleet {
     fn new(plan: Plan, gateways: u16, counter: bool, seed: u64) -> Self {
         let limiter = |me| {
-            let set = Settings { me: IngressId(me), gateways, counter, ..settings(plan) };
+            let set = Settings { ingress: IngressId(me), ingress_count: gateways, counter, ..settings(plan) };
             Limiter::new(set, 1000 * seed + u64::from(me)).unwrap()
         };
         let limiters = (0..gateways).map(limiter).collect();
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -95,8 +95,9 @@
 
 #[test]
 fn the_end_of_a_capped_attempt_is_told() {
-    let plan = Plan { open_cap: 4.0, ..Plan::default() };
-    let mut bench = Bench::new(Settings { peers: true, mail_per_second: 100.0, ..settings(plan) }, 10);
+    let plan = Plan { max_in_flight: 4.0, ..Plan::default() };
+    let mut bench =
+        Bench::new(Settings { peers: true, peer_messages_per_second: 100.0, ..settings(plan) }, 10);
     let told = |acts: Vec<Action>| acts.iter().any(|a| matches!(a, Action::SendToPeer(_, b) if b.len() > 1));
     let (id, acts) = bench.ask(1, 0, 1.0, 3);
     assert!(told(bench.event(Event::Timer(TimerKey(1)))));
@@ -107,7 +108,7 @@
 
 #[test]
 fn the_counter_holds_what_is_out_elsewhere() {
-    let plan = Plan { open_cap: 2.0, ..plan() };
+    let plan = Plan { max_in_flight: 2.0, ..plan() };
     let mut bench = Bench::new(Settings { counter: true, ..settings(plan) }, 10);
     bench.wait(60_000.0);
     let (_, acts) = bench.ask(1, 0, 1.0, 2);
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -28,10 +28,10 @@
 
 #[test]
 fn what_is_out_at_the_old_one_counts_until_its_end_is_told_and_is_never_sent_again() {
-    let mut old = Bench::new(settings(Plan { open_cap: 2.0, ..plan() }), 2);
+    let mut old = Bench::new(settings(Plan { max_in_flight: 2.0, ..plan() }), 2);
     let sent: Vec<_> = (0..2).map(|_| old.ask(5, 0, 1.0, 1)).collect();
     assert!(sent.iter().all(|(_, acts)| common::sent(acts).is_some()));
-    let mut new = Bench::new(settings(Plan { open_cap: 2.0, ..plan() }), 2);
+    let mut new = Bench::new(settings(Plan { max_in_flight: 2.0, ..plan() }), 2);
     new.now = old.now;
     // Its own requests have other numbers, as those of another process have.
     (0..5).for_each(|_| drop(new.ask(9, 0, 1.0, 1)));
@@ -70,7 +70,7 @@
         assert!(fresh.limiter.inherit(&bytes[..end]).is_err(), "cut at {end}");
     }
     let mut others = settings(plan());
-    others.gateways = 4;
+    others.ingress_count = 4;
     assert!(Limiter::new(others, 7).unwrap().inherit(&bytes).is_err());
     assert!(fresh.serve(5, 1.0, 1));
 }
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -29,29 +29,34 @@
 
 /// The settings of one ingress.
 pub fn settings(me: u16, ingresses: usize, source: QuotaSource) -> Settings {
-    let class = |aim, effect| Class { aim, worth: 1.0, effect };
-    let keyed = RetrySafety::Keyed { group: DedupScope::Zone, window: 6000.0 };
-    let plan = Plan { rate: 6.0, burst: 30.0, extra_worth: 0.1, excess_cost: 0.3, ..Plan::default() };
+    let class = |aim, retry_safety| Class { aim, worth: 1.0, retry_safety };
+    let keyed = RetrySafety::Keyed { scope: DedupScope::Zone, window: 6000.0 };
+    let plan = Plan { rate: 6.0, burst: 30.0, excess_worth: 0.1, excess_cost: 0.3, ..Plan::default() };
     Settings {
-        me: IngressId(me),
-        gateways: u16::try_from(ingresses).unwrap_or(u16::MAX),
+        ingress: IngressId(me),
+        ingress_count: u16::try_from(ingresses).unwrap_or(u16::MAX),
         zone: ZoneId((usize::from(me) % ZONES) as u8),
         classes: vec![class(600.0, RetrySafety::Safe), class(750.0, keyed)],
         plans: vec![plan],
-        largest: 6.0,
-        settles: false,
+        max_request_units: 6.0,
+        units_are_estimates: false,
         meter_period: 0.0,
         counter: source == QuotaSource::Counter,
         counter_timeout: 50.0,
         peers: source == QuotaSource::Peers,
-        mail_per_second: MAIL_PER_SECOND,
+        peer_messages_per_second: MAIL_PER_SECOND,
         max_attempts: 4,
-        second_copies: false,
-        cancelling: true,
+        hedging: false,
+        cancellation: true,
         max_retry_after: 1000.0,
         list_on_request: false,
-        cold: ColdStart { from: 0.25, warm_after: 18_000.0, fall_multiple: 2.0, fall_window: 3000.0 },
-        zone_price: true,
+        cold: ColdStart {
+            initial_capacity: 0.25,
+            warm_after: 18_000.0,
+            overload_multiple: 2.0,
+            overload_window: 3000.0,
+        },
+        cross_zone_cost: true,
     }
 }
 
@@ -95,7 +100,7 @@
 
 /// A request of a tenant at an ingress that is among those which the tenant's requests come to.
 pub fn request(id: u64, tenant: usize, at: &Settings) -> Request {
-    let spread = SPREAD.min(at.gateways);
+    let spread = SPREAD.min(at.ingress_count);
     let before = (tenant % usize::from(spread.max(1))) as u16;
     Request {
         id: RequestId(id),
@@ -105,7 +110,7 @@
         left: PATIENCE,
         units: 1.0,
         spread,
-        first: IngressId((at.me.0 + at.gateways - before) % at.gateways.max(1)),
+        first: IngressId((at.ingress.0 + at.ingress_count - before) % at.ingress_count.max(1)),
         repeat: false,
     }
 }
--- a/trials/src/scale/layers.rs
+++ b/trials/src/scale/layers.rs
@@ -36,8 +36,8 @@
     /// # Errors
     /// What is wrong with the settings.
     pub fn new(settings: Settings, subset: SubsetSize) -> Result<Self, String> {
-        let seed = u64::from(settings.me.0) + 1;
-        let subset = subset.map(|size| Subset::new(settings.me, settings.gateways, size));
+        let seed = u64::from(settings.ingress.0) + 1;
+        let subset = subset.map(|size| Subset::new(settings.ingress, settings.ingress_count, size));
         let limiter = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
         Ok(Self { maintenance: Maintenance::default(), subset, limiter })
     }
