--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -272,11 +272,11 @@
             class: ClassId(class),
             plan: PlanId(customer.plan),
             customer: CustomerId(customer.id),
-            left: until - self.now,
+            time_left: until - self.now,
             units,
             spread: customer.spread,
-            first: IngressId(customer.first),
-            repeat: false,
+            first_ingress: IngressId(customer.first),
+            is_retry: false,
         };
         self.nodes[i].counts[0] += 1;
         let before = self.nodes[i].brain.view(EPOCH + self.now);
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -15,7 +15,7 @@
     pub(super) fn entry(&self, s: usize, state: BackendState) -> ServiceEntry {
         let server = &self.servers[s];
         let entry = BackendEntry {
-            server: server_id(&name(s)),
+            backend: server_id(&name(s)),
             state,
             weight: 1.0,
             zone: ZoneId(server.hall),
@@ -41,7 +41,7 @@
     pub(super) fn believes(&mut self, i: usize, kind: ListKind, list: List) {
         let (now, node) = (self.now, &mut self.nodes[i]);
         if kind != ListKind::Changes {
-            let named: BTreeSet<BackendId> = list.entries.iter().map(|e| e.entry.server).collect();
+            let named: BTreeSet<BackendId> = list.entries.iter().map(|e| e.entry.backend).collect();
             for (_, told) in node.told.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 if told.state == BackendState::Ready {
                     *told = Told { state: BackendState::Gone, since: now };
@@ -49,10 +49,10 @@
             }
         }
         for e in &list.entries {
-            if let (Some(s), Some(start)) = (self.ids.get(&e.entry.server), e.entry.last_start) {
+            if let (Some(s), Some(start)) = (self.ids.get(&e.entry.backend), e.entry.last_start) {
                 self.cold.told(i, *s, start - EPOCH);
             }
-            let told = node.told.entry(e.entry.server).or_insert(Told { state: e.entry.state, since: now });
+            let told = node.told.entry(e.entry.backend).or_insert(Told { state: e.entry.state, since: now });
             if (told.state == BackendState::Ready) != (e.entry.state == BackendState::Ready) {
                 told.since = now;
             }
@@ -137,7 +137,7 @@
     pub(super) fn news(&mut self, i: usize, life: u32, kind: ListKind, entries: Vec<ServiceEntry>) {
         let node = &self.nodes[i];
         let current = |e: &ServiceEntry| {
-            let s = self.ids.get(&e.entry.server).copied();
+            let s = self.ids.get(&e.entry.backend).copied();
             // Older news than what was told since says nothing.
             s.and_then(|s| self.published.get(&s).copied()).unwrap_or(BackendState::Gone) == e.entry.state
         };
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -72,7 +72,9 @@
     pub(super) fn carry_out(&mut self, i: usize, act: Action, own: &mut std::collections::VecDeque<Event>) {
         let life = self.nodes[i].life;
         match act {
-            Action::Send { request, server, wait, .. } => self.send(i, request.0, server, wait, own),
+            Action::Send { request, backend: server, timeout: wait, .. } => {
+                self.send(i, request.0, server, wait, own)
+            }
             Action::Reject(id, after) => self.answer(i, id.0, Ended::Refused { after }),
             Action::Fail(id) => self.answer(i, id.0, Ended::Failed),
             Action::Cancel(id, no) => {
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -30,11 +30,11 @@
         if let Event::BackendList(_, entries) = &event {
             let mut started =
                 entries.iter().filter(|e| e.state == BackendState::Ready && e.last_start.is_some());
-            self.cold = started.next_back().map(|e| e.server).or(self.cold);
+            self.cold = started.next_back().map(|e| e.backend).or(self.cold);
         }
         self.inner.handle(now, event, acts);
         for act in acts {
-            if let (Action::Send { server, .. }, Some(cold)) = (act, self.cold) {
+            if let (Action::Send { backend: server, .. }, Some(cold)) = (act, self.cold) {
                 *server = cold;
             }
         }
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -131,11 +131,11 @@
             for e in entries.iter_mut() {
                 if e.state != BackendState::Ready && self.how == "drain" {
                     // Believes that nothing ever drains.
-                    self.gone.push(e.server);
+                    self.gone.push(e.backend);
                     e.state = BackendState::Ready;
                 }
                 if let (Some(at), "cold") = (e.last_start, self.how) {
-                    self.cold = (now - at < 3000.0).then_some(e.server).or(self.cold);
+                    self.cold = (now - at < 3000.0).then_some(e.backend).or(self.cold);
                 }
             }
             let known: Vec<BackendEntry> = entries.clone();
@@ -147,17 +147,22 @@
         if let (Event::AttemptEnded(end), "resend") = (&event, self.how)
             && matches!(end.outcome, Outcome::Reset | Outcome::Error)
             && end.attempt == AttemptIndex(0)
-            && !end.closed
+            && !end.request_closed
         {
             // Sends whatever it was once more, wherever the last one went.
             if let Some((_, server)) = self.last {
-                acts.push(Action::Send { request: end.request, server, wait: None, within: None });
+                acts.push(Action::Send {
+                    request: end.request,
+                    backend: server,
+                    timeout: None,
+                    send_within: None,
+                });
                 return;
             }
         }
         self.inner.handle(now, event, acts);
         for act in acts.iter_mut() {
-            if let Action::Send { request, server, .. } = act {
+            if let Action::Send { request, backend: server, .. } = act {
                 if let Some(gone) = self.gone.last().filter(|_| self.how == "drain") {
                     *server = *gone;
                 }
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -235,7 +235,7 @@
 
     fn start(&mut self, i: usize) {
         let entry = |server| BackendEntry {
-            server: BackendId(server),
+            backend: BackendId(server),
             state: BackendState::Ready,
             weight: 1.0,
             zone: ZoneId(0),
@@ -255,7 +255,9 @@
         let life = self.nodes[i].life;
         for act in acts {
             match act {
-                Action::Send { request, server, wait, .. } => self.send(i, request, server, wait),
+                Action::Send { request, backend: server, timeout: wait, .. } => {
+                    self.send(i, request, server, wait)
+                }
                 Action::Reject(id, after) => self.answer(i, id, Ended::Refused { after }),
                 Action::Fail(id) => self.answer(i, id, Ended::Failed),
                 Action::Cancel(id, no) => self.ended((i, life, id, no), Outcome::Cancelled),
@@ -312,10 +314,10 @@
         let end = AttemptEnd {
             request,
             attempt,
-            server: BackendId(server as u64),
+            backend: BackendId(server as u64),
             outcome,
-            spent: self.now - sent,
-            closed,
+            elapsed: self.now - sent,
+            request_closed: closed,
             metered_use: None,
             settled_units: None,
             load: Load::default(),
@@ -464,11 +466,13 @@
             class: ClassId(asked.arrival.class),
             plan: PlanId(0),
             customer: CustomerId(asked.arrival.customer),
-            left: asked.call.deadline() - self.now,
+            time_left: asked.call.deadline() - self.now,
             units,
             spread: self.work.spread.min(self.askers[0].idle.len()) as u16,
-            first: IngressId(self.work.first(asked.arrival.customer, self.askers[0].idle.len()) as u16),
-            repeat: asked.no > 1,
+            first_ingress: IngressId(
+                self.work.first(asked.arrival.customer, self.askers[0].idle.len()) as u16
+            ),
+            is_retry: asked.no > 1,
         };
         self.feed(i, Event::Request(request));
     }
--- a/src/backends/entries.rs
+++ b/src/backends/entries.rs
@@ -86,7 +86,7 @@
         return Err("hostPort");
     }
     let entry = BackendEntry {
-        server: server_id(text("instanceId")?),
+        backend: server_id(text("instanceId")?),
         state,
         weight: figure("weight").unwrap_or(1.0),
         zone: places.zone(value.get("zone").and_then(Value::as_str)),
--- a/src/backends/maintenance.rs
+++ b/src/backends/maintenance.rs
@@ -31,8 +31,8 @@
         }
         for e in &mut list.entries {
             match e.entry.state {
-                BackendState::Gone => drop(self.listed.remove(&e.entry.server)),
-                _ => drop(self.listed.insert(e.entry.server, e.clone())),
+                BackendState::Gone => drop(self.listed.remove(&e.entry.backend)),
+                _ => drop(self.listed.insert(e.entry.backend, e.clone())),
             }
             self.overlay(e);
         }
@@ -40,7 +40,7 @@
     }
 
     fn overlay(&self, e: &mut ServiceEntry) {
-        if e.entry.state == BackendState::Ready && self.bans.contains_key(&e.entry.server) {
+        if e.entry.state == BackendState::Ready && self.bans.contains_key(&e.entry.backend) {
             e.entry.state = BackendState::Draining;
         }
     }
--- a/src/backends/maintenance/tests.rs
+++ b/src/backends/maintenance/tests.rs
@@ -5,7 +5,7 @@
 fn list(whole: bool, entries: &[(&str, BackendState)]) -> List {
     let entry = |(name, state): &(&str, BackendState)| ServiceEntry {
         entry: BackendEntry {
-            server: server_id(name),
+            backend: server_id(name),
             state: *state,
             weight: 1.0,
             zone: ZoneId(0),
--- a/src/backends/membership/merged_list/tests.rs
+++ b/src/backends/membership/merged_list/tests.rs
@@ -3,7 +3,7 @@
 use BackendState::{Draining, Gone, Ready};
 
 fn reported(union: &mut MergedList) -> Vec<(u64, BackendState)> {
-    union.changes().iter().map(|e| (e.entry.server.0, e.entry.state)).collect()
+    union.changes().iter().map(|e| (e.entry.backend.0, e.entry.state)).collect()
 }
 
 #[test]
--- a/src/backends/membership/mod.rs
+++ b/src/backends/membership/mod.rs
@@ -114,7 +114,7 @@
 impl Observation {
     /// Its id.
     pub fn id(&self) -> BackendId {
-        self.entry.entry.server
+        self.entry.entry.backend
     }
 
     /// Whether it may have work.
@@ -132,7 +132,7 @@
 pub(crate) fn seen(n: u64, state: BackendState, port: u16) -> Observation {
     use crate::interface::{BackendEntry, CellId, KindId, ZoneId};
     let entry = BackendEntry {
-        server: BackendId(n),
+        backend: BackendId(n),
         state,
         weight: 1.0,
         zone: ZoneId(0),
--- a/src/bin/weldhub-adapter/tests.rs
+++ b/src/bin/weldhub-adapter/tests.rs
@@ -65,11 +65,11 @@
         class: ClassId(0),
         plan: PlanId(0),
         customer: CustomerId(0x91f0_3b7c_55d2_0a64),
-        left: 240.0,
+        time_left: 240.0,
         units: 2.0,
         spread: 3,
-        first: IngressId(1),
-        repeat: false,
+        first_ingress: IngressId(1),
+        is_retry: false,
     };
     assert_eq!(next(), Record::Happened(Event::Request(request)));
     assert_eq!(next(), Record::Happened(Event::Timer(TimerKey(77))));
@@ -77,18 +77,18 @@
     assert_eq!(next(), Record::Happened(Event::ClientLeft(RequestId(0x0005_4579_0e6f_2b19))));
     let Record::Happened(Event::AttemptEnded(end)) = next() else { panic!("no end of an attempt") };
     assert_eq!(
-        (end.spent, end.attempt, end.closed, end.outcome),
+        (end.elapsed, end.attempt, end.request_closed, end.outcome),
         (18.5, AttemptIndex(0), true, Outcome::Served)
     );
     assert_eq!((end.metered_use, end.settled_units), (Some(0.85), Some(3.0)));
-    assert_eq!(end.server, BackendId(0x0a12_4a07_1f93));
+    assert_eq!(end.backend, BackendId(0x0a12_4a07_1f93));
     assert_eq!((end.load.rate, end.load.latency, end.load.in_flight), (Some(140.0), Some(14.5), None));
     let total = CounterAnswer::Total(38.0);
     assert_eq!(next(), Record::Happened(Event::CounterAnswered(CounterName(0x89_f690), total)));
     assert_eq!(next(), Record::Happened(Event::PeerMessage(IngressId(2), vec![1, 2, 3])));
     let stream = Event::StreamStarted(request.id, AttemptIndex(1));
     assert_eq!(next(), Record::Happened(stream));
-    let probe = Event::ProbeEnded(end.server, Outcome::TimedOut, Load::default());
+    let probe = Event::ProbeEnded(end.backend, Outcome::TimedOut, Load::default());
     assert_eq!(next(), Record::Happened(probe));
     assert_eq!(next(), Record::Killed);
     assert!(reader.end().is_ok());
@@ -98,7 +98,7 @@
 fn the_documented_actions_are_written() {
     let mut reply = Reply::default();
     let (request, server) = (RequestId(0x0003_1dfb_5d3a_91c4), BackendId(0x0a12_4a07_1f93));
-    reply.push(3, &Action::Send { request, server, wait: Some(80.0), within: None });
+    reply.push(3, &Action::Send { request, backend: server, timeout: Some(80.0), send_within: None });
     reply.push(3, &Action::SetTimer(500.0, TimerKey(77)));
     reply.push(3, &Action::AddToCounter(CounterName(0x89_f690), 4.0, 3000.0));
     reply.push(3, &Action::SendToPeer(IngressId(2), b"hi 7".to_vec()));
--- a/src/bin/weldhub-adapter/wire.rs
+++ b/src/bin/weldhub-adapter/wire.rs
@@ -144,7 +144,7 @@
             other => return self.error(format!("no server state {other}")),
         };
         let last_start = (started != 0.0).then_some(started);
-        Ok(BackendEntry { server, state, weight, zone, cell, kind, last_start })
+        Ok(BackendEntry { backend: server, state, weight, zone, cell, kind, last_start })
     }
 
     /// The next record; `names` are those of the load report at the instance it is for.
@@ -183,7 +183,17 @@
                 let (left, units) = (self.f64()?, self.f32()?);
                 let (spread, first) = (self.f32()? as u16, IngressId(self.f32()? as u16));
                 let repeat = self.u8()? & 2 != 0;
-                Event::Request(Request { id, class, plan, customer, left, units, spread, first, repeat })
+                Event::Request(Request {
+                    id,
+                    class,
+                    plan,
+                    customer,
+                    time_left: left,
+                    units,
+                    spread,
+                    first_ingress: first,
+                    is_retry: repeat,
+                })
             }
             259 => {
                 let request = RequestId(self.u64()?);
@@ -203,9 +213,9 @@
                     request,
                     attempt,
                     outcome,
-                    spent,
-                    closed,
-                    server: self.server()?,
+                    elapsed: spent,
+                    request_closed: closed,
+                    backend: self.server()?,
                     metered_use: (used > 0).then(|| f64::from(used - 1) / 100.0),
                     settled_units: (cost > 0).then_some(f64::from(cost)),
                     load: self.load(names)?,
@@ -282,7 +292,7 @@
             self.bytes.extend(instance.to_be_bytes());
         }
         match action {
-            Action::Send { request, server, wait, .. } => {
+            Action::Send { request, backend: server, timeout: wait, .. } => {
                 self.code(256);
                 self.bytes.extend(request.0.to_be_bytes());
                 self.server(*server);
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -99,7 +99,7 @@
     }
     let ready = matches!(reason, Reason::Passing | Reason::Warning);
     let entry = BackendEntry {
-        server: server_id(&name),
+        backend: server_id(&name),
         state: if ready { BackendState::Ready } else { BackendState::Draining },
         weight,
         zone: places.zone(meta("zone")),
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -226,11 +226,11 @@
                     class: terms.class,
                     plan: terms.plan,
                     customer: terms.customer,
-                    left,
+                    time_left: left,
                     units: terms.units,
                     spread: terms.spread,
-                    first: terms.first,
-                    repeat: terms.repeat,
+                    first_ingress: terms.first,
+                    is_retry: terms.repeat,
                 }));
             }
             News::Left(id) => {
@@ -324,7 +324,7 @@
             if self.retired {
                 let _ = self.outlets.successor.send(end);
             }
-            self.feed(Event::AttemptEnded(AttemptEnd { closed: true, ..end }));
+            self.feed(Event::AttemptEnded(AttemptEnd { request_closed: true, ..end }));
         }
     }
 
@@ -480,7 +480,9 @@
 
     fn carry_out(&mut self, act: Action) {
         match act {
-            Action::Send { request, server, wait, within } => self.start(request, server, (wait, within)),
+            Action::Send { request, backend: server, timeout: wait, send_within: within } => {
+                self.start(request, server, (wait, within))
+            }
             Action::Reject(id, after) => {
                 if let Some(client) = self.close(id) {
                     let after = after.filter(|after| *after > 0.0).unwrap_or(self.bounds.retry_after);
@@ -565,10 +567,10 @@
     Event::AttemptEnded(AttemptEnd {
         request,
         attempt,
-        server,
+        backend: server,
         outcome,
-        spent,
-        closed,
+        elapsed: spent,
+        request_closed: closed,
         metered_use,
         settled_units,
         load,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -280,7 +280,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct BackendEntry {
     /// Which server.
-    pub server: BackendId,
+    pub backend: BackendId,
     /// Its state.
     pub state: BackendState,
     /// Its size beside others, without a unit.
@@ -320,22 +320,22 @@
     /// Its customer.
     pub customer: CustomerId,
     /// The time until the client gives this try up.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Units it draws.
     pub units: f64,
     /// Over how many gateways the customer's requests come ...
     pub spread: u16,
     /// ... counted round from this one.
-    pub first: IngressId,
+    pub first_ingress: IngressId,
     /// The client says that it has asked for this before.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 impl Request {
     /// Puts figures that are none, or below nothing, right.
-    pub(crate) fn tame(&mut self) {
+    pub(crate) fn sanitize(&mut self) {
         self.units = if self.units.is_finite() { self.units.max(0.0) } else { 1.0 };
-        self.left = if self.left.is_finite() { self.left.max(0.0) } else { 0.0 };
+        self.time_left = if self.time_left.is_finite() { self.time_left.max(0.0) } else { 0.0 };
     }
 }
 
@@ -392,13 +392,13 @@
     /// Which attempt.
     pub attempt: AttemptIndex,
     /// The server it went to.
-    pub server: BackendId,
+    pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
     /// The time since it was sent.
-    pub spent: Millis,
+    pub elapsed: Millis,
     /// The request is over, by this or earlier.
-    pub closed: bool,
+    pub request_closed: bool,
     /// The customer's use over all gateways in the meter's last period, as a part of its rate.
     pub metered_use: Option<f64>,
     /// The true units, where they had been guessed.
@@ -446,16 +446,16 @@
 /// What a gateway is to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt, given up after `wait`, or with the client where that is absent.
+    /// Start an attempt, given up after `timeout`, or with the client where that is absent.
     Send {
         /// Whose attempt.
         request: RequestId,
         /// The server.
-        server: BackendId,
+        backend: BackendId,
         /// Its time-out.
-        wait: Option<Millis>,
+        timeout: Option<Millis>,
         /// It must have left whole within this, or never: a repeat later than that would be another effect.
-        within: Option<Millis>,
+        send_within: Option<Millis>,
     },
     /// Final answer: nothing ran, the client may safely come again, best after this time.
     Reject(RequestId, Option<Millis>),
--- a/src/net/schedulings.rs
+++ b/src/net/schedulings.rs
@@ -159,10 +159,10 @@
     fn list(&self, list: &List) {
         let mut pools = self.pools.borrow_mut();
         if list.whole {
-            pools.retain(|id, _| list.entries.iter().any(|e| e.entry.server == *id));
+            pools.retain(|id, _| list.entries.iter().any(|e| e.entry.backend == *id));
         }
         for e in &list.entries {
-            let (server, started) = (e.entry.server, e.entry.last_start);
+            let (server, started) = (e.entry.backend, e.entry.last_start);
             match e.at.filter(|_| e.entry.state == BackendState::Ready) {
                 Some(at) if pools.get(&server).is_some_and(|p| (p.at, p.started) == (at, started)) => {}
                 // A real server that moved or started anew has none of the connections any more.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -186,8 +186,8 @@
             return;
         }
         if kind != ListKind::Changes {
-            let named: BTreeSet<BackendId> = entries.iter().map(|e| e.server).collect();
-            for server in self.servers.values_mut().filter(|s| !named.contains(&s.entry.server)) {
+            let named: BTreeSet<BackendId> = entries.iter().map(|e| e.backend).collect();
+            for server in self.servers.values_mut().filter(|s| !named.contains(&s.entry.backend)) {
                 server.entry.state = BackendState::Gone;
             }
         }
@@ -195,7 +195,7 @@
             // Prevents a server that comes back, on a stale list or a fresh one, from being taken for warm.
             let late_comer = self.listed.then_some(now);
             let fresh = entry.last_start.or(late_comer).filter(|at| now - at < self.set.cold.warm_after);
-            let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(entry, fresh, now));
+            let server = self.servers.entry(entry.backend).or_insert_with(|| Server::new(entry, fresh, now));
             let restarted = entry.last_start.is_some() && entry.last_start != server.entry.last_start;
             if restarted || (server.entry.state == BackendState::Gone && entry.state == BackendState::Ready) {
                 server.started = fresh;
@@ -508,7 +508,7 @@
     }
 
     fn on_request(&mut self, now: Millis, mut request: Request, acts: &mut Acts) {
-        request.tame();
+        request.sanitize();
         if request.class.0 >= self.set.classes.len() || self.requests.contains_key(&request.id) {
             acts.push(Action::Reject(request.id, None));
             return;
@@ -560,7 +560,7 @@
             (customer.unasked, customer.quiet_until) = (0.0, if granted { 0.0 } else { now + quiet });
             return Some(if granted { Known::Granted } else { Known::Denied });
         }
-        if request.left < 2.0 * ASK_WAIT + self.mean_latency(request.class) {
+        if request.time_left < 2.0 * ASK_WAIT + self.mean_latency(request.class) {
             open.home = None;
             return Some(Known::Alone);
         }
@@ -661,7 +661,7 @@
     fn hold(&mut self, now: Millis, request: &Request, acts: &mut Acts) -> Option<Known> {
         let plan = self.plan(request.plan);
         let quota = plan.rate > 0.0 || plan.max_in_flight > 0.0;
-        let short = request.left < CALLS.2 * self.set.counter_timeout;
+        let short = request.time_left < CALLS.2 * self.set.counter_timeout;
         // Prevents calls for tries that the ceiling or the full room turns away: floods would use them up.
         let shut = self.in_flight + request.units > self.capacity()
             || self.ceiling(now, request.customer, &plan) < request.units;
@@ -710,7 +710,7 @@
     /// request. It could harm where a few customers ask most of what is asked.
     fn likely(&mut self, now: Millis, request: &Request) -> (Known, f64, f64) {
         let even = self.plan(request.plan).break_even_probability();
-        let fit = self.fit.get(&(request.plan, request.repeat));
+        let fit = self.fit.get(&(request.plan, request.is_retry));
         let fit = fit.map_or(even, |f| f.read(now, even, FIT_TAU));
         // Only what the back end has room for: where it is pressed, tries that are known to fit come first.
         let free = ((PRESSED - self.taken.or(0.0)) * 2.0 / PRESSED).clamp(0.0, 1.0);
@@ -728,7 +728,7 @@
         let single =
             self.source == Source::Counter && sparse(&plan, request.spread.min(self.set.ingress_count));
         if counted && single {
-            self.fit.entry((request.plan, request.repeat)).or_default().add(now, inside, FIT_TAU);
+            self.fit.entry((request.plan, request.is_retry)).or_default().add(now, inside, FIT_TAU);
         }
         let wait = match verdict {
             Verdict::Refused(wait) => wait,
@@ -774,7 +774,7 @@
             .entry(open.request.customer)
             .and_modify(|c| c.sent(units, open.counted && !open.attempts.is_empty()));
         open.attempts.push(Attempt { server: id, sent: now, out: true, streams: false });
-        acts.push(Action::Send { request: open.request.id, server: id, wait, within });
+        acts.push(Action::Send { request: open.request.id, backend: id, timeout: wait, send_within: within });
         true
     }
 
@@ -803,7 +803,7 @@
         if end.outcome.may_have_run() && open.risky.is_none_or(|first| no < first) {
             open.risky = Some(no);
         }
-        open.done |= end.closed;
+        open.done |= end.request_closed;
         if open.attempts.iter().any(|a| a.out) {
             self.requests.insert(request.id, open);
             return;
@@ -841,11 +841,11 @@
         let judged = !matches!(end.outcome, Outcome::NotSent | Outcome::Cancelled);
         // Work that cold, drained or gone ones finish says nothing of what a warm one takes.
         let warm = |s: &Server| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
-        if let Some(server) = self.servers.get(&end.server).filter(|s| served && warm(s)) {
+        if let Some(server) = self.servers.get(&end.backend).filter(|s| served && warm(s)) {
             self.warm_backend_served(now, server.entry.kind, request.units);
         }
-        if let Some(server) = self.servers.get_mut(&end.server) {
-            let times = served.then(|| (end.spent / usual).min(FAILED.0));
+        if let Some(server) = self.servers.get_mut(&end.backend) {
+            let times = served.then(|| (end.elapsed / usual).min(FAILED.0));
             for scope in server.scopes().into_iter().filter(|_| judged) {
                 let takes = self.scopes.entry((scope, request.class)).or_default();
                 takes.add(now, times, FAILED.1, WEIGHT, SLOWNESS_TAU);
@@ -859,13 +859,13 @@
                 self.busy.add(busy, WEIGHT);
             }
             if served || end.outcome == Outcome::TimedOut {
-                server.took((end.spent / usual).clamp(0.05, 20.0), 2.0 * WEIGHT, now, SLOWNESS_TAU);
+                server.took((end.elapsed / usual).clamp(0.05, 20.0), 2.0 * WEIGHT, now, SLOWNESS_TAU);
             }
             // A warm backend needs no account: it begins anew where it starts cold.
             if !cold.is_warm(server.started, now) {
-                server.slow_start.ended(now - end.spent.min(usual), request.units, window);
+                server.slow_start.ended(now - end.elapsed.min(usual), request.units, window);
                 // One that could do more does not idle where the warm ones served little, or are dead.
-                if served && end.spent < UNDELAYED * usual {
+                if served && end.elapsed < UNDELAYED * usual {
                     server.slow_start.served(now, request.units, window);
                 }
             }
@@ -881,13 +881,13 @@
             }
         }
         self.lost.add(f64::from(end.outcome == Outcome::TimedOut), WEIGHT / 2.0);
-        self.out_for.add(end.spent, WEIGHT / 2.0);
+        self.out_for.add(end.elapsed, WEIGHT / 2.0);
         if served {
-            self.classes[request.class.0].add(end.spent, request.units, WEIGHT);
+            self.classes[request.class.0].add(end.elapsed, request.units, WEIGHT);
         }
         silent = (silent || overtaken) && !self.shared; // The mean: a count is held low by a few long ones.
         if judged && !unreached && !silent {
-            let taken = if full { 1.0 } else { (end.spent / aim).min(1.0) };
+            let taken = if full { 1.0 } else { (end.elapsed / aim).min(1.0) };
             // By time where answers are few: prevents many gateways from learning of a trouble after it.
             self.press(now, taken, SHORT_TAU, [WEIGHT / 2.0, WEIGHT]);
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -453,7 +453,7 @@
         let mixed = self.customer.0.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let spread = u64::from(self.spread.clamp(1, gateways));
         [mixed >> 40, (mixed >> 16) & 0xff_ffff].map(|at| {
-            let number = u64::from(self.first.0) + at % spread;
+            let number = u64::from(self.first_ingress.0) + at % spread;
             IngressId((number % u64::from(gateways)) as u16)
         })
     }
@@ -804,7 +804,7 @@
             plan: request.plan,
             spread,
             living: 0,
-            first: request.first,
+            first: request.first_ingress,
             store: Bucket::new(store, started),
             slice: Bucket::new(store, started),
             ceiling: Bucket::new(ceiling, started),
@@ -850,7 +850,7 @@
 impl Open {
     /// A request of which nothing was sent yet.
     pub(crate) fn new(request: Request, now: Millis) -> Self {
-        let (attempts, deadline) = (Vec::new(), now + request.left);
+        let (attempts, deadline) = (Vec::new(), now + request.time_left);
         Self { request, deadline, attempts, risky: None, done: false, home: None, counted: false }
     }
 
--- a/src/subset/mod.rs
+++ b/src/subset/mod.rs
@@ -91,7 +91,7 @@
         }
         let mut changed = BTreeMap::new();
         for entry in list.entries {
-            changed.insert(entry.entry.server, entry.clone());
+            changed.insert(entry.entry.backend, entry.clone());
             self.take(now, entry);
         }
         self.begun = true;
@@ -121,7 +121,7 @@
         let before = std::mem::take(&mut self.listed);
         self.zones.clear();
         for entry in list.entries {
-            let known = before.get(&entry.entry.server).map(|listed| listed.since);
+            let known = before.get(&entry.entry.backend).map(|listed| listed.since);
             self.take(known.unwrap_or(now), entry);
         }
         self.begun = true;
@@ -134,7 +134,7 @@
 
     /// Puts an entry on the whole list, or takes it off.
     fn take(&mut self, now: Millis, entry: ServiceEntry) {
-        let id = entry.entry.server;
+        let id = entry.entry.backend;
         let before = self.listed.remove(&id);
         if let Some(before) = before.as_ref().filter(|before| before.ready()) {
             self.count(before.entry.entry.zone, |zone| zone.ready -= 1);
@@ -194,7 +194,7 @@
 
     fn holds(&self, listed: &Listed) -> bool {
         let zone = self.zones.get(&listed.entry.entry.zone);
-        zone.is_some_and(|zone| self.line.place(listed.entry.entry.server) < zone.holders)
+        zone.is_some_and(|zone| self.line.place(listed.entry.entry.backend) < zone.holders)
     }
 
     /// How many are to hold each backend, so that each ingress has about the configured number; no backend is without.
@@ -226,7 +226,7 @@
         let usual = self.settled.round() as u16;
         let mut places: BTreeMap<ZoneId, Vec<u16>> = BTreeMap::new();
         for listed in self.listed.values().filter(|listed| listed.ready()) {
-            let place = self.line.place(listed.entry.entry.server);
+            let place = self.line.place(listed.entry.entry.backend);
             places.entry(listed.entry.entry.zone).or_default().push(place);
         }
         for (id, mut places) in places {
@@ -246,9 +246,9 @@
     /// Settles once more; of what is told twice the later goes before.
     fn also(&mut self, entries: Vec<ServiceEntry>) -> Vec<ServiceEntry> {
         let mut all: BTreeMap<BackendId, ServiceEntry> =
-            entries.into_iter().map(|entry| (entry.entry.server, entry)).collect();
+            entries.into_iter().map(|entry| (entry.entry.backend, entry)).collect();
         let more = self.settle_and_tell(&BTreeMap::new());
-        all.extend(more.into_iter().map(|entry| (entry.entry.server, entry)));
+        all.extend(more.into_iter().map(|entry| (entry.entry.backend, entry)));
         all.into_values().collect()
     }
 }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -51,8 +51,9 @@
 #[test]
 fn a_repeat_of_keyed_work_must_leave_within_what_is_left_of_its_window() {
     let within = |acts: &[Action]| {
-        let found =
-            acts.iter().find_map(|a| if let Action::Send { within, .. } = a { Some(*within) } else { None });
+        let found = acts.iter().find_map(|a| {
+            if let Action::Send { send_within: within, .. } = a { Some(*within) } else { None }
+        });
         found.expect("it is sent")
     };
     for (class, first, left) in
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -149,11 +149,11 @@
             class: ClassId(class),
             plan: PlanId(0),
             customer: CustomerId(self.next % 500),
-            left: 2000.0,
+            time_left: 2000.0,
             units: UNITS,
             spread: GATEWAYS,
-            first: IngressId(0),
-            repeat: false,
+            first_ingress: IngressId(0),
+            is_retry: false,
         }
     }
 
@@ -185,8 +185,8 @@
                 if self.started.is_some() && end.outcome == Outcome::Served {
                     let can = if self.warms_at_once { self.part * CAN } else { self.can() };
                     self.free_at = self.free_at.max(self.now) + 1000.0 * UNITS / can;
-                    end.spent += (self.free_at - self.now - SIDE_BY_SIDE).max(0.0) + self.slow;
-                    self.working.push_back((self.now + end.spent, me, end));
+                    end.elapsed += (self.free_at - self.now - SIDE_BY_SIDE).max(0.0) + self.slow;
+                    self.working.push_back((self.now + end.elapsed, me, end));
                     continue;
                 }
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,7 +54,7 @@
 
 pub fn entry(number: u64) -> BackendEntry {
     BackendEntry {
-        server: BackendId(number),
+        backend: BackendId(number),
         state: BackendState::Ready,
         weight: 1.0,
         zone: ZoneId((number % 2) as u8),
@@ -102,11 +102,11 @@
             class: ClassId(class),
             plan: PlanId(0),
             customer: CustomerId(customer),
-            left: 2000.0,
+            time_left: 2000.0,
             units,
             spread,
-            first: IngressId(0),
-            repeat: false,
+            first_ingress: IngressId(0),
+            is_retry: false,
         }));
         (id, acts)
     }
@@ -136,10 +136,10 @@
     AttemptEnd {
         request,
         attempt: AttemptIndex(no),
-        server,
+        backend: server,
         outcome,
-        spent,
-        closed: outcome == Outcome::Served,
+        elapsed: spent,
+        request_closed: outcome == Outcome::Served,
         metered_use: None,
         settled_units: None,
         load: Load::default(),
@@ -147,7 +147,7 @@
 }
 
 pub fn sent(acts: &[Action]) -> Option<BackendId> {
-    acts.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
+    acts.iter().find_map(|a| if let Action::Send { backend: server, .. } = a { Some(*server) } else { None })
 }
 
 pub fn refused(acts: &[Action]) -> bool {
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -72,16 +72,26 @@
         self.next += 1;
         let (id, left, units, first) = (RequestId(self.next), 2000.0, 1.0, IngressId(0));
         let (class, plan, customer, spread) = (ClassId(0), PlanId(0), CustomerId(customer), MANY);
-        let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
+        let request = Request {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            spread,
+            first_ingress: first,
+            is_retry: false,
+        };
         let acts = self.event(me, Event::Request(request));
         let Some(server) = sent(&acts) else { return false };
         let end = AttemptEnd {
             request: id,
             attempt: AttemptIndex(0),
-            server,
+            backend: server,
             outcome: Outcome::Served,
-            spent: 30.0,
-            closed: true,
+            elapsed: 30.0,
+            request_closed: true,
             metered_use: None,
             settled_units: None,
             load: Load::default(),
@@ -261,7 +271,17 @@
         );
         let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
         let (left, units, spread, first) = (2000.0, 1.0, 1, IngressId(0));
-        let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
+        let request = Request {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            spread,
+            first_ingress: first,
+            is_retry: false,
+        };
         let mut acts = Vec::new();
         limiter.handle(1.0, Event::Request(request), &mut acts);
         hits[(sent(&acts).unwrap().0 % 2) as usize] += 1.0;
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -66,11 +66,11 @@
             class: ClassId(class),
             plan: PlanId(0),
             customer: CustomerId(customer),
-            left: 2000.0,
+            time_left: 2000.0,
             units: 1.0,
             spread: MANY,
-            first: IngressId(0),
-            repeat: false,
+            first_ingress: IngressId(0),
+            is_retry: false,
         };
         (request.id, self.event(me, Event::Request(request)))
     }
@@ -158,7 +158,7 @@
     for me in 0..MANY {
         let (id, acts) = fleet.ask(me, 0, 1);
         out.extend(acts.iter().find_map(|(at, a)| match a {
-            Action::Send { server, .. } => Some((*at, id, *server)),
+            Action::Send { backend: server, .. } => Some((*at, id, *server)),
             _ => None,
         }));
     }
@@ -167,10 +167,10 @@
         let end = AttemptEnd {
             request,
             attempt: AttemptIndex(0),
-            server,
+            backend: server,
             outcome: Outcome::Error,
-            spent: 5.0,
-            closed: true,
+            elapsed: 5.0,
+            request_closed: true,
             metered_use: None,
             settled_units: None,
             load: Load::default(),
@@ -304,7 +304,7 @@
     let serve = |fleet: &mut Fleet, me: u16, customer: u64| {
         let (request, acts) = fleet.ask(me, 0, customer);
         let server = acts.iter().find_map(|(_, a)| match a {
-            Action::Send { server, .. } => Some(*server),
+            Action::Send { backend: server, .. } => Some(*server),
             _ => None,
         });
         if let Some(server) = server {
@@ -377,7 +377,7 @@
         let mut waits = Vec::new();
         for customer in 1..3 {
             let (id, acts) = bench.ask(customer, 2, 1.0, 1);
-            let of = |a: &Action| if let Action::Send { wait, .. } = a { Some(*wait) } else { None };
+            let of = |a: &Action| if let Action::Send { timeout: wait, .. } = a { Some(*wait) } else { None };
             waits.extend(acts.iter().find_map(of));
             bench.wait(2000.0).end(id, 0, sent(&acts).unwrap(), Outcome::TimedOut, 2000.0);
         }
@@ -403,7 +403,17 @@
         let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
         let (left, units, spread, first, repeat) = (2000.0, 1.0, MANY, IngressId(0), false);
         let mut acts = Vec::new();
-        let request = Request { id, class, plan, customer, left, units, spread, first, repeat };
+        let request = Request {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            spread,
+            first_ingress: first,
+            is_retry: repeat,
+        };
         limiter.handle(1e6, Event::Request(request), &mut acts);
         sent(&acts).is_some()
     });
--- a/tests/quota_pool.rs
+++ b/tests/quota_pool.rs
@@ -116,7 +116,17 @@
         self.next += 1;
         let (id, left, spread, first) = (RequestId(self.next), 2000.0, self.gateways(), IngressId(0));
         let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(1));
-        let request = Request { id, class, plan, customer, left, units, spread, first, repeat: false };
+        let request = Request {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            spread,
+            first_ingress: first,
+            is_retry: false,
+        };
         let acts = self.event(me, Event::Request(request));
         let Some(server) = sent(&acts) else { return false };
         self.event(me, Event::AttemptEnded(ended(id, 0, server, Outcome::Served, 20.0)));
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -106,7 +106,7 @@
 /// A list of one ready real server.
 pub fn one_ready(name: &str, at: SocketAddr) -> List {
     let entry = BackendEntry {
-        server: server_id(name),
+        backend: server_id(name),
         state: BackendState::Ready,
         weight: 1.0,
         zone: ZoneId(0),
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -13,7 +13,7 @@
     let zone = ZoneId((number % ZONES) as u8);
     let server = server_id(&format!("backend-{number}"));
     let (cell, kind) = (CellId(0), KindId(0));
-    let entry = BackendEntry { server, state, weight: 1.0, zone, cell, kind, last_start: None };
+    let entry = BackendEntry { backend: server, state, weight: 1.0, zone, cell, kind, last_start: None };
     ServiceEntry { entry, at: "10.0.0.1:1".parse().ok() }
 }
 
@@ -141,8 +141,8 @@
         }
         for entry in list.entries {
             match entry.entry.state {
-                BackendState::Gone => drop(self.0.remove(&entry.entry.server)),
-                state => drop(self.0.insert(entry.entry.server, state)),
+                BackendState::Gone => drop(self.0.remove(&entry.entry.backend)),
+                state => drop(self.0.insert(entry.entry.backend, state)),
             }
         }
     }
@@ -192,12 +192,12 @@
     let mut living = vec![true; 40];
     living[25..].fill(false);
     let more = subset.living(Some(&living)).unwrap().entries;
-    assert!(more.iter().any(|entry| !before.contains(&entry.entry.server)));
+    assert!(more.iter().any(|entry| !before.contains(&entry.entry.backend)));
     assert!(more.iter().all(|entry| entry.entry.last_start.is_some_and(|at| at < -1e12)));
     let new = list(false, (400..800).map(|number| entry(number, BackendState::Ready)).collect());
     let told = subset.listed(9.0, new).entries;
     let news: BTreeSet<_> = (400..800).map(|number| server_id(&format!("backend-{number}"))).collect();
-    let news: Vec<_> = told.iter().filter(|entry| news.contains(&entry.entry.server)).collect();
+    let news: Vec<_> = told.iter().filter(|entry| news.contains(&entry.entry.backend)).collect();
     assert!(!news.is_empty() && news.iter().all(|entry| entry.entry.last_start == Some(9.0)));
 }
 
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -39,7 +39,7 @@
     assert_eq!(out.len(), 2);
     assert!(!new.serve(5, 1.0, 1), "the cap is full with what is out there");
     let (id, no, server) = out[0];
-    let end = AttemptEnd { closed: true, ..ended(id, no.0, server, Outcome::Error, 50.0) };
+    let end = AttemptEnd { request_closed: true, ..ended(id, no.0, server, Outcome::Error, 50.0) };
     assert!(
         new.event(Event::AttemptEnded(end)).is_empty(),
         "what failed there is tried again there, if at all"
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -107,11 +107,11 @@
         class: ClassId((id % 2) as usize),
         plan: PlanId(0),
         customer: CustomerId(tenant as u64),
-        left: PATIENCE,
+        time_left: PATIENCE,
         units: 1.0,
         spread,
-        first: IngressId((at.ingress.0 + at.ingress_count - before) % at.ingress_count.max(1)),
-        repeat: false,
+        first_ingress: IngressId((at.ingress.0 + at.ingress_count - before) % at.ingress_count.max(1)),
+        is_retry: false,
     }
 }
 
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -231,7 +231,7 @@
     fn carry_out(&mut self, at: u64, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { request, server, .. } => self.send(at, request, server),
+                Action::Send { request, backend: server, .. } => self.send(at, request, server),
                 Action::Reject(..) => self.outcome.refused += 1,
                 Action::SetTimer(wait, key) => self.timer(at, wait, key),
                 Action::SendToPeer(to, bytes) => self.tell(at, to, bytes),
@@ -251,10 +251,10 @@
         let end = AttemptEnd {
             request,
             attempt: AttemptIndex(0),
-            server,
+            backend: server,
             outcome: Outcome::Served,
-            spent: spent / 1000.0,
-            closed: true,
+            elapsed: spent / 1000.0,
+            request_closed: true,
             metered_use: None,
             settled_units: None,
             load: Load { in_flight: Some(2.0), queued: Some(0.0), busy: Some(0.4), ..Load::default() },
