--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -173,11 +173,11 @@
     }
 
     async fn show_stat(&self) -> String {
-        match self.engine(Operation::Look).await {
+        match self.engine(Operation::Inspect).await {
             Ok(standing) => {
                 let fleet =
                     self.server.cluster.as_ref().map(|(cluster, _)| report::metrics(&cluster.borrow()));
-                format!("{}{}eof\n", self.server.stats.text(standing.members), fleet.unwrap_or_default())
+                format!("{}{}eof\n", self.server.stats.text(standing.counts), fleet.unwrap_or_default())
             }
             Err(reason) => format!("fail {reason}\n"),
         }
@@ -196,11 +196,11 @@
         match &operation {
             Operation::Disable(id) => info!(log, "an operator takes a real server out"; "id" => id),
             Operation::Enable(id) => info!(log, "an operator puts a real server back"; "id" => id),
-            Operation::Look => {}
+            Operation::Inspect => {}
         }
         match self.engine(operation).await {
             Ok(standing) => {
-                self.save_bans(&standing.bans);
+                self.save_bans(&standing.disabled);
                 "ok\n".to_owned()
             }
             Err(reason) => format!("fail {reason}\n"),
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -4,7 +4,10 @@
 use crate::cluster::notices::{LocalNotice, Subject};
 use crate::deadlines::{Deadlines, Due, Key};
 use crate::entries::List;
-use crate::exchange::{Call, Estate, News, Operation, Order, Report, Standing, Verdict};
+use crate::exchange::{
+    AttemptReport, BackendStatus, ClientSideCommand, CounterCall, EngineEvent, EngineState, FinalAnswer,
+    Operation,
+};
 use crate::interface::*;
 use crate::maintenance::Maintenance;
 use crate::membership::traffic::Witness;
@@ -26,9 +29,9 @@
 #[derive(Debug)]
 pub struct Outlets<Q> {
     /// To the client side.
-    pub orders: mpsc::UnboundedSender<Order<Q>>,
+    pub orders: mpsc::UnboundedSender<ClientSideCommand<Q>>,
     /// To the counter, where there is one.
-    pub counter: Option<mpsc::UnboundedSender<Call>>,
+    pub counter: Option<mpsc::UnboundedSender<CounterCall>>,
     /// To the process that decides in place of this one, how its attempts end.
     pub successor: mpsc::UnboundedSender<AttemptEnd>,
     /// To the peers, where messages are allowed.
@@ -66,7 +69,7 @@
 struct Flow<Q, A> {
     question: Q,
     /// Whom to answer; gone once it is over.
-    client: Option<oneshot::Sender<Verdict<A>>>,
+    client: Option<oneshot::Sender<FinalAnswer<A>>>,
     /// How long the client waits once its body has come; none where it has.
     uploads: Option<Millis>,
     /// When the last scheduling ends.
@@ -107,7 +110,7 @@
     /// The part of the list that this ingress goes by; none where it goes by all of it.
     subset: Option<Subset>,
     deadlines: Deadlines,
-    news: mpsc::UnboundedReceiver<News<Q, A>>,
+    news: mpsc::UnboundedReceiver<EngineEvent<Q, A>>,
     outlets: Outlets<Q>,
     bounds: Bounds,
     flows: HashMap<RequestId, Flow<Q, A>>,
@@ -131,7 +134,7 @@
     pub fn new(
         (limiter, maintenance): (Limiter, Maintenance),
         deadlines: Deadlines,
-        news: mpsc::UnboundedReceiver<News<Q, A>>,
+        news: mpsc::UnboundedReceiver<EngineEvent<Q, A>>,
         outlets: Outlets<Q>,
         bounds: Bounds,
         log: Logger,
@@ -208,14 +211,14 @@
         }
     }
 
-    fn take(&mut self, news: News<Q, A>) {
+    fn take(&mut self, news: EngineEvent<Q, A>) {
         match news {
-            News::Arrived(id, terms, question, client) => {
+            EngineEvent::RequestArrived(id, terms, question, client) => {
                 if self.flows.len() >= self.bounds.flows {
-                    return self.answer(client, Verdict::NoRoom(self.bounds.retry_after));
+                    return self.answer(client, FinalAnswer::NoRoom(self.bounds.retry_after));
                 }
-                let uploads = terms.uploads.then_some(terms.left);
-                let [left, last] = parts(if terms.uploads { UPLOAD } else { terms.left });
+                let uploads = terms.body_pending.then_some(terms.time_left);
+                let [left, last] = parts(if terms.body_pending { UPLOAD } else { terms.time_left });
                 let guard = self.deadlines.add(self.now + last, Due::Flow(id));
                 let (client, until) = (Some(client), self.now + left);
                 let (out, started, timed_out) = (Vec::new(), 0, false);
@@ -229,68 +232,68 @@
                     time_left: left,
                     units: terms.units,
                     spread: terms.spread,
-                    first_ingress: terms.first,
-                    is_retry: terms.repeat,
+                    first_ingress: terms.first_ingress,
+                    is_retry: terms.is_retry,
                 }));
             }
-            News::Left(id) => {
+            EngineEvent::ClientLeft(id) => {
                 // One that has had its answer is over already.
                 if self.close(id).is_some() {
                     self.tally.left += 1;
                     self.feed(Event::ClientLeft(id));
                     // Also where the decisions may not cancel: what has not begun to leave never will.
                     let out = self.flows.get(&id).into_iter().flat_map(|flow| flow.out.iter().map(|s| s.no));
-                    out.for_each(|no| self.order(Order::Withdraw(id, no)));
+                    out.for_each(|no| self.order(ClientSideCommand::Withdraw(id, no)));
                 }
             }
-            News::Uploaded(id) => self.uploaded(id),
-            News::Began(id, no, answer) => self.began((id, no), answer),
-            News::Ended(report) => self.ended(report),
-            News::Listed(list) => {
+            EngineEvent::BodyReceived(id) => self.uploaded(id),
+            EngineEvent::AnswerStarted(id, no, answer) => self.began((id, no), answer),
+            EngineEvent::AttemptEnded(report) => self.ended(report),
+            EngineEvent::BackendList(list) => {
                 self.told = true;
                 let kind = if list.whole { ListKind::Full } else { ListKind::Changes };
                 self.listed(list, kind);
             }
-            News::Heard(from, bytes) => self.feed(Event::PeerMessage(from, bytes)),
-            News::Counted(seq, answer) => {
+            EngineEvent::PeerMessage(from, bytes) => self.feed(Event::PeerMessage(from, bytes)),
+            EngineEvent::CounterAnswered(seq, answer) => {
                 // One that timed out has been told as unknown.
                 if let Some(name) = self.calls.remove(&seq) {
                     self.feed(Event::CounterAnswered(name, answer));
                 }
             }
-            News::Living(living) => {
+            EngineEvent::LiveIngresses(living) => {
                 let change = self.subset.as_mut().and_then(|subset| subset.living(living.as_deref()));
                 self.limiter.living(living);
                 if let Some(change) = change {
                     self.tell(change, ListKind::Changes);
                 }
             }
-            News::Ordered(name, out) => {
+            EngineEvent::DisabledElsewhere(name, out) => {
                 if let Some(change) = self.maintenance.ordered(&name, out) {
                     self.believe(change, ListKind::Changes);
                 }
             }
-            News::HandOver(reply) => {
+            EngineEvent::HandOver(reply) => {
                 self.retired = true;
                 let (list, bans) = (self.maintenance.told(), self.maintenance.bans());
-                let _ = reply.send(Estate { limiter: self.limiter.hand_over(), bans, list });
+                let _ = reply.send(EngineState { limiter: self.limiter.hand_over(), disabled: bans, list });
             }
-            News::TakeBack => {
+            EngineEvent::Resume => {
                 self.retired = false;
                 self.limiter.take_back();
             }
-            News::Inherit(estate, reply) => {
+            EngineEvent::Inherit(estate, reply) => {
                 self.inherit(estate);
                 let _ = reply.send(());
             }
-            News::EndedElsewhere(end) => self.ended_elsewhere(end),
-            News::Orphaned => {
+            EngineEvent::PredecessorAttemptEnded(end) => self.ended_elsewhere(end),
+            EngineEvent::PredecessorGone => {
                 for ((request, attempt), server) in std::mem::take(&mut self.elsewhere) {
                     let end = (Outcome::Cancelled, 0.0);
                     self.feed(attempt_ended((request, attempt), server, end, true, Load::default()));
                 }
             }
-            News::Operate(operation, reply) => {
+            EngineEvent::Operate(operation, reply) => {
                 // Whoever asked has its answer after all that follows is carried out.
                 let done = self.operate(operation);
                 let _ = reply.send(done);
@@ -299,8 +302,8 @@
     }
 
     /// Goes on from what another process knew. What cannot be read leaves this one as after a restart.
-    fn inherit(&mut self, estate: Estate) {
-        self.maintenance.ban_only(estate.bans);
+    fn inherit(&mut self, estate: EngineState) {
+        self.maintenance.ban_only(estate.disabled);
         match self.limiter.inherit(&estate.limiter) {
             Ok(out) => {
                 self.elsewhere =
@@ -328,9 +331,9 @@
         }
     }
 
-    fn operate(&mut self, operation: Operation) -> Result<Standing, &'static str> {
+    fn operate(&mut self, operation: Operation) -> Result<BackendStatus, &'static str> {
         let (change, said) = match operation {
-            Operation::Look => (None, None),
+            Operation::Inspect => (None, None),
             Operation::Disable(name) => (self.maintenance.disable(&name)?, Some((name, true))),
             Operation::Enable(name) => (self.maintenance.enable(&name)?, Some((name, false))),
         };
@@ -340,7 +343,7 @@
         if let Some(change) = change {
             self.believe(change, ListKind::Changes);
         }
-        Ok(Standing { members: self.limiter.members(self.now), bans: self.maintenance.bans() })
+        Ok(BackendStatus { counts: self.limiter.members(self.now), disabled: self.maintenance.bans() })
     }
 
     fn listed(&mut self, list: List, kind: ListKind) {
@@ -359,14 +362,14 @@
     fn tell(&mut self, list: List, kind: ListKind) {
         let entries = list.entries.iter().map(|e| e.entry).collect();
         // The client side learns it first: nothing that waits there starts on a drained real server.
-        self.order(Order::List(list));
+        self.order(ClientSideCommand::BackendList(list));
         self.feed(Event::BackendList(kind, entries));
     }
 
     fn due(&mut self, due: Due) {
         match due {
             Due::Timer(key) => self.feed(Event::Timer(key)),
-            Due::Scheduling(flow, no) => self.order(Order::GiveUp(flow, no, Outcome::TimedOut)),
+            Due::Scheduling(flow, no) => self.order(ClientSideCommand::GiveUp(flow, no, Outcome::TimedOut)),
             Due::Call(seq) => {
                 if let Some(name) = self.calls.remove(&seq) {
                     self.feed(Event::CounterAnswered(name, CounterAnswer::Unknown));
@@ -375,7 +378,7 @@
             Due::Flow(id) => {
                 // The last guard: a flow that the decisions still hold gets its one final answer.
                 if let Some(client) = self.close(id) {
-                    self.answer(client, Verdict::Failed { timed_out: true });
+                    self.answer(client, FinalAnswer::Failed { timed_out: true });
                     debug!(self.log, "flow failed at its deadline"; "flow" => id.0);
                     self.feed(Event::ClientLeft(id));
                 }
@@ -396,22 +399,22 @@
     }
 
     /// The one place where a flow's verdict goes out; a client that has left needs none.
-    fn answer(&mut self, client: oneshot::Sender<Verdict<A>>, verdict: Verdict<A>) {
+    fn answer(&mut self, client: oneshot::Sender<FinalAnswer<A>>, verdict: FinalAnswer<A>) {
         match verdict {
-            Verdict::Served(_) => self.tally.served += 1,
-            Verdict::Rejected(_) => self.tally.rejected += 1,
-            Verdict::NoRoom(_) => self.tally.no_room += 1,
-            Verdict::Failed { .. } => self.tally.failed += 1,
+            FinalAnswer::Served(_) => self.tally.served += 1,
+            FinalAnswer::Rejected(_) => self.tally.rejected += 1,
+            FinalAnswer::NoRoom(_) => self.tally.no_room += 1,
+            FinalAnswer::Failed { .. } => self.tally.failed += 1,
         }
         let _ = client.send(verdict);
     }
 
-    fn order(&self, order: Order<Q>) {
+    fn order(&self, order: ClientSideCommand<Q>) {
         let _ = self.outlets.orders.send(order);
     }
 
     /// Ends a flow; tells whom to answer where that is still owed.
-    fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<Verdict<A>>> {
+    fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalAnswer<A>>> {
         let flow = self.flows.get_mut(&id)?;
         let client = flow.client.take()?;
         self.deadlines.remove(flow.guard);
@@ -442,13 +445,13 @@
         self.deadlines.remove(s.deadline);
         s.began = Some(self.now);
         if let Some(client) = self.close(id) {
-            self.answer(client, Verdict::Served(answer));
+            self.answer(client, FinalAnswer::Served(answer));
         }
         self.feed(Event::StreamStarted(id, no));
     }
 
-    fn ended(&mut self, report: Report<A>) {
-        let Report { flow: id, no, mut outcome, load, answer } = report;
+    fn ended(&mut self, report: AttemptReport<A>) {
+        let AttemptReport { request: id, attempt: no, mut outcome, load, answer } = report;
         let Some(flow) = self.flows.get_mut(&id) else { return };
         let Some(at) = flow.out.iter().position(|s| s.no == no) else { return };
         let ended = flow.out.swap_remove(at);
@@ -457,7 +460,7 @@
         match answer {
             Some(answer) if outcome == Outcome::Served => {
                 if let Some(client) = self.close(id) {
-                    self.answer(client, Verdict::Served(answer));
+                    self.answer(client, FinalAnswer::Served(answer));
                 }
             }
             None if outcome == Outcome::Served && ended.began.is_none() => outcome = Outcome::Error,
@@ -486,16 +489,16 @@
             Action::Reject(id, after) => {
                 if let Some(client) = self.close(id) {
                     let after = after.filter(|after| *after > 0.0).unwrap_or(self.bounds.retry_after);
-                    self.answer(client, Verdict::Rejected(after));
+                    self.answer(client, FinalAnswer::Rejected(after));
                 }
             }
             Action::Fail(id) => {
                 let timed_out = self.flows.get(&id).is_some_and(|flow| flow.timed_out);
                 if let Some(client) = self.close(id) {
-                    self.answer(client, Verdict::Failed { timed_out });
+                    self.answer(client, FinalAnswer::Failed { timed_out });
                 }
             }
-            Action::Cancel(id, no) => self.order(Order::GiveUp(id, no, Outcome::Cancelled)),
+            Action::Cancel(id, no) => self.order(ClientSideCommand::GiveUp(id, no, Outcome::Cancelled)),
             // The decisions ask for no probes; one that they should ask for tells them nothing.
             Action::Probe(server) => {
                 self.own.push_back(Event::ProbeEnded(server, Outcome::NotSent, Load::default()));
@@ -507,7 +510,7 @@
             }
             Action::AddToCounter(name, amount, keep) => {
                 self.next_call += 1;
-                let call = Call { seq: self.next_call, name, amount, keep };
+                let call = CounterCall { seq: self.next_call, name, amount, keep };
                 let counter = self.outlets.counter.as_ref().filter(|_| !self.retired);
                 let sent = counter.is_some_and(|counter| counter.send(call).is_ok());
                 if sent {
@@ -551,7 +554,14 @@
             self.own.push_back(Event::StreamStarted(id, no));
         }
         let by = within.map(|within| self.now + within);
-        self.order(Order::Start { flow: id, no, server, question, wait, by });
+        self.order(ClientSideCommand::Start {
+            request: id,
+            attempt: no,
+            backend: server,
+            question,
+            timeout: wait,
+            send_by: by,
+        });
     }
 }
 
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -14,7 +14,7 @@
 
 /// What a front tells of a flow.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct RequestInfo {
     /// Its class.
     pub class: ClassId,
     /// Its customer's plan.
@@ -22,22 +22,22 @@
     /// Its customer.
     pub customer: CustomerId,
     /// How long the client waits, from the last byte of the flow.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Units it draws.
     pub units: f64,
     /// Over how many ingresses the customer's flows come ...
     pub spread: u16,
     /// ... counted round from this one.
-    pub first: IngressId,
+    pub first_ingress: IngressId,
     /// The client says that it has asked for this before.
-    pub repeat: bool,
-    /// Its body still comes: `left` runs from that one's last byte, and it can be sent once only.
-    pub uploads: bool,
+    pub is_retry: bool,
+    /// Its body still comes: `time_left` runs from that one's last byte, and it can be sent once only.
+    pub body_pending: bool,
 }
 
 /// The final answer of a flow.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict<A> {
+pub enum FinalAnswer<A> {
     /// What a real server answered.
     Served(A),
     /// The decisions refuse it: come again after this time.
@@ -51,7 +51,7 @@
     },
 }
 
-impl<A> Verdict<A> {
+impl<A> FinalAnswer<A> {
     /// What it counts as.
     pub fn end(&self) -> End {
         match self {
@@ -64,11 +64,11 @@
 
 /// How a scheduling ended.
 #[derive(Debug)]
-pub struct Report<A> {
+pub struct AttemptReport<A> {
     /// Whose scheduling.
-    pub flow: RequestId,
+    pub request: RequestId,
     /// Which.
-    pub no: AttemptIndex,
+    pub attempt: AttemptIndex,
     /// How it ended.
     pub outcome: Outcome,
     /// What the real server said of its load.
@@ -79,48 +79,48 @@
 
 /// What reaches the engine.
 #[derive(Debug)]
-pub enum News<Q, A> {
+pub enum EngineEvent<Q, A> {
     /// A flow has come in whole.
-    Arrived(RequestId, Terms, Q, oneshot::Sender<Verdict<A>>),
+    RequestArrived(RequestId, RequestInfo, Q, oneshot::Sender<FinalAnswer<A>>),
     /// Its client has left.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// The last byte of a flow's body has come.
-    Uploaded(RequestId),
+    BodyReceived(RequestId),
     /// A scheduling's answer has begun to pass on: it is the flow's, however it ends.
-    Began(RequestId, AttemptIndex, A),
+    AnswerStarted(RequestId, AttemptIndex, A),
     /// A scheduling has ended.
-    Ended(Report<A>),
+    AttemptEnded(AttemptReport<A>),
     /// Service entries.
-    Listed(List),
+    BackendList(List),
     /// A peer's message.
-    Heard(IngressId, Vec<u8>),
+    PeerMessage(IngressId, Vec<u8>),
     /// The counter answered a call.
-    Counted(u64, CounterAnswer),
+    CounterAnswered(u64, CounterAnswer),
     /// Another process is to decide from now on: it is owed what is known.
-    HandOver(oneshot::Sender<Estate>),
+    HandOver(oneshot::Sender<EngineState>),
     /// Which ingresses live, by number; none where that is not known.
-    Living(Option<Vec<bool>>),
+    LiveIngresses(Option<Vec<bool>>),
     /// An operator has taken a real server out, or put it back, at another ingress's door.
-    Ordered(String, bool),
+    DisabledElsewhere(String, bool),
     /// That process is gone: this one decides again.
-    TakeBack,
+    Resume,
     /// What another process knew, which has stopped deciding.
-    Inherit(Estate, oneshot::Sender<()>),
+    Inherit(EngineState, oneshot::Sender<()>),
     /// An attempt of that process has ended.
-    EndedElsewhere(AttemptEnd),
+    PredecessorAttemptEnded(AttemptEnd),
     /// That process is gone: so are its attempts.
-    Orphaned,
+    PredecessorGone,
     /// An operator wants something, and is owed an answer.
     Operate(Operation, oneshot::Sender<OperationResult>),
 }
 
 /// What an engine knows.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Estate {
+pub struct EngineState {
     /// The limiter.
     pub limiter: Vec<u8>,
     /// The real servers that are out by hand.
-    pub bans: Vec<String>,
+    pub disabled: Vec<String>,
     /// The list, as it was told.
     pub list: List,
 }
@@ -129,7 +129,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// To see how things stand.
-    Look,
+    Inspect,
     /// To take the real server of this name out.
     Disable(String),
     /// To put it back.
@@ -137,46 +137,46 @@
 }
 
 /// What the engine makes of an operation: how things stand after it, or why it was refused.
-pub type OperationResult = Result<Standing, &'static str>;
+pub type OperationResult = Result<BackendStatus, &'static str>;
 
 /// How things stand.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct BackendStatus {
     /// The real servers.
-    pub members: Members,
+    pub counts: Members,
     /// The names of those that are out by hand.
-    pub bans: Vec<String>,
+    pub disabled: Vec<String>,
 }
 
 /// What the engine wants of the client side, in order.
 #[derive(Debug)]
-pub enum Order<Q> {
-    /// Start a scheduling, which the engine gives up after `wait`.
+pub enum ClientSideCommand<Q> {
+    /// Start a scheduling, which the engine gives up after `timeout`.
     Start {
         /// Whose scheduling.
-        flow: RequestId,
+        request: RequestId,
         /// Which.
-        no: AttemptIndex,
+        attempt: AttemptIndex,
         /// The real server.
-        server: BackendId,
+        backend: BackendId,
         /// What to ask.
         question: Q,
         /// How long the engine will wait.
-        wait: Millis,
+        timeout: Millis,
         /// The moment by which it must have left whole, or never does.
-        by: Option<Millis>,
+        send_by: Option<Millis>,
     },
     /// Give a scheduling up and report it ended like this, unless it ended before.
     GiveUp(RequestId, AttemptIndex, Outcome),
     /// Give a scheduling up of which nothing was written yet: nobody waits for it any more.
     Withdraw(RequestId, AttemptIndex),
     /// Service entries.
-    List(List),
+    BackendList(List),
 }
 
 /// A call to the counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Call {
+pub struct CounterCall {
     /// The engine's number of it.
     pub seq: u64,
     /// The number's name.
@@ -190,7 +190,7 @@
 /// The exchange's way in.
 #[derive(Debug)]
 pub struct Exchange<Q, A> {
-    inbox: mpsc::UnboundedSender<News<Q, A>>,
+    inbox: mpsc::UnboundedSender<EngineEvent<Q, A>>,
     next: Arc<AtomicU64>,
 }
 
@@ -202,60 +202,60 @@
 
 impl<Q, A> Exchange<Q, A> {
     /// An exchange and the engine's end of it.
-    pub fn new() -> (Self, mpsc::UnboundedReceiver<News<Q, A>>) {
-        Self::from(0)
+    pub fn new() -> (Self, mpsc::UnboundedReceiver<EngineEvent<Q, A>>) {
+        Self::starting_at(0)
     }
 
     /// One whose flows are numbered from here on.
-    pub fn from(first: u64) -> (Self, mpsc::UnboundedReceiver<News<Q, A>>) {
+    pub fn starting_at(first: u64) -> (Self, mpsc::UnboundedReceiver<EngineEvent<Q, A>>) {
         let (inbox, news) = mpsc::unbounded_channel();
         (Self { inbox, next: Arc::new(AtomicU64::new(first)) }, news)
     }
 
     /// Tells the engine something; once the engine is gone nothing matters any more.
-    pub fn tell(&self, news: News<Q, A>) {
+    pub fn send(&self, news: EngineEvent<Q, A>) {
         let _ = self.inbox.send(news);
     }
 
     /// Hands in a flow; its verdict is to be awaited, and who drops that has left.
-    pub fn arrive(&self, terms: Terms, question: Q) -> Waiting<Q, A> {
+    pub fn submit(&self, terms: RequestInfo, question: Q) -> PendingAnswer<Q, A> {
         let flow = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let (sender, verdict) = oneshot::channel();
-        self.tell(News::Arrived(flow, terms, question, sender));
-        Waiting { exchange: self.clone(), flow, verdict, over: false }
+        self.send(EngineEvent::RequestArrived(flow, terms, question, sender));
+        PendingAnswer { exchange: self.clone(), flow, verdict, over: false }
     }
 }
 
 /// A flow's verdict to come.
 #[derive(Debug)]
-pub struct Waiting<Q, A> {
+pub struct PendingAnswer<Q, A> {
     exchange: Exchange<Q, A>,
     flow: RequestId,
-    verdict: oneshot::Receiver<Verdict<A>>,
+    verdict: oneshot::Receiver<FinalAnswer<A>>,
     over: bool,
 }
 
-impl<Q, A> Waiting<Q, A> {
+impl<Q, A> PendingAnswer<Q, A> {
     /// The last byte of the flow's body has come.
     pub fn uploaded(&self) {
-        self.exchange.tell(News::Uploaded(self.flow));
+        self.exchange.send(EngineEvent::BodyReceived(self.flow));
     }
 }
 
-impl<Q, A> Future for Waiting<Q, A> {
-    type Output = Verdict<A>;
+impl<Q, A> Future for PendingAnswer<Q, A> {
+    type Output = FinalAnswer<A>;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Verdict<A>> {
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<FinalAnswer<A>> {
         let verdict = std::task::ready!(Pin::new(&mut self.verdict).poll(cx));
         self.over = true;
-        Poll::Ready(verdict.unwrap_or(Verdict::Failed { timed_out: false }))
+        Poll::Ready(verdict.unwrap_or(FinalAnswer::Failed { timed_out: false }))
     }
 }
 
-impl<Q, A> Drop for Waiting<Q, A> {
+impl<Q, A> Drop for PendingAnswer<Q, A> {
     fn drop(&mut self) {
         if !self.over {
-            self.exchange.tell(News::Left(self.flow));
+            self.exchange.send(EngineEvent::ClientLeft(self.flow));
         }
     }
 }
--- a/src/fronts/ext_authz/authorisers.rs
+++ b/src/fronts/ext_authz/authorisers.rs
@@ -5,7 +5,7 @@
 use super::{Check, timeout_of};
 use crate::config::Site;
 use crate::deadlines::Deadlines;
-use crate::exchange::{Exchange, Order};
+use crate::exchange::{ClientSideCommand, Exchange};
 use crate::interface::*;
 use crate::net::http::BODY;
 use crate::net::schedulings::{Ending, Job, Schedulings, Stage};
@@ -73,7 +73,7 @@
     }
 
     /// Carries out orders until there are no more.
-    pub async fn run(self, orders: mpsc::UnboundedReceiver<Order<Check>>) {
+    pub async fn run(self, orders: mpsc::UnboundedReceiver<ClientSideCommand<Check>>) {
         let start = |server, mut job: Job<Check>| {
             let side = self.0.clone();
             spawn_local(async move {
--- a/src/fronts/ext_authz/mod.rs
+++ b/src/fronts/ext_authz/mod.rs
@@ -6,7 +6,7 @@
 pub mod service;
 
 use crate::config::{Authz, Field, Site};
-use crate::exchange::{Terms, Verdict};
+use crate::exchange::{FinalAnswer, RequestInfo};
 use crate::interface::*;
 use crate::net::http::BODY;
 use bytes::Bytes;
@@ -37,7 +37,7 @@
 
 impl Front {
     /// Makes a flow of a check; a bad one never reaches an authoriser.
-    pub fn read(&self, check: &Check) -> Result<Terms, Status> {
+    pub fn read(&self, check: &Check) -> Result<RequestInfo, Status> {
         let bad = |what: &str| Status::invalid_argument(what.to_owned());
         if check.message.len() > BODY {
             return Err(bad("the check is larger than 64 KiB"));
@@ -72,16 +72,16 @@
             Some(left) => left.ok_or_else(|| bad("grpc-timeout cannot be read"))?,
             None => self.authz.default_timeout,
         };
-        Ok(Terms {
+        Ok(RequestInfo {
             class: ClassId(class),
             plan: PlanId(*plan.ok_or_else(|| bad("the plan is missing or unknown"))?),
             customer: customer_id(customer),
-            left: left.min(info.give_up),
+            time_left: left.min(info.give_up),
             units: units.ok_or_else(|| bad("the units cannot be read"))?,
             spread,
-            first: IngressId(first),
-            repeat: false,
-            uploads: false,
+            first_ingress: IngressId(first),
+            is_retry: false,
+            body_pending: false,
         })
     }
 
@@ -105,23 +105,23 @@
     }
 
     /// The answer to a check; what an authoriser said passes unchanged.
-    pub fn word(&self, verdict: Verdict<Bytes>) -> Bytes {
+    pub fn word(&self, verdict: FinalAnswer<Bytes>) -> Bytes {
         let failed = |status, code, text| match self.authz.fail_open {
             true => allowed(),
             false => denied(status, code, text, None),
         };
         match verdict {
-            Verdict::Served(answer) => answer,
-            Verdict::Rejected(after) => {
+            FinalAnswer::Served(answer) => answer,
+            FinalAnswer::Rejected(after) => {
                 denied(StatusCode::TooManyRequests, Code::ResourceExhausted, "turned down", Some(after))
             }
-            Verdict::NoRoom(after) => {
+            FinalAnswer::NoRoom(after) => {
                 denied(StatusCode::ServiceUnavailable, Code::ResourceExhausted, "no room", Some(after))
             }
-            Verdict::Failed { timed_out: true } => {
+            FinalAnswer::Failed { timed_out: true } => {
                 failed(StatusCode::GatewayTimeout, Code::DeadlineExceeded, "no authoriser answered in time")
             }
-            Verdict::Failed { timed_out: false } => {
+            FinalAnswer::Failed { timed_out: false } => {
                 failed(StatusCode::BadGateway, Code::Unavailable, "no authoriser answered")
             }
         }
--- a/src/fronts/ext_authz/service.rs
+++ b/src/fronts/ext_authz/service.rs
@@ -69,7 +69,7 @@
             let terms = this.front.read(&check)?;
             // A caller that cancels drops this future, and with it the flow.
             let taken = this.stats.take(terms.class);
-            let verdict = this.exchange.arrive(terms, check).await;
+            let verdict = this.exchange.submit(terms, check).await;
             taken.ended(verdict.end());
             Ok(Response::new(this.front.word(verdict)))
         })
--- a/src/fronts/ext_authz/tests.rs
+++ b/src/fronts/ext_authz/tests.rs
@@ -11,7 +11,7 @@
     let message = CheckRequest { attributes }.encode_to_vec().into();
     let mut metadata = MetadataMap::new();
     of.map(|timeout| metadata.insert("grpc-timeout", timeout.parse().unwrap()));
-    front.read(&Check { message, metadata }).ok().map(|terms| terms.left)
+    front.read(&Check { message, metadata }).ok().map(|terms| terms.time_left)
 }
 
 #[test]
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's front: reads a flow out of an HTTP request and writes what passes on of it.
 
 use crate::config::Site;
-use crate::exchange::Terms;
+use crate::exchange::RequestInfo;
 use crate::interface::*;
 use crate::net::client_side::Question;
 use crate::net::http::Head;
@@ -65,16 +65,16 @@
     let terms = only("x-call-terms", "X-Call-Terms stands twice")?.and_then(|v| read_terms(v, site));
     let (units, spread, first) = terms.ok_or_else(bad("X-Call-Terms cannot be read"))?;
     let customer = customer(query).ok_or_else(bad("client is no customer of 16 hex digits"))?;
-    let terms = Terms {
+    let terms = RequestInfo {
         class: ClassId(class),
         plan: PlanId(*plan),
         customer: CustomerId(customer),
-        left: (left as Millis).min(info.give_up),
+        time_left: (left as Millis).min(info.give_up),
         units,
         spread,
-        first: IngressId(first),
-        repeat: head.get("client-retry") == Some(b"1"),
-        uploads: !whole,
+        first_ingress: IngressId(first),
+        is_retry: head.get("client-retry") == Some(b"1"),
+        body_pending: !whole,
     };
     let mut passed = BytesMut::with_capacity(target.len() + id.len() + key.map_or(0, <[u8]>::len) + 128);
     [method, b" ", target, b" HTTP/1.1\r\nRequest-Id: "]
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -9,7 +9,7 @@
 use super::stream::{connect, read_more};
 use crate::config::Site;
 use crate::deadlines::Deadlines;
-use crate::exchange::{Exchange, Order};
+use crate::exchange::{ClientSideCommand, Exchange};
 use crate::interface::*;
 use crate::stats::Stats;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -125,7 +125,7 @@
     /// Carries out orders until there are no more.
     pub async fn run(
         self,
-        orders: mpsc::UnboundedReceiver<Order<Question>>,
+        orders: mpsc::UnboundedReceiver<ClientSideCommand<Question>>,
         mut passed: mpsc::UnboundedReceiver<(BackendId, TcpStream)>,
     ) {
         let adopting = async {
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -3,7 +3,7 @@
 
 use super::stream::{Way, connect, read_more};
 use crate::deadlines::Deadlines;
-use crate::exchange::Call;
+use crate::exchange::CounterCall;
 use crate::interface::{CounterAnswer, Millis};
 use bytes::BytesMut;
 use slog::{Logger, info};
@@ -59,7 +59,7 @@
     /// Makes calls until there are no more; every one is answered once.
     pub async fn run(
         self,
-        mut calls: mpsc::UnboundedReceiver<Call>,
+        mut calls: mpsc::UnboundedReceiver<CounterCall>,
         tell: impl Fn(u64, CounterAnswer) + Clone + 'static,
     ) {
         let (mut rest_until, mut resting_at) = (f64::NEG_INFINITY, None);
@@ -96,8 +96,8 @@
         &self,
         mut line: Line,
         at: SocketAddr,
-        first: Call,
-        calls: &mut mpsc::UnboundedReceiver<Call>,
+        first: CounterCall,
+        calls: &mut mpsc::UnboundedReceiver<CounterCall>,
         tell: &impl Fn(u64, CounterAnswer),
     ) -> End {
         let mut next = Some(first);
@@ -226,8 +226,8 @@
     use tokio::sync::watch;
     use tokio::task::LocalSet;
 
-    fn call(seq: u64) -> Call {
-        Call { seq, name: CounterName(10 + seq), amount: -2.5, keep: 90_000.0 }
+    fn call(seq: u64) -> CounterCall {
+        CounterCall { seq, name: CounterName(10 + seq), amount: -2.5, keep: 90_000.0 }
     }
 
     /// Takes a connection and the lines of so many calls.
--- a/src/net/schedulings.rs
+++ b/src/net/schedulings.rs
@@ -3,7 +3,7 @@
 
 use crate::deadlines::Clock;
 use crate::entries::List;
-use crate::exchange::{Exchange, News, Order, Report};
+use crate::exchange::{AttemptReport, ClientSideCommand, EngineEvent, Exchange};
 use crate::interface::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -102,12 +102,19 @@
     /// Carries out orders until there are no more; `start` is to begin a job.
     pub async fn run(
         &self,
-        mut orders: mpsc::UnboundedReceiver<Order<Q>>,
+        mut orders: mpsc::UnboundedReceiver<ClientSideCommand<Q>>,
         start: impl Fn(BackendId, Job<Q>),
     ) {
         while let Some(order) = orders.recv().await {
             match order {
-                Order::Start { flow, no, server, question, wait, by } => {
+                ClientSideCommand::Start {
+                    request: flow,
+                    attempt: no,
+                    backend: server,
+                    question,
+                    timeout: wait,
+                    send_by: by,
+                } => {
                     let id = (flow, no);
                     let stage = Rc::new(Cell::new(Stage::Waiting));
                     let (go_on, given_up) = oneshot::channel();
@@ -115,8 +122,8 @@
                     self.running.borrow_mut().insert(id, running);
                     start(server, Job { id, question, wait, by, stage, given_up });
                 }
-                Order::GiveUp(flow, no, outcome) => self.give_up((flow, no), outcome),
-                Order::Withdraw(flow, no) => {
+                ClientSideCommand::GiveUp(flow, no, outcome) => self.give_up((flow, no), outcome),
+                ClientSideCommand::Withdraw(flow, no) => {
                     let id = (flow, no);
                     let waits =
                         self.running.borrow().get(&id).is_some_and(|r| r.stage.get() == Stage::Waiting);
@@ -124,7 +131,7 @@
                         self.give_up(id, Outcome::Cancelled);
                     }
                 }
-                Order::List(list) => self.list(&list),
+                ClientSideCommand::BackendList(list) => self.list(&list),
             }
         }
     }
@@ -133,7 +140,7 @@
     pub fn began(&self, (flow, no): Id, answer: A) -> bool {
         let runs = self.running.borrow().contains_key(&(flow, no));
         if runs {
-            self.exchange.tell(News::Began(flow, no, answer));
+            self.exchange.send(EngineEvent::AnswerStarted(flow, no, answer));
         }
         runs
     }
@@ -146,7 +153,13 @@
     }
 
     fn report(&self, (flow, no): Id, Ending { outcome, load, answer }: Ending<A>) {
-        self.exchange.tell(News::Ended(Report { flow, no, outcome, load, answer }));
+        self.exchange.send(EngineEvent::AttemptEnded(AttemptReport {
+            request: flow,
+            attempt: no,
+            outcome,
+            load,
+            answer,
+        }));
     }
 
     fn give_up(&self, id: Id, outcome: Outcome) {
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -7,7 +7,7 @@
 use super::pieces::{self, Once, PIECE, Piece, Pieces};
 use super::stream::{came, ended, read_more};
 use crate::deadlines::Deadlines;
-use crate::exchange::{Exchange, Terms, Verdict};
+use crate::exchange::{Exchange, FinalAnswer, RequestInfo};
 use crate::interface::Millis;
 use crate::stats::{End, Stats, Taken};
 use bytes::{BufMut, Bytes, BytesMut};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub enum Asked {
     /// A flow, and its id.
-    Flow(Terms, Question, Bytes),
+    Flow(RequestInfo, Question, Bytes),
     /// Whether the program is ready.
     Ready,
     /// It is answered with this status: no flow, or one that cannot be read.
@@ -928,14 +928,15 @@
                 let _id = Id(shared, id);
                 self.flows.set(true);
                 // Prevents one that comes late while this process drains from being lost at its end.
-                terms.left = terms.left.min((shared.ends.get() - shared.deadlines.clock().now()).max(1.0));
+                terms.time_left =
+                    terms.time_left.min((shared.ends.get() - shared.deadlines.clock().now()).max(1.0));
                 let taken = shared.stats.take(terms.class);
                 let upload = rest.map(|body| {
                     let (sender, pieces) = pieces::way();
                     question.rest = Some(Once::new(pieces));
                     (body, sender)
                 });
-                let mut waiting = shared.exchange.arrive(terms, question);
+                let mut waiting = shared.exchange.submit(terms, question);
                 let (mut early, mut unread) = (None, None);
                 if let Some((mut body, sender)) = upload {
                     let mut read = read;
@@ -974,17 +975,19 @@
                 let close = closes(ahead.flooded);
                 let (mut close, end, before, mut rest) = (close, verdict.end(), out.len(), None);
                 match verdict {
-                    Verdict::Served(answer) => {
+                    FinalAnswer::Served(answer) => {
                         // Without a length and without chunks, only the end of the connection tells the end.
                         let chunked = answer.rest.is_some() && answer.length.is_none() && !head.old;
                         close |= answer.rest.is_some() && answer.length.is_none() && head.old;
                         served(out, &answer, chunked, bodiless, close);
                         rest = answer.rest.map(|rest| (rest, chunked));
                     }
-                    Verdict::Rejected(after) => plain(out, 429, "turned down", Some(after), close),
-                    Verdict::NoRoom(after) => plain(out, 503, "no room", Some(after), close),
-                    Verdict::Failed { timed_out: true } => plain(out, 504, "no answer in time", None, close),
-                    Verdict::Failed { timed_out: false } => plain(out, 502, "failed", None, close),
+                    FinalAnswer::Rejected(after) => plain(out, 429, "turned down", Some(after), close),
+                    FinalAnswer::NoRoom(after) => plain(out, 503, "no room", Some(after), close),
+                    FinalAnswer::Failed { timed_out: true } => {
+                        plain(out, 504, "no answer in time", None, close)
+                    }
+                    FinalAnswer::Failed { timed_out: false } => plain(out, 502, "failed", None, close),
                 }
                 if bodiless {
                     strip(out, before);
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -221,7 +221,7 @@
     };
     let sound = String::from_utf8(REQUESTS.to_vec()).unwrap();
     let Asked::Flow(terms, question, id) = read(sound.as_bytes()) else { panic!("the first is a flow") };
-    assert_eq!((terms.units, terms.spread, terms.first.0, terms.left), (2.0, 3, 1, 480.0));
+    assert_eq!((terms.units, terms.spread, terms.first_ingress.0, terms.time_left), (2.0, 3, 1, 480.0));
     assert_eq!((terms.class.0, terms.plan.0, terms.customer.0), (1, 0, 0xb4d6_5521));
     assert_eq!(id, "9b1f03aa5c7e2d41");
     let head = String::from_utf8(question.head.to_vec()).unwrap();
--- a/src/node.rs
+++ b/src/node.rs
@@ -12,7 +12,7 @@
 use crate::deadlines::{Clock, Deadlines};
 use crate::engine::{Bounds, Engine, Outlets};
 use crate::entries::List;
-use crate::exchange::{Exchange, News, Operation, OperationResult, Order};
+use crate::exchange::{ClientSideCommand, EngineEvent, Exchange, Operation, OperationResult};
 use crate::fronts::ext_authz::authorisers::Authorisers;
 use crate::fronts::ext_authz::service::{self, CheckService};
 use crate::fronts::ext_authz::{Check, Front};
@@ -185,7 +185,7 @@
 struct Core<Q, A> {
     deadlines: Deadlines,
     exchange: Exchange<Q, A>,
-    orders: mpsc::UnboundedReceiver<Order<Q>>,
+    orders: mpsc::UnboundedReceiver<ClientSideCommand<Q>>,
     /// The parts without which an instance is none.
     parts: JoinSet<()>,
     longest: Millis,
@@ -228,7 +228,7 @@
         let site = &instance.site;
         let limiter = Limiter::new(site.settings.clone(), instance.seed).map_err(io::Error::other)?;
         // Prevents numbers of flows from meeting those of another process.
-        let (exchange, news) = Exchange::from((deadlines.clock().now() as u64) << 20);
+        let (exchange, news) = Exchange::starting_at((deadlines.clock().now() as u64) << 20);
         let (orders, ordered) = mpsc::unbounded_channel();
         let (successor, ended) = mpsc::unbounded_channel();
         let role = watch::Sender::new(role);
@@ -240,15 +240,19 @@
             let exchange = exchange.clone();
             let at = Way::new(ways, at, |ways| ways.counter);
             let counter = Counter { at, deadlines: deadlines.clone(), log: log.clone() };
-            parts
-                .spawn_local(counter.run(made, move |seq, answer| exchange.tell(News::Counted(seq, answer))));
+            parts.spawn_local(
+                counter
+                    .run(made, move |seq, answer| exchange.send(EngineEvent::CounterAnswered(seq, answer))),
+            );
             outlets.counter = Some(calls);
         }
         if let Some(socket) = peers {
             let peers = Peers::new(socket, instance.peers.clone(), role.subscribe(), log.clone());
             let (mail, sent) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
-            parts.spawn_local(peers.run(sent, move |from, bytes| exchange.tell(News::Heard(from, bytes))));
+            parts.spawn_local(
+                peers.run(sent, move |from, bytes| exchange.send(EngineEvent::PeerMessage(from, bytes))),
+            );
             outlets.peers = Some(mail);
         }
         let phase = watch::Sender::new(Phase::Starting);
@@ -283,9 +287,9 @@
                 if let ClusterEvent::Living(living) = &told {
                     back.heard(Heard::View(living.is_some()));
                 }
-                exchange.tell(match told {
-                    ClusterEvent::Living(living) => News::Living(living),
-                    ClusterEvent::Server(name, out) => News::Ordered(name, out),
+                exchange.send(match told {
+                    ClusterEvent::Living(living) => EngineEvent::LiveIngresses(living),
+                    ClusterEvent::Server(name, out) => EngineEvent::DisabledElsewhere(name, out),
                 })
             }));
             let _ = said.send(LocalNotice::Restored(out.clone()));
@@ -312,11 +316,11 @@
             let (exchange, both, pauses) = (exchange.clone(), other.clone(), deadlines.clone());
             let engine = move |operation: Operation| -> Pin<Box<dyn Future<Output = OperationResult>>> {
                 let (reply, answer) = oneshot::channel();
-                exchange.tell(News::Operate(operation.clone(), reply));
+                exchange.send(EngineEvent::Operate(operation.clone(), reply));
                 let (both, pauses) = (both.clone(), pauses.clone());
                 Box::pin(async move {
                     let told = answer.await.unwrap_or(Err("the engine has ended"));
-                    if told.is_ok() && operation != Operation::Look {
+                    if told.is_ok() && operation != Operation::Inspect {
                         both.operate(operation, &pauses).await;
                     }
                     told
@@ -364,7 +368,7 @@
         let (exchange, told, back) = (self.exchange.clone(), self.told.clone(), self.back.clone());
         move |list| {
             back.heard(Heard::Told);
-            exchange.tell(News::Listed(list));
+            exchange.send(EngineEvent::BackendList(list));
             told.send_replace(true);
         }
     }
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -1,6 +1,6 @@
 //! The messages between the old process and the new one, and their bytes. No I/O.
 
-use crate::exchange::{Estate, Operation};
+use crate::exchange::{EngineState, Operation};
 use crate::interface::{AttemptEnd, BackendId, Millis};
 use bytes::{Buf, BufMut, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
     /// The state of the old process, which has stopped deciding.
     State {
         /// The state of its engine.
-        estate: Estate,
+        estate: EngineState,
         /// It is drained.
         drained: bool,
         /// How many connections to backends it still has open.
--- a/src/upgrade/succession.rs
+++ b/src/upgrade/succession.rs
@@ -6,7 +6,7 @@
 use super::peer::{ANSWER_TIMEOUT, OtherProcess};
 use super::rendezvous::listen;
 use crate::deadlines::Deadlines;
-use crate::exchange::{Estate, Exchange, News, OperationResult};
+use crate::exchange::{EngineEvent, EngineState, Exchange, OperationResult};
 use crate::interface::{AttemptEnd, BackendId, Millis};
 use crate::net::budget::Elsewhere;
 use crate::net::client_side::{Answer, Question};
@@ -72,9 +72,12 @@
 
 impl Succession {
     /// Tells the engine something, and waits for its answer.
-    async fn ask<T>(&self, news: impl FnOnce(oneshot::Sender<T>) -> News<Question, Answer>) -> Option<T> {
+    async fn ask<T>(
+        &self,
+        news: impl FnOnce(oneshot::Sender<T>) -> EngineEvent<Question, Answer>,
+    ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        self.exchange.tell(news(reply));
+        self.exchange.send(news(reply));
         answer.await.ok()
     }
 
@@ -93,7 +96,7 @@
             return;
         };
         self.elsewhere.set(servers.max(1));
-        self.ask(|reply| News::Inherit(estate, reply)).await;
+        self.ask(|reply| EngineEvent::Inherit(estate, reply)).await;
         if drained {
             self.drain.send_replace(Drain::Closing);
         }
@@ -112,7 +115,7 @@
         }
         self.other.set(None);
         self.elsewhere.set(0);
-        self.exchange.tell(News::Orphaned);
+        self.exchange.send(EngineEvent::PredecessorGone);
         info!(self.log, "the old process is gone");
     }
 
@@ -125,9 +128,10 @@
                     let _ = self.adopt_server.send((server, stream));
                 }
             }
-            Frame::Ended(end) => self.exchange.tell(News::EndedElsewhere(end)),
+            Frame::Ended(end) => self.exchange.send(EngineEvent::PredecessorAttemptEnded(end)),
             Frame::Operate(number, operation) => {
-                let _: Option<OperationResult> = self.ask(|reply| News::Operate(operation, reply)).await;
+                let _: Option<OperationResult> =
+                    self.ask(|reply| EngineEvent::Operate(operation, reply)).await;
                 let _ = outbox.send(Frame::Done(number).into());
             }
             Frame::Done(number) => self.other.done(number),
@@ -186,7 +190,7 @@
     fn take_back(&self) {
         if *self.role.borrow() == Role::Gone && *self.phase.borrow() == Phase::Serving {
             warn!(self.log, "serving again");
-            self.exchange.tell(News::TakeBack);
+            self.exchange.send(EngineEvent::Resume);
             self.role.send_replace(Role::Active);
         }
     }
@@ -197,7 +201,7 @@
         self.give_sockets(&mut reader, &mut writer, outgoing).await?;
         info!(self.log, "another process takes over");
         self.role.send_replace(Role::Gone);
-        let estate: Estate = self.ask(News::HandOver).await.unwrap_or_default();
+        let estate: EngineState = self.ask(EngineEvent::HandOver).await.unwrap_or_default();
         let drained = *self.drain.borrow() != Drain::No;
         let servers = self.open.get();
         writer.write(&Frame::State { estate, drained, servers }.into()).await?;
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -1,6 +1,6 @@
 use super::frame::{Frame, FrameError, LAYOUT_VERSION, take_frame};
 use super::link::{Parcel, link};
-use crate::exchange::{Estate, Operation};
+use crate::exchange::{EngineState, Operation};
 use bytes::BytesMut;
 use quickcheck::{Gen, QuickCheck};
 use std::io::{Read, Write};
@@ -8,7 +8,8 @@
 use tokio::net::UnixStream;
 
 fn frames() -> Vec<Frame> {
-    let estate = Estate { limiter: vec![7; 300], bans: vec!["s-1".into()], ..Estate::default() };
+    let estate =
+        EngineState { limiter: vec![7; 300], disabled: vec!["s-1".into()], ..EngineState::default() };
     vec![
         Frame::Hello(LAYOUT_VERSION),
         Frame::Sockets { peers: true },
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -21,7 +21,7 @@
 use weldhub::config::Config;
 use weldhub::deadlines::Clock;
 use weldhub::entries::server_id;
-use weldhub::exchange::{Exchange, News, Order};
+use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
 use weldhub::net::budget::{Budget, Elsewhere};
 use weldhub::net::client_side::{Answer, ClientSide, Links, Question};
@@ -32,8 +32,8 @@
 
 /// A client side alone: the test orders, and holds the only thread for as long as it likes.
 struct Side {
-    orders: mpsc::UnboundedSender<Order<Question>>,
-    news: mpsc::UnboundedReceiver<News<Question, Answer>>,
+    orders: mpsc::UnboundedSender<ClientSideCommand<Question>>,
+    news: mpsc::UnboundedReceiver<EngineEvent<Question, Answer>>,
     clock: Clock,
     _role: watch::Sender<Role>,
 }
@@ -57,7 +57,7 @@
         let (orders, ordered) = mpsc::unbounded_channel();
         let adopted = mpsc::unbounded_channel().1;
         spawn_local(side.run(ordered, adopted));
-        orders.send(Order::List(one_ready("s1", server))).unwrap();
+        orders.send(ClientSideCommand::BackendList(one_ready("s1", server))).unwrap();
         Self { orders, news, clock, _role: role }
     }
 
@@ -71,12 +71,21 @@
     fn ask(&self, flow: u64, question: Question, within: Option<Millis>) {
         let by = within.map(|within| self.clock.now() + within);
         let (flow, no, server) = (RequestId(flow), AttemptIndex(1), server_id("s1"));
-        self.orders.send(Order::Start { flow, no, server, question, wait: 5000.0, by }).unwrap();
+        self.orders
+            .send(ClientSideCommand::Start {
+                request: flow,
+                attempt: no,
+                backend: server,
+                question,
+                timeout: 5000.0,
+                send_by: by,
+            })
+            .unwrap();
     }
 
     async fn ended(&mut self) -> (RequestId, Outcome) {
         match self.news.recv().await.unwrap() {
-            News::Ended(report) => (report.flow, report.outcome),
+            EngineEvent::AttemptEnded(report) => (report.request, report.outcome),
             other => panic!("{other:?}"),
         }
     }
@@ -104,7 +113,9 @@
         let server = Full::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
-        side.orders.send(Order::GiveUp(RequestId(1), AttemptIndex(1), Outcome::Cancelled)).unwrap();
+        side.orders
+            .send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(1), Outcome::Cancelled))
+            .unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
         assert_eq!(server.all_said().await, "");
     });
@@ -116,7 +127,7 @@
         let server = Full::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
-        side.orders.send(Order::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
+        side.orders.send(ClientSideCommand::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
         assert_eq!(server.all_said().await, "");
         // This one is out: whoever may not cancel it lets it run.
@@ -125,7 +136,7 @@
         side.order(2, None);
         let (mut server, _) = listener.accept().await.unwrap();
         request(&mut server).await;
-        side.orders.send(Order::Withdraw(RequestId(2), AttemptIndex(1))).unwrap();
+        side.orders.send(ClientSideCommand::Withdraw(RequestId(2), AttemptIndex(1))).unwrap();
         server.write_all(&good("one")).await.unwrap();
         assert_eq!(side.ended().await, (RequestId(2), Outcome::Served));
     });
@@ -199,7 +210,9 @@
         pieces.send(Piece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
         assert_eq!(&request(&mut server).await.body[..], b"e2e4");
-        side.orders.send(Order::GiveUp(RequestId(1), AttemptIndex(1), Outcome::TimedOut)).unwrap();
+        side.orders
+            .send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(1), Outcome::TimedOut))
+            .unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::TimedOut));
     });
 }
@@ -244,7 +257,7 @@
             request(next).await;
         }
         next.as_mut().unwrap_or(&mut first).write_all(&good("two")).await.unwrap();
-        let News::Ended(report) = side.news.recv().await.unwrap() else { panic!("it ends") };
+        let EngineEvent::AttemptEnded(report) = side.news.recv().await.unwrap() else { panic!("it ends") };
         assert_eq!(&report.answer.unwrap().body[..], b"two");
     });
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -18,7 +18,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use weldhub::config::{Config, Site};
 use weldhub::deadlines::{Clock, Deadlines};
-use weldhub::exchange::{Exchange, News, Verdict};
+use weldhub::exchange::{EngineEvent, Exchange, FinalAnswer};
 use weldhub::fronts::platform;
 use weldhub::interface::Millis;
 use weldhub::net::budget::{Budget, Elsewhere};
@@ -38,7 +38,7 @@
 /// A server side alone: what it sends on is news to the test, which answers and signals in the very turn it wants to.
 struct Side {
     at: SocketAddr,
-    news: mpsc::UnboundedReceiver<News<Question, Answer>>,
+    news: mpsc::UnboundedReceiver<EngineEvent<Question, Answer>>,
     phase: watch::Sender<Phase>,
     drain: watch::Sender<Drain>,
     _role: watch::Sender<Role>,
@@ -92,9 +92,9 @@
     }
 
     /// The next request that is sent on.
-    async fn sent_on(&mut self) -> oneshot::Sender<Verdict<Answer>> {
+    async fn sent_on(&mut self) -> oneshot::Sender<FinalAnswer<Answer>> {
         match self.news.recv().await.unwrap() {
-            News::Arrived(_, _, _, client) => client,
+            EngineEvent::RequestArrived(_, _, _, client) => client,
             other => panic!("{other:?}"),
         }
     }
@@ -109,9 +109,9 @@
     }
 }
 
-fn served(body: &str) -> Verdict<Answer> {
+fn served(body: &str) -> FinalAnswer<Answer> {
     let body = Bytes::copy_from_slice(body.as_bytes());
-    Verdict::Served(Answer { length: Some(body.len()), body, content_type: None, rest: None })
+    FinalAnswer::Served(Answer { length: Some(body.len()), body, content_type: None, rest: None })
 }
 
 /// A client that writes at once, whether or not the runtime has a turn.
@@ -204,11 +204,11 @@
         let mut other = Crosser::new(side.at).await;
         assert!(other.answer().await.is_none());
         client.write(&text[30..]);
-        let News::Arrived(_, terms, _, verdict) = side.news.recv().await.unwrap() else {
+        let EngineEvent::RequestArrived(_, terms, _, verdict) = side.news.recv().await.unwrap() else {
             panic!("it arrives")
         };
         // It ends before the process does, however long its client would wait.
-        assert!(terms.left < LAST, "{}", terms.left);
+        assert!(terms.time_left < LAST, "{}", terms.time_left);
         verdict.send(served("2")).unwrap();
         let answer = client.answer().await.unwrap();
         assert_eq!((&answer.body[..], answer.head.close), (&b"2"[..], true));
@@ -307,7 +307,7 @@
 // Clients.
 
 /// A client whose request waits for its first attempt.
-async fn waits(side: &mut Side, id: &str) -> (Crosser, oneshot::Sender<Verdict<Answer>>) {
+async fn waits(side: &mut Side, id: &str) -> (Crosser, oneshot::Sender<FinalAnswer<Answer>>) {
     let mut client = Crosser::new(side.at).await;
     client.write(&board(id, 1400, 1));
     let verdict = side.sent_on().await;
@@ -320,7 +320,7 @@
 async fn left(side: &mut Side) {
     let since = OwnTime::start();
     let news = side.news.recv().await.unwrap();
-    assert!(matches!(news, News::Left(_)), "{news:?}");
+    assert!(matches!(news, EngineEvent::ClientLeft(_)), "{news:?}");
     assert!(since.elapsed() < GONE, "known after {:?}", since.elapsed());
 }
 
@@ -362,13 +362,13 @@
             let body = vec![b'x'; sent];
             // The system may not take all of it.
             let writing = tokio::time::timeout(Duration::from_millis(200), client.reads.write_all(&body));
-            let News::Arrived(_, terms, question, _verdict) = (tokio::select! {
+            let EngineEvent::RequestArrived(_, terms, question, _verdict) = (tokio::select! {
                 news = side.news.recv() => news.unwrap(),
                 _ = async { let _ = writing.await; std::future::pending::<()>().await } => unreachable!(),
             }) else {
                 panic!("it arrives");
             };
-            assert!(terms.uploads && question.rest.is_some());
+            assert!(terms.body_pending && question.rest.is_some());
             drop(client);
             left(&mut side).await;
         }
@@ -384,7 +384,7 @@
         let length = 3_000_000;
         client.write(&long_submit(length));
         client.reads.write_all(&vec![b'x'; length]).await.unwrap();
-        let News::Arrived(_, _, question, _verdict) = side.news.recv().await.unwrap() else {
+        let EngineEvent::RequestArrived(_, _, question, _verdict) = side.news.recv().await.unwrap() else {
             panic!("it arrives");
         };
         drop(client);
@@ -426,7 +426,7 @@
         let verdicts: Vec<_> = all.into_iter().map(|(_, verdict)| verdict).collect();
         for _ in 0..verdicts.len() {
             let news = side.news.recv().await.unwrap();
-            assert!(matches!(news, News::Left(_)), "{news:?}");
+            assert!(matches!(news, EngineEvent::ClientLeft(_)), "{news:?}");
         }
         assert!(since.elapsed() < GONE, "known after {:?}", since.elapsed());
     });
@@ -454,7 +454,7 @@
         let taken = flood.await.unwrap();
         assert!(taken < 64, "{taken} MiB were taken from one client");
         while let Ok(news) = side.news.try_recv() {
-            assert!(!matches!(news, News::Arrived(..)), "{news:?}");
+            assert!(!matches!(news, EngineEvent::RequestArrived(..)), "{news:?}");
         }
     });
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -10,15 +10,18 @@
 use weldhub::config::{Pairs, Site};
 use weldhub::deadlines::{Clock, Deadlines};
 use weldhub::engine::{Bounds, Engine, Outlets};
-use weldhub::exchange::{Call, Exchange, News, Order, Report, Terms, Verdict, Waiting};
+use weldhub::exchange::{
+    AttemptReport, ClientSideCommand, CounterCall, EngineEvent, Exchange, FinalAnswer, PendingAnswer,
+    RequestInfo,
+};
 use weldhub::interface::*;
 use weldhub::maintenance::Maintenance;
 
 /// An engine with one ready real server, its orders and its calls; nobody carries them out.
 struct Bed {
     exchange: Exchange<(), u32>,
-    orders: mpsc::UnboundedReceiver<Order<()>>,
-    calls: mpsc::UnboundedReceiver<Call>,
+    orders: mpsc::UnboundedReceiver<ClientSideCommand<()>>,
+    calls: mpsc::UnboundedReceiver<CounterCall>,
 }
 
 const FACTS: &str = "balancers=2\nmyNumber=0\nlimits.maxAttempts=2\nlimits.cancelling=true\nclasses.count=1\n\
@@ -51,20 +54,30 @@
 }
 
 impl Bed {
-    fn ask(&self, left: Millis, units: f64) -> Waiting<(), u32> {
+    fn ask(&self, left: Millis, units: f64) -> PendingAnswer<(), u32> {
         let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(5));
         let first = IngressId(0);
-        self.exchange.arrive(
-            Terms { class, plan, customer, left, units, spread: 2, first, repeat: false, uploads: false },
+        self.exchange.submit(
+            RequestInfo {
+                class,
+                plan,
+                customer,
+                time_left: left,
+                units,
+                spread: 2,
+                first_ingress: first,
+                is_retry: false,
+                body_pending: false,
+            },
             (),
         )
     }
 
     /// The next order that is no list.
-    async fn order(&mut self) -> Order<()> {
+    async fn order(&mut self) -> ClientSideCommand<()> {
         loop {
             match self.orders.recv().await.unwrap() {
-                Order::List(_) => {}
+                ClientSideCommand::BackendList(_) => {}
                 order => return order,
             }
         }
@@ -73,9 +86,9 @@
     async fn started(&mut self) -> (RequestId, AttemptIndex) {
         loop {
             match self.order().await {
-                Order::Start { flow, no, .. } => return (flow, no),
+                ClientSideCommand::Start { request: flow, attempt: no, .. } => return (flow, no),
                 // Of one that was cancelled nothing is left to withdraw.
-                Order::Withdraw(..) => {}
+                ClientSideCommand::Withdraw(..) => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -83,7 +96,13 @@
 
     fn ended(&self, (flow, no): (RequestId, AttemptIndex), outcome: Outcome, answer: Option<u32>) {
         let load = Load::default();
-        self.exchange.tell(News::Ended(Report { flow, no, outcome, load, answer }));
+        self.exchange.send(EngineEvent::AttemptEnded(AttemptReport {
+            request: flow,
+            attempt: no,
+            outcome,
+            load,
+            answer,
+        }));
     }
 }
 
@@ -100,14 +119,14 @@
         let id = bed.started().await;
         bed.ended(id, Outcome::Served, Some(42));
         bed.ended(id, Outcome::Served, Some(43));
-        assert_eq!(waiting.await, Verdict::Served(42));
+        assert_eq!(waiting.await, FinalAnswer::Served(42));
         // A flow that is served with nothing is no success.
         let waiting = bed.ask(2000.0, 1.0);
         let id = bed.started().await;
         bed.ended(id, Outcome::Served, None);
         let again = bed.started().await;
         bed.ended(again, Outcome::Error, None);
-        assert_eq!(waiting.await, Verdict::Failed { timed_out: false });
+        assert_eq!(waiting.await, FinalAnswer::Failed { timed_out: false });
     });
 }
 
@@ -117,8 +136,10 @@
         let mut bed = start("", 10);
         let waiting = bed.ask(80.0, 1.0);
         let (flow, no) = bed.started().await;
-        assert!(matches!(bed.order().await, Order::GiveUp(f, n, Outcome::TimedOut) if (f, n) == (flow, no)));
-        assert_eq!(waiting.await, Verdict::Failed { timed_out: true });
+        assert!(
+            matches!(bed.order().await, ClientSideCommand::GiveUp(f, n, Outcome::TimedOut) if (f, n) == (flow, no))
+        );
+        assert_eq!(waiting.await, FinalAnswer::Failed { timed_out: true });
     });
 }
 
@@ -128,14 +149,16 @@
         let mut bed = start("", 1);
         let waiting = bed.ask(2000.0, 1.0);
         let id = bed.started().await;
-        assert_eq!(bed.ask(2000.0, 1.0).await, Verdict::NoRoom(700.0));
+        assert_eq!(bed.ask(2000.0, 1.0).await, FinalAnswer::NoRoom(700.0));
         drop(waiting);
-        assert!(matches!(bed.order().await, Order::GiveUp(f, n, Outcome::Cancelled) if (f, n) == id));
+        assert!(
+            matches!(bed.order().await, ClientSideCommand::GiveUp(f, n, Outcome::Cancelled) if (f, n) == id)
+        );
         bed.ended(id, Outcome::Cancelled, None);
         let waiting = bed.ask(2000.0, 1.0);
         let id = bed.started().await;
         bed.ended(id, Outcome::Served, Some(1));
-        assert_eq!(waiting.await, Verdict::Served(1));
+        assert_eq!(waiting.await, FinalAnswer::Served(1));
     });
 }
 
@@ -146,7 +169,7 @@
         let waiting = bed.ask(2000.0, 1.0);
         let id = bed.started().await;
         drop(waiting);
-        assert!(matches!(bed.order().await, Order::Withdraw(f, n) if (f, n) == id));
+        assert!(matches!(bed.order().await, ClientSideCommand::Withdraw(f, n) if (f, n) == id));
     });
 }
 
@@ -159,12 +182,12 @@
         assert_eq!((call.name, call.amount), (CounterName(5), 1.0));
         // No answer: the flow is judged by the even slice, once the time-out has passed.
         let id = bed.started().await;
-        bed.exchange.tell(News::Counted(call.seq, CounterAnswer::Total(1e6)));
+        bed.exchange.send(EngineEvent::CounterAnswered(call.seq, CounterAnswer::Total(1e6)));
         bed.ended(id, Outcome::Served, Some(1));
-        assert_eq!(waiting.await, Verdict::Served(1));
+        assert_eq!(waiting.await, FinalAnswer::Served(1));
         let waiting = bed.ask(2000.0, 1.0);
         let id = bed.started().await;
         bed.ended(id, Outcome::Served, Some(2));
-        assert_eq!(waiting.await, Verdict::Served(2), "the late total is not taken for this one's");
+        assert_eq!(waiting.await, FinalAnswer::Served(2), "the late total is not taken for this one's");
     });
 }
--- a/tests/schedulings.rs
+++ b/tests/schedulings.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use tokio::sync::{mpsc, oneshot};
 use weldhub::entries::{List, server_id};
-use weldhub::exchange::{Exchange, News, Order};
+use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
 use weldhub::net::schedulings::{Job, Schedulings, Stage};
 
@@ -17,23 +17,23 @@
 }
 
 /// Starts a scheduling that has come to this stage, then does what `then` orders.
-async fn outcome(stage: Stage, then: Order<()>) -> (Option<Outcome>, bool) {
+async fn outcome(stage: Stage, then: ClientSideCommand<()>) -> (Option<Outcome>, bool) {
     let (exchange, mut news) = Exchange::<(), ()>::new();
     let schedulings = Schedulings::<(), (), ()>::new(exchange);
     let (orders, ordered) = mpsc::unbounded_channel();
-    let start = Order::Start {
-        flow: RequestId(1),
-        no: AttemptIndex(0),
-        server: server_id("s1"),
+    let start = ClientSideCommand::Start {
+        request: RequestId(1),
+        attempt: AttemptIndex(0),
+        backend: server_id("s1"),
         question: (),
-        wait: 9.0,
-        by: None,
+        timeout: 9.0,
+        send_by: None,
     };
-    orders.send(Order::List(list(BackendState::Ready))).unwrap();
+    orders.send(ClientSideCommand::BackendList(list(BackendState::Ready))).unwrap();
     orders.send(start).unwrap();
     orders.send(then).unwrap();
     // A second word about the same scheduling must not be reported.
-    orders.send(Order::GiveUp(RequestId(1), AttemptIndex(0), Outcome::Cancelled)).unwrap();
+    orders.send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(0), Outcome::Cancelled)).unwrap();
     drop(orders);
     let job = Cell::new(None);
     let take = |_, started: Job<()>| {
@@ -43,7 +43,7 @@
     schedulings.run(ordered, take).await;
     let given_up = job.into_inner().unwrap().given_up.try_recv();
     let first = match news.try_recv() {
-        Ok(News::Ended(report)) => Some(report.outcome),
+        Ok(EngineEvent::AttemptEnded(report)) => Some(report.outcome),
         _ => None,
     };
     assert!(news.try_recv().is_err(), "one end each");
@@ -52,7 +52,7 @@
 
 #[tokio::test]
 async fn nothing_that_waits_starts_on_a_drained_real_server_and_what_was_written_goes_on() {
-    let drain = || Order::List(list(BackendState::Draining));
+    let drain = || ClientSideCommand::BackendList(list(BackendState::Draining));
     assert_eq!(outcome(Stage::Waiting, drain()).await, (Some(Outcome::ConnectFailed), true));
     // The last order cancels it: the drain had left it alone.
     assert_eq!(outcome(Stage::Written, drain()).await, (Some(Outcome::Cancelled), true));
@@ -60,7 +60,7 @@
 
 #[tokio::test]
 async fn what_was_not_written_whole_has_never_run() {
-    let time_out = || Order::GiveUp(RequestId(1), AttemptIndex(0), Outcome::TimedOut);
+    let time_out = || ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(0), Outcome::TimedOut);
     assert_eq!(outcome(Stage::Waiting, time_out()).await.0, Some(Outcome::ConnectFailed));
     assert_eq!(outcome(Stage::Writing, time_out()).await.0, Some(Outcome::ConnectFailed));
     assert_eq!(outcome(Stage::Written, time_out()).await.0, Some(Outcome::TimedOut));
