--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -6,7 +6,7 @@
 use crate::cold::Arrival;
 use crate::server::{AttemptAt, Reported, Taken};
 use weldhub::Event;
-use weldhub::entries::server_id;
+use weldhub::entries::backend_id;
 use weldhub::interface::{AttemptEnd, AttemptIndex, BackendId, BackendState, Load, Outcome, RequestId};
 use weldhub_client::policy::Ended;
 
@@ -231,7 +231,7 @@
         if self.nodes[i].life != life {
             return;
         }
-        let to = server_id(&name(s));
+        let to = backend_id(&name(s));
         let kept = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Rejected);
         if kept && self.lives[s] == of {
             *self.nodes[i].idle.entry((to, of)).or_default() += 1;
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -6,7 +6,7 @@
 use crate::script::By;
 use std::collections::BTreeSet;
 use weldhub::Event;
-use weldhub::entries::{List, ServiceEntry, server_id};
+use weldhub::entries::{BackendList, ServiceEntry, backend_id};
 use weldhub::interface::{BackendEntry, BackendId, BackendState, CellId, KindId, ListKind, ZoneId};
 use weldhub::membership::members::Step;
 use weldhub::membership::{Observation, Reason};
@@ -15,7 +15,7 @@
     pub(super) fn entry(&self, s: usize, state: BackendState) -> ServiceEntry {
         let server = &self.servers[s];
         let entry = BackendEntry {
-            backend: server_id(&name(s)),
+            backend: backend_id(&name(s)),
             state,
             weight: 1.0,
             zone: ZoneId(server.hall),
@@ -25,7 +25,7 @@
         };
         // An address stands for the real server; nobody connects to it.
         let at = (state != BackendState::Gone).then(|| ([127, 0, 0, 1], 1 + (s % 65_535) as u16).into());
-        ServiceEntry { entry, at }
+        ServiceEntry { entry, address: at }
     }
 
     /// An ingress is told a list, through the bans that lie over it.
@@ -34,11 +34,11 @@
             return self.feed(i, Event::BackendList(kind, Vec::new()));
         }
         let whole = kind != ListKind::Changes;
-        let list = self.nodes[i].maintenance.listed(List { generation: 0, whole, entries });
+        let list = self.nodes[i].maintenance.listed(BackendList { generation: 0, complete: whole, entries });
         self.believes(i, kind, list);
     }
 
-    pub(super) fn believes(&mut self, i: usize, kind: ListKind, list: List) {
+    pub(super) fn believes(&mut self, i: usize, kind: ListKind, list: BackendList) {
         let (now, node) = (self.now, &mut self.nodes[i]);
         if kind != ListKind::Changes {
             let named: BTreeSet<BackendId> = list.entries.iter().map(|e| e.entry.backend).collect();
@@ -150,7 +150,7 @@
     /// The catalogue's answer arrives at an ingress.
     pub(super) fn catalogue(&mut self, i: usize, life: u32, round: u64) {
         if self.nodes[i].up && self.nodes[i].life == life {
-            let held = self.published.keys().map(|s| server_id(&name(*s))).collect();
+            let held = self.published.keys().map(|s| backend_id(&name(*s))).collect();
             let told = self.nodes[i].members.catalogue(self.now, round, &held);
             self.tells(i, told);
         }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -29,7 +29,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use watching::Totals;
 use weldhub::Event;
-use weldhub::entries::server_id;
+use weldhub::entries::backend_id;
 use weldhub::interface::{BackendId, BackendState};
 use weldhub::maintenance::Maintenance;
 use weldhub::membership::MembershipPolicy;
@@ -150,7 +150,7 @@
             known_starts: vec![-1.0; all],
             cold: ColdWatch::new(script),
             pulls: Vec::new(),
-            ids: (0..all).map(|i| (server_id(&name(i)), i)).collect(),
+            ids: (0..all).map(|i| (backend_id(&name(i)), i)).collect(),
             published: (0..all).map(|i| (i, BackendState::Ready)).collect(),
             servers,
             counter: script.counter.as_ref().map(Counter::new),
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -6,7 +6,7 @@
 use crate::script::{Span, What as Trouble};
 use crate::server::{Reported, Server};
 use weldhub::Event;
-use weldhub::entries::server_id;
+use weldhub::entries::backend_id;
 use weldhub::interface::{BackendState, ListKind, Outcome};
 
 impl World<'_> {
@@ -178,7 +178,7 @@
         self.lives.push(0);
         self.shown.push(Reported::default());
         self.known_starts.push(self.now);
-        self.ids.insert(server_id(&name(at)), at);
+        self.ids.insert(backend_id(&name(at)), at);
         self.announces(at, BackendState::Ready, add);
         self.after(1.0, What::Refresh(at));
     }
--- a/src/backends/entries.rs
+++ b/src/backends/entries.rs
@@ -37,28 +37,28 @@
     /// What the decisions know of the real server.
     pub entry: BackendEntry,
     /// Where it listens; none where it is gone.
-    pub at: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
 }
 
 /// What discovery tells.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct List {
+pub struct BackendList {
     /// Its version.
     pub generation: u64,
     /// It holds all entries, not only what changed.
-    pub whole: bool,
+    pub complete: bool,
     /// The entries.
     pub entries: Vec<ServiceEntry>,
 }
 
 /// A real server's id: the same for the same instance name.
-pub fn server_id(name: &str) -> BackendId {
+pub fn backend_id(name: &str) -> BackendId {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     BackendId(hasher.finish())
 }
 
-impl List {
+impl BackendList {
     /// Reads a list in discovery's form; an error names the key at fault.
     pub fn read(value: &Value, places: &Places) -> Result<Self, String> {
         let entries = value.get("instances").and_then(Value::as_array).ok_or("instances is missing")?;
@@ -66,7 +66,7 @@
             |(i, v)| read_entry(v, places).map_err(|key| format!("instances.{i}.{key} cannot be read"));
         Ok(Self {
             generation: value.get("generation").and_then(Value::as_u64).ok_or("generation is missing")?,
-            whole: value.get("reset").and_then(Value::as_bool).unwrap_or(false),
+            complete: value.get("reset").and_then(Value::as_bool).unwrap_or(false),
             entries: entries.iter().enumerate().map(entry).collect::<Result<_, _>>()?,
         })
     }
@@ -86,7 +86,7 @@
         return Err("hostPort");
     }
     let entry = BackendEntry {
-        backend: server_id(text("instanceId")?),
+        backend: backend_id(text("instanceId")?),
         state,
         weight: figure("weight").unwrap_or(1.0),
         zone: places.zone(value.get("zone").and_then(Value::as_str)),
@@ -94,5 +94,5 @@
         cell: CellId(value.get("cell").and_then(Value::as_u64).map_or(0, |cell| cell as u16)),
         last_start: figure("startedAtMs").filter(|at| *at > 0.0),
     };
-    Ok(ServiceEntry { entry, at })
+    Ok(ServiceEntry { entry, address: at })
 }
--- a/src/backends/maintenance.rs
+++ b/src/backends/maintenance.rs
@@ -1,7 +1,7 @@
 //! Maintenance of real servers: the list with bans laid over it. Pure: what comes out is a list in which a banned real
 //! server drains, so that the decisions and the pools see a drain and nothing else has to know of bans.
 
-use crate::backends::entries::{List, ServiceEntry, server_id};
+use crate::backends::entries::{BackendList, ServiceEntry, backend_id};
 use crate::interface::{BackendId, BackendState};
 use std::collections::BTreeMap;
 
@@ -19,14 +19,14 @@
 impl Maintenance {
     /// Bans that were in force before.
     pub fn with(bans: impl IntoIterator<Item = String>) -> Self {
-        let bans = bans.into_iter().take(MOST).map(|name| (server_id(&name), name)).collect();
+        let bans = bans.into_iter().take(MOST).map(|name| (backend_id(&name), name)).collect();
         Self { bans, ..Self::default() }
     }
 
     /// Takes in what discovery tells; gives on what is to be believed.
-    pub fn listed(&mut self, mut list: List) -> List {
+    pub fn listed(&mut self, mut list: BackendList) -> BackendList {
         self.generation = list.generation;
-        if list.whole {
+        if list.complete {
             self.listed.clear();
         }
         for e in &mut list.entries {
@@ -46,8 +46,8 @@
     }
 
     /// Takes a real server out, whatever the list says; the change to be told, if it is one.
-    pub fn disable(&mut self, name: &str) -> Result<Option<List>, &'static str> {
-        let id = server_id(name);
+    pub fn disable(&mut self, name: &str) -> Result<Option<BackendList>, &'static str> {
+        let id = backend_id(name);
         if !self.listed.contains_key(&id) && !self.bans.contains_key(&id) {
             return Err("no such server");
         }
@@ -59,8 +59,8 @@
     }
 
     /// Puts a real server back, however often it was taken out; the change to be told, if it is one.
-    pub fn enable(&mut self, name: &str) -> Result<Option<List>, &'static str> {
-        let id = server_id(name);
+    pub fn enable(&mut self, name: &str) -> Result<Option<BackendList>, &'static str> {
+        let id = backend_id(name);
         let old = self.bans.remove(&id).is_some();
         match self.listed.contains_key(&id) {
             false if !old => Err("no such server"),
@@ -70,8 +70,8 @@
 
     /// Goes by what an operator said at another ingress's door, whether or not the list has named the real server yet; the
     /// change to be told, if it is one.
-    pub fn ordered(&mut self, name: &str, out: bool) -> Option<List> {
-        let id = server_id(name);
+    pub fn ordered(&mut self, name: &str, out: bool) -> Option<BackendList> {
+        let id = backend_id(name);
         let new = match out {
             true if self.bans.len() >= MOST => false,
             true => self.bans.insert(id, name.to_owned()).is_none(),
@@ -80,16 +80,16 @@
         new.then(|| self.change(id)).flatten()
     }
 
-    fn change(&self, id: BackendId) -> Option<List> {
+    fn change(&self, id: BackendId) -> Option<BackendList> {
         let mut e = self.listed.get(&id)?.clone();
         self.overlay(&mut e);
-        Some(List { generation: self.generation, whole: false, entries: vec![e] })
+        Some(BackendList { generation: self.generation, complete: false, entries: vec![e] })
     }
 
     /// The list as it is told.
-    pub fn told(&self) -> List {
+    pub fn told(&self) -> BackendList {
         let entries = self.listed.values().cloned().collect();
-        List { generation: self.generation, whole: true, entries }
+        BackendList { generation: self.generation, complete: true, entries }
     }
 
     /// The bans that hold from now on.
--- a/src/backends/maintenance/tests.rs
+++ b/src/backends/maintenance/tests.rs
@@ -2,10 +2,10 @@
 use crate::interface::{BackendEntry, CellId, KindId, ZoneId};
 use quickcheck::{Gen, QuickCheck};
 
-fn list(whole: bool, entries: &[(&str, BackendState)]) -> List {
+fn list(whole: bool, entries: &[(&str, BackendState)]) -> BackendList {
     let entry = |(name, state): &(&str, BackendState)| ServiceEntry {
         entry: BackendEntry {
-            backend: server_id(name),
+            backend: backend_id(name),
             state: *state,
             weight: 1.0,
             zone: ZoneId(0),
@@ -13,12 +13,12 @@
             kind: KindId(0),
             last_start: None,
         },
-        at: "127.0.0.1:1".parse().ok(),
+        address: "127.0.0.1:1".parse().ok(),
     };
-    List { generation: 7, whole, entries: entries.iter().map(entry).collect() }
+    BackendList { generation: 7, complete: whole, entries: entries.iter().map(entry).collect() }
 }
 
-fn states(list: Option<List>) -> Vec<BackendState> {
+fn states(list: Option<BackendList>) -> Vec<BackendState> {
     list.into_iter().flat_map(|list| list.entries).map(|e| e.entry.state).collect()
 }
 
--- a/src/backends/membership/members/tests.rs
+++ b/src/backends/membership/members/tests.rs
@@ -93,7 +93,7 @@
     let twice = vec![seen(1, Ready, 1), seen(1, Draining, 2)];
     assert_eq!(told(members.health(0.0, twice)), [(1, Ready)]);
     let Step::Report(moved) = members.health(1.0, vec![seen(1, Ready, 2)]) else { panic!() };
-    assert_eq!(moved[0].entry.at, Some(([127, 0, 0, 1], 2).into()));
+    assert_eq!(moved[0].entry.address, Some(([127, 0, 0, 1], 2).into()));
     let mut restarted = seen(1, Ready, 2);
     restarted.entry.entry.last_start = Some(5.0);
     let Step::Report(cold) = members.health(2.0, vec![restarted]) else { panic!() };
--- a/src/backends/membership/merged_list.rs
+++ b/src/backends/membership/merged_list.rs
@@ -50,13 +50,13 @@
             }
             // Where neither says when it was registered, the one that came here later is the later one.
             let this = (observation.registered, self.order.get(id).copied().unwrap_or(0), *id);
-            if let Some(at) = observation.entry.at {
+            if let Some(at) = observation.entry.address {
                 let owner = owners.entry(at).or_insert(this);
                 *owner = (*owner).max(this);
             }
         }
         for (id, entry) in &mut view {
-            if entry.at.and_then(|at| owners.get(&at)).is_some_and(|(.., owner)| owner != id) {
+            if entry.address.and_then(|at| owners.get(&at)).is_some_and(|(.., owner)| owner != id) {
                 entry.entry.state = BackendState::Draining;
             }
         }
--- a/src/backends/membership/mod.rs
+++ b/src/backends/membership/mod.rs
@@ -141,6 +141,6 @@
         last_start: None,
     };
     let reason = if state == BackendState::Ready { Reason::Passing } else { Reason::Critical };
-    let entry = ServiceEntry { entry, at: Some(([127, 0, 0, 1], port).into()) };
+    let entry = ServiceEntry { entry, address: Some(([127, 0, 0, 1], port).into()) };
     Observation { name: format!("n1/{n}"), entry, registered: 0, reason }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -4,7 +4,7 @@
 use super::error::ConfigError;
 use super::instance::Instance;
 use super::pairs::Pairs;
-use crate::backends::entries::List;
+use crate::backends::entries::BackendList;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     /// Where real servers are found.
     pub source: Source,
     /// The list as this ingress last had it, if it had one.
-    pub known: Option<List>,
+    pub known: Option<BackendList>,
 }
 
 /// Where real servers are found.
@@ -102,7 +102,7 @@
             }
         }
         let instance = Instance::read(&pairs, &json)?;
-        let known = json.get("known").map(|known| List::read(known, &instance.site.places));
+        let known = json.get("known").map(|known| BackendList::read(known, &instance.site.places));
         let known = known
             .transpose()
             .map_err(|e| ConfigError::Section { section: "known", reason: e.to_string() })?;
--- a/src/consul/book.rs
+++ b/src/consul/book.rs
@@ -1,7 +1,7 @@
 //! What is known of all services that Consul is asked for.
 
 use super::read;
-use crate::backends::entries::List;
+use crate::backends::entries::BackendList;
 use crate::backends::membership::Observation;
 use crate::backends::membership::members::{Members, Step};
 use crate::backends::membership::merged_list::{MergedList, Slot};
@@ -49,7 +49,7 @@
     pub(super) log: Logger,
 }
 
-impl<T: FnMut(List)> ServiceBook<T> {
+impl<T: FnMut(BackendList)> ServiceBook<T> {
     /// A book of no service, which reports lists to `report`.
     pub(super) fn new(report: T, wake: Rc<Notify>, stats: Arc<Stats>, log: Logger) -> Self {
         Self {
@@ -134,7 +134,7 @@
             let whole = !self.entries_reported && !entries.is_empty();
             self.first_reported = true;
             self.entries_reported |= whole;
-            (self.report)(List { generation: self.generation, whole, entries });
+            (self.report)(BackendList { generation: self.generation, complete: whole, entries });
         }
     }
 
--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -7,7 +7,7 @@
 pub mod query;
 pub mod read;
 
-use crate::backends::entries::{List, Places};
+use crate::backends::entries::{BackendList, Places};
 use crate::backends::membership::members::Members;
 use crate::backends::membership::merged_list::Slot;
 use crate::backends::membership::traffic::Witness;
@@ -63,7 +63,7 @@
 impl Watch {
     /// Watches for ever, and reports every change. Failed queries and answers that cannot be read leave the list as it is,
     /// and a new configuration is taken in without losing it.
-    pub async fn run(self, report: impl FnMut(List) + 'static) {
+    pub async fn run(self, report: impl FnMut(BackendList) + 'static) {
         let mut consul = self.consul.clone();
         let wake = Rc::new(Notify::new());
         let book = ServiceBook::new(report, wake.clone(), self.stats.clone(), self.log.clone());
@@ -109,7 +109,7 @@
     }
 
     /// Begins the queries of a configuration; services that were asked for before keep what is known of them.
-    fn begin<T: FnMut(List) + 'static>(
+    fn begin<T: FnMut(BackendList) + 'static>(
         &self,
         book: &Rc<RefCell<ServiceBook<T>>>,
         before: Option<&Arc<Consul>>,
@@ -139,7 +139,7 @@
         tasks
     }
 
-    fn queries<T: FnMut(List)>(
+    fn queries<T: FnMut(BackendList)>(
         &self,
         book: Rc<RefCell<ServiceBook<T>>>,
         consul: Arc<Consul>,
@@ -163,7 +163,11 @@
 }
 
 /// When something is due without an answer: the first list, the end of a hold-down, or that services are forgotten.
-fn next_due<T: FnMut(List)>(book: &ServiceBook<T>, first_due: Millis, retire_due: Option<Millis>) -> Millis {
+fn next_due<T: FnMut(BackendList)>(
+    book: &ServiceBook<T>,
+    first_due: Millis,
+    retire_due: Option<Millis>,
+) -> Millis {
     let first = (!book.first_reported).then_some(first_due);
     [first, retire_due, book.next_return()].into_iter().flatten().fold(f64::INFINITY, f64::min)
 }
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -3,7 +3,7 @@
 use super::agent::{Counts, Line, Refusal};
 use super::book::ServiceBook;
 use super::{query, read};
-use crate::backends::entries::{List, Places};
+use crate::backends::entries::{BackendList, Places};
 use crate::backends::membership::asking::{AgentRotation, Cursor, QueryLimiter};
 use crate::backends::membership::merged_list::Slot;
 use crate::config::{Consul, Service};
@@ -39,7 +39,7 @@
     pub(super) log: Logger,
 }
 
-impl<T: FnMut(List)> ServiceQueries<T> {
+impl<T: FnMut(BackendList)> ServiceQueries<T> {
     pub(super) fn now(&self) -> Millis {
         self.deadlines.clock().now()
     }
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -1,6 +1,6 @@
 //! Reads Consul's answers: instances of a service with their node and checks, and the catalogue's list of them.
 
-use crate::backends::entries::{Places, ServiceEntry, server_id};
+use crate::backends::entries::{Places, ServiceEntry, backend_id};
 use crate::backends::membership::{Observation, Reason};
 use crate::config::Service;
 use crate::interface::{BackendEntry, BackendId, BackendState, CellId};
@@ -44,7 +44,7 @@
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
     let instances = answer.as_array().ok_or("its answer is no list")?;
     // Prevents an answer that cannot be read from being taken for word that all are gone.
-    let id = |instance| name(instance, "/Node", "/ServiceID", service).map(|name| server_id(&name));
+    let id = |instance| name(instance, "/Node", "/ServiceID", service).map(|name| backend_id(&name));
     instances.iter().map(id).collect::<Option<_>>().ok_or_else(|| "ServiceID or Node cannot be read".into())
 }
 
@@ -99,7 +99,7 @@
     }
     let ready = matches!(reason, Reason::Passing | Reason::Warning);
     let entry = BackendEntry {
-        backend: server_id(&name),
+        backend: backend_id(&name),
         state: if ready { BackendState::Ready } else { BackendState::Draining },
         weight,
         zone: places.zone(meta("zone")),
@@ -115,7 +115,7 @@
         .filter(|at| *at > 0.0),
     };
     let registered = value.pointer("/Service/CreateIndex").and_then(Value::as_u64).unwrap_or(0);
-    let entry = ServiceEntry { entry, at: Some(SocketAddr::new(host, port)) };
+    let entry = ServiceEntry { entry, address: Some(SocketAddr::new(host, port)) };
     Ok(Observation { name, entry, registered, reason })
 }
 
--- a/src/consul/read/tests.rs
+++ b/src/consul/read/tests.rs
@@ -40,11 +40,11 @@
     let BackendEntry { weight, zone, kind, cell, last_start, state, .. } = seen.entry.entry;
     assert_eq!((seen.name.as_str(), seen.registered, seen.reason), ("n1/a", 7, Reason::Passing));
     assert_eq!((weight, zone.0, kind.0, cell.0, last_start), (3.0, 1, 0, 4, Some(99.0)));
-    assert_eq!((state, seen.entry.at), (BackendState::Ready, "127.0.0.1:80".parse().ok()));
-    assert_eq!(one(with("/Service/Address", Some("".into()))).entry.at, "127.0.0.9:80".parse().ok());
+    assert_eq!((state, seen.entry.address), (BackendState::Ready, "127.0.0.1:80".parse().ok()));
+    assert_eq!(one(with("/Service/Address", Some("".into()))).entry.address, "127.0.0.9:80".parse().ok());
     let elsewhere = Service { prefix: "dc2/".into(), ..Service::default() };
     let body = json!([{"Node": "n1", "ServiceID": "a"}]).to_string();
-    assert_eq!(catalogue(body.as_bytes(), &elsewhere).unwrap(), [server_id("dc2/n1/a")].into());
+    assert_eq!(catalogue(body.as_bytes(), &elsewhere).unwrap(), [backend_id("dc2/n1/a")].into());
 }
 
 #[test]
@@ -93,7 +93,7 @@
     }
     let twice = read(vec![good(), with("/Service/Port", Some(81.into()))]).unwrap();
     assert_eq!((twice.seen.len(), twice.faults.len()), (1, 1));
-    assert_eq!(twice.seen[0].entry.at.unwrap().port(), 80);
+    assert_eq!(twice.seen[0].entry.address.unwrap().port(), 80);
     assert!(read(vec![with("/Checks", None)]).is_err(), "not one: that is no list of none");
     assert!(catalogue(b"[{\"Node\": \"n1\"}]", &Service::default()).is_err());
 }
@@ -111,7 +111,9 @@
         let service = Service::default();
         let _ = catalogue(&body, &service);
         match health(&body, &service, &Places::default()) {
-            Ok(read) => !cut && read.seen.iter().all(|seen| seen.entry.at.is_some_and(|at| at.port() > 0)),
+            Ok(read) => {
+                !cut && read.seen.iter().all(|seen| seen.entry.address.is_some_and(|at| at.port() > 0))
+            }
             Err(why) => !why.is_empty(),
         }
     }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::notices::{LocalNotice, Subject};
 use crate::deadlines::{Deadlines, Due, Key};
-use crate::entries::List;
+use crate::entries::BackendList;
 use crate::exchange::{
     AttemptReport, BackendStatus, ClientSideCommand, CounterCall, EngineEvent, EngineState, FinalAnswer,
     Operation,
@@ -169,7 +169,7 @@
     }
 
     /// Starts from the list that was known last, if any, and runs until every way in is closed.
-    pub async fn run(mut self, known: Option<List>) {
+    pub async fn run(mut self, known: Option<BackendList>) {
         self.now = self.deadlines.clock().now();
         self.deadlines.add(self.now + TALLY, Due::Tally);
         self.feed(Event::Start);
@@ -251,7 +251,7 @@
             EngineEvent::AttemptEnded(report) => self.ended(report),
             EngineEvent::BackendList(list) => {
                 self.told = true;
-                let kind = if list.whole { ListKind::Full } else { ListKind::Changes };
+                let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
                 self.listed(list, kind);
             }
             EngineEvent::PeerMessage(from, bytes) => self.feed(Event::PeerMessage(from, bytes)),
@@ -346,12 +346,12 @@
         Ok(BackendStatus { counts: self.limiter.members(self.now), disabled: self.maintenance.bans() })
     }
 
-    fn listed(&mut self, list: List, kind: ListKind) {
+    fn listed(&mut self, list: BackendList, kind: ListKind) {
         let list = self.maintenance.listed(list);
         self.believe(list, kind);
     }
 
-    fn believe(&mut self, list: List, kind: ListKind) {
+    fn believe(&mut self, list: BackendList, kind: ListKind) {
         let list = match &mut self.subset {
             Some(subset) => subset.listed(self.now, list),
             None => list,
@@ -359,7 +359,7 @@
         self.tell(list, kind);
     }
 
-    fn tell(&mut self, list: List, kind: ListKind) {
+    fn tell(&mut self, list: BackendList, kind: ListKind) {
         let entries = list.entries.iter().map(|e| e.entry).collect();
         // The client side learns it first: nothing that waits there starts on a drained real server.
         self.order(ClientSideCommand::BackendList(list));
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,7 +1,7 @@
 //! Where the server side and the client side meet: flows and news go in, verdicts and orders come out. Neither
 //! side knows the other; the engine stands between them. `Q` is a front's question, `A` its answer.
 
-use crate::backends::entries::List;
+use crate::backends::entries::BackendList;
 use crate::interface::*;
 use crate::stats::{End, Members};
 use serde::{Deserialize, Serialize};
@@ -91,7 +91,7 @@
     /// A scheduling has ended.
     AttemptEnded(AttemptReport<A>),
     /// Service entries.
-    BackendList(List),
+    BackendList(BackendList),
     /// A peer's message.
     PeerMessage(IngressId, Vec<u8>),
     /// The counter answered a call.
@@ -122,7 +122,7 @@
     /// The real servers that are out by hand.
     pub disabled: Vec<String>,
     /// The list, as it was told.
-    pub list: List,
+    pub list: BackendList,
 }
 
 /// What an operator may want of the engine.
@@ -171,7 +171,7 @@
     /// Give a scheduling up of which nothing was written yet: nobody waits for it any more.
     Withdraw(RequestId, AttemptIndex),
     /// Service entries.
-    BackendList(List),
+    BackendList(BackendList),
 }
 
 /// A call to the counter.
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,7 @@
 use super::stream::{Way, connect, read_more};
 use crate::config::{MAX_WATCH_ATTEMPTS, Site};
 use crate::deadlines::Deadlines;
-use crate::entries::{List, Places};
+use crate::entries::{BackendList, Places};
 use crate::interface::*;
 use crate::pacing::Pacing;
 use bytes::BytesMut;
@@ -58,7 +58,7 @@
 impl Discovery {
     /// Watches for ever, from the generation that is known, if any; every list goes to `tell`. Silence, failures and
     /// garbage leave the list as it is.
-    pub async fn run(self, mut known: Option<u64>, mut tell: impl FnMut(List)) {
+    pub async fn run(self, mut known: Option<u64>, mut tell: impl FnMut(BackendList)) {
         let mut pacing = Pacing::new(self.site.settings.ingress_count, BACKOFF, self.seed);
         let pushed = !self.site.settings.list_on_request;
         // Who knows no list cannot serve without one.
@@ -102,7 +102,7 @@
         at: SocketAddr,
         known: &mut Option<u64>,
         heard: &mut Option<Heard>,
-        tell: &mut impl FnMut(List),
+        tell: &mut impl FnMut(BackendList),
     ) -> (End, String) {
         // Without an index the agent gives the whole list.
         let index = known.map(|known| format!("&index={known}")).unwrap_or_default();
@@ -311,16 +311,16 @@
 ///
 /// # Errors
 /// Why it cannot be taken in: it is unreadable, or it changes a list that is not known.
-pub fn read_line(line: &[u8], known: Option<u64>, places: &Places) -> Result<Option<List>, String> {
+pub fn read_line(line: &[u8], known: Option<u64>, places: &Places) -> Result<Option<BackendList>, String> {
     let line = line.trim_ascii();
     if line.is_empty() {
         return Ok(None);
     }
     let value = serde_json::from_slice(line).map_err(|e| e.to_string())?;
-    let list = List::read(&value, places)?;
+    let list = BackendList::read(&value, places)?;
     // Changes to a list that this ingress does not have: it has missed some, or discovery began anew. A first
     // list may well be generation 0.
-    if !list.whole && known.is_none_or(|known| list.generation < known) {
+    if !list.complete && known.is_none_or(|known| list.generation < known) {
         return Err(format!("changes of generation {} after {known:?}", list.generation));
     }
     Ok(Some(list))
--- a/src/net/schedulings.rs
+++ b/src/net/schedulings.rs
@@ -2,7 +2,7 @@
 //! Each scheduling is reported ended once, and none starts on a real server that is not ready.
 
 use crate::deadlines::Clock;
-use crate::entries::List;
+use crate::entries::BackendList;
 use crate::exchange::{AttemptReport, ClientSideCommand, EngineEvent, Exchange};
 use crate::interface::*;
 use std::cell::{Cell, RefCell};
@@ -169,14 +169,14 @@
         self.report(id, Ending::badly(if unwritten { Outcome::ConnectFailed } else { outcome }));
     }
 
-    fn list(&self, list: &List) {
+    fn list(&self, list: &BackendList) {
         let mut pools = self.pools.borrow_mut();
-        if list.whole {
+        if list.complete {
             pools.retain(|id, _| list.entries.iter().any(|e| e.entry.backend == *id));
         }
         for e in &list.entries {
             let (server, started) = (e.entry.backend, e.entry.last_start);
-            match e.at.filter(|_| e.entry.state == BackendState::Ready) {
+            match e.address.filter(|_| e.entry.state == BackendState::Ready) {
                 Some(at) if pools.get(&server).is_some_and(|p| (p.at, p.started) == (at, started)) => {}
                 // A real server that moved or started anew has none of the connections any more.
                 Some(at) => drop(pools.insert(server, Pool { at, started, kept: P::default() })),
--- a/src/node.rs
+++ b/src/node.rs
@@ -11,7 +11,7 @@
 use crate::consul::{START, Watch};
 use crate::deadlines::{Clock, Deadlines};
 use crate::engine::{Bounds, Engine, Outlets};
-use crate::entries::List;
+use crate::entries::BackendList;
 use crate::exchange::{ClientSideCommand, EngineEvent, Exchange, Operation, OperationResult};
 use crate::fronts::ext_authz::authorisers::Authorisers;
 use crate::fronts::ext_authz::service::{self, CheckService};
@@ -205,7 +205,7 @@
     async fn start(
         instance: &Instance,
         ways: &watch::Receiver<Ways>,
-        known: Option<List>,
+        known: Option<BackendList>,
         (flows, witness): (usize, Option<Rc<Witness>>),
         (peers, role): (Option<UdpSocket>, Role),
         log: &Logger,
@@ -364,7 +364,7 @@
     }
 
     /// Where lists are told.
-    fn teller(&self) -> impl FnMut(List) + use<Q, A> {
+    fn teller(&self) -> impl FnMut(BackendList) + use<Q, A> {
         let (exchange, told, back) = (self.exchange.clone(), self.told.clone(), self.back.clone());
         move |list| {
             back.heard(Heard::Told);
--- a/src/subset/mod.rs
+++ b/src/subset/mod.rs
@@ -9,7 +9,7 @@
 
 pub use line::Line;
 
-use crate::entries::{List, ServiceEntry};
+use crate::entries::{BackendList, ServiceEntry};
 use crate::interface::{BackendId, BackendState, IngressId, Millis, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -84,9 +84,9 @@
     }
 
     /// Takes in a list or its changes; tells what the decisions are to go by.
-    pub fn listed(&mut self, now: Millis, list: List) -> List {
+    pub fn listed(&mut self, now: Millis, list: BackendList) -> BackendList {
         self.generation = list.generation;
-        if list.whole {
+        if list.complete {
             return self.whole(now, list);
         }
         let mut changed = BTreeMap::new();
@@ -101,15 +101,15 @@
         };
         // What was told may leave too few.
         let entries = if self.drifted() { self.also(entries) } else { entries };
-        List { generation: self.generation, whole: false, entries }
+        BackendList { generation: self.generation, complete: false, entries }
     }
 
     /// Takes in which ingresses live, by number; the changes for the decisions, if there are any.
-    pub fn living(&mut self, living: Option<&[bool]>) -> Option<List> {
+    pub fn living(&mut self, living: Option<&[bool]>) -> Option<BackendList> {
         self.line.living(living);
         let entries = self.settle_and_tell(&BTreeMap::new());
         let generation = self.generation;
-        (!entries.is_empty()).then_some(List { generation, whole: false, entries })
+        (!entries.is_empty()).then_some(BackendList { generation, complete: false, entries })
     }
 
     /// The backends that this ingress sends to.
@@ -117,7 +117,7 @@
         self.told.iter().copied().filter(|id| self.listed.get(id).is_some_and(Listed::ready))
     }
 
-    fn whole(&mut self, now: Millis, list: List) -> List {
+    fn whole(&mut self, now: Millis, list: BackendList) -> BackendList {
         let before = std::mem::take(&mut self.listed);
         self.zones.clear();
         for entry in list.entries {
@@ -129,7 +129,7 @@
         self.settle();
         let ids: Vec<BackendId> = self.listed.keys().copied().collect();
         let entries = ids.into_iter().filter_map(|id| self.tell(id, None)).collect();
-        List { generation: self.generation, whole: true, entries }
+        BackendList { generation: self.generation, complete: true, entries }
     }
 
     /// Puts an entry on the whole list, or takes it off.
@@ -187,7 +187,7 @@
         zone.into_iter().for_each(|zone| self.count(zone, |zone| zone.held -= 1));
         entry.map(|mut entry| {
             entry.entry.state = BackendState::Gone;
-            entry.at = None;
+            entry.address = None;
             entry
         })
     }
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use weldhub::config::Config;
 use weldhub::deadlines::Clock;
-use weldhub::entries::server_id;
+use weldhub::entries::backend_id;
 use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
 use weldhub::net::budget::{Budget, Elsewhere};
@@ -70,7 +70,7 @@
 
     fn ask(&self, flow: u64, question: Question, within: Option<Millis>) {
         let by = within.map(|within| self.clock.now() + within);
-        let (flow, no, server) = (RequestId(flow), AttemptIndex(1), server_id("s1"));
+        let (flow, no, server) = (RequestId(flow), AttemptIndex(1), backend_id("s1"));
         self.orders
             .send(ClientSideCommand::Start {
                 request: flow,
--- a/tests/schedulings.rs
+++ b/tests/schedulings.rs
@@ -5,12 +5,12 @@
 use stand_ins::one_ready;
 use std::cell::Cell;
 use tokio::sync::{mpsc, oneshot};
-use weldhub::entries::{List, server_id};
+use weldhub::entries::{BackendList, backend_id};
 use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
 use weldhub::net::schedulings::{Job, Schedulings, Stage};
 
-fn list(state: BackendState) -> List {
+fn list(state: BackendState) -> BackendList {
     let mut list = one_ready("s1", "127.0.0.1:1".parse().unwrap());
     list.entries[0].entry.state = state;
     list
@@ -24,7 +24,7 @@
     let start = ClientSideCommand::Start {
         request: RequestId(1),
         attempt: AttemptIndex(0),
-        backend: server_id("s1"),
+        backend: backend_id("s1"),
         question: (),
         timeout: 9.0,
         send_by: None,
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -31,7 +31,7 @@
 use tonic::server::{Grpc, UnaryService};
 use tonic::{Response, Status};
 use weldhub::deadlines::{Clock, Deadlines};
-use weldhub::entries::{List, ServiceEntry, server_id};
+use weldhub::entries::{BackendList, ServiceEntry, backend_id};
 use weldhub::fronts::ext_authz::proto::Raw;
 use weldhub::interface::{BackendEntry, BackendState, CellId, KindId, ZoneId};
 use weldhub::net::http::{Kind, Message, take_message};
@@ -104,9 +104,9 @@
 }
 
 /// A list of one ready real server.
-pub fn one_ready(name: &str, at: SocketAddr) -> List {
+pub fn one_ready(name: &str, at: SocketAddr) -> BackendList {
     let entry = BackendEntry {
-        backend: server_id(name),
+        backend: backend_id(name),
         state: BackendState::Ready,
         weight: 1.0,
         zone: ZoneId(0),
@@ -114,7 +114,7 @@
         kind: KindId(0),
         last_start: None,
     };
-    List { generation: 1, whole: true, entries: vec![ServiceEntry { entry, at: Some(at) }] }
+    BackendList { generation: 1, complete: true, entries: vec![ServiceEntry { entry, address: Some(at) }] }
 }
 
 /// Longer than a connection to a real server rests after an answer: it may carry another flow then.
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 use weldhub::config::Config;
-use weldhub::entries::{List, ServiceEntry, server_id};
+use weldhub::entries::{BackendList, ServiceEntry, backend_id};
 use weldhub::interface::{BackendEntry, BackendId, BackendState, CellId, IngressId, KindId, ZoneId};
 use weldhub::subset::Subset;
 
@@ -11,17 +11,17 @@
 
 fn entry(number: usize, state: BackendState) -> ServiceEntry {
     let zone = ZoneId((number % ZONES) as u8);
-    let server = server_id(&format!("backend-{number}"));
+    let server = backend_id(&format!("backend-{number}"));
     let (cell, kind) = (CellId(0), KindId(0));
     let entry = BackendEntry { backend: server, state, weight: 1.0, zone, cell, kind, last_start: None };
-    ServiceEntry { entry, at: "10.0.0.1:1".parse().ok() }
+    ServiceEntry { entry, address: "10.0.0.1:1".parse().ok() }
 }
 
-fn list(whole: bool, entries: Vec<ServiceEntry>) -> List {
-    List { generation: 1, whole, entries }
+fn list(whole: bool, entries: Vec<ServiceEntry>) -> BackendList {
+    BackendList { generation: 1, complete: whole, entries }
 }
 
-fn ready(backends: usize) -> List {
+fn ready(backends: usize) -> BackendList {
     list(true, (0..backends).map(|number| entry(number, BackendState::Ready)).collect())
 }
 
@@ -69,7 +69,7 @@
     for subset in fleet(30, 50, 500) {
         let mut zones = [0; ZONES];
         let number: BTreeMap<BackendId, usize> =
-            (0..500).map(|n| (server_id(&format!("backend-{n}")), n)).collect();
+            (0..500).map(|n| (backend_id(&format!("backend-{n}")), n)).collect();
         held(&subset).iter().for_each(|id| zones[number[id] % ZONES] += 1);
         assert!(zones.iter().all(|count| *count >= 5), "{zones:?}");
     }
@@ -80,7 +80,7 @@
     fn check(number: usize) -> bool {
         let (mut all, number) = (fleet(24, 32, 160), number % 160);
         let before: Vec<_> = all.iter().map(held).collect();
-        let id = server_id(&format!("backend-{number}"));
+        let id = backend_id(&format!("backend-{number}"));
         let gone = list(false, vec![entry(number, BackendState::Gone)]);
         all.iter_mut().for_each(|subset| drop(subset.listed(1.0, gone.clone())));
         // Who falls below its least part of the zone takes some more.
@@ -135,8 +135,8 @@
 struct Told(BTreeMap<BackendId, BackendState>);
 
 impl Told {
-    fn take(&mut self, list: List) {
-        if list.whole {
+    fn take(&mut self, list: BackendList) {
+        if list.complete {
             self.0.clear();
         }
         for entry in list.entries {
@@ -196,7 +196,7 @@
     assert!(more.iter().all(|entry| entry.entry.last_start.is_some_and(|at| at < -1e12)));
     let new = list(false, (400..800).map(|number| entry(number, BackendState::Ready)).collect());
     let told = subset.listed(9.0, new).entries;
-    let news: BTreeSet<_> = (400..800).map(|number| server_id(&format!("backend-{number}"))).collect();
+    let news: BTreeSet<_> = (400..800).map(|number| backend_id(&format!("backend-{number}"))).collect();
     let news: Vec<_> = told.iter().filter(|entry| news.contains(&entry.entry.backend)).collect();
     assert!(!news.is_empty() && news.iter().all(|entry| entry.entry.last_start == Some(9.0)));
 }
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinHandle, spawn_local};
 use weldhub::config::{Config, Ways};
-use weldhub::entries::List;
+use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
 use weldhub::net::http::Kind;
 use weldhub::net::stream::Way;
@@ -118,7 +118,7 @@
 /// One ingress's watch.
 struct Watcher {
     ways: watch::Sender<Ways>,
-    told: mpsc::UnboundedReceiver<List>,
+    told: mpsc::UnboundedReceiver<BackendList>,
     running: JoinHandle<()>,
 }
 
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, spawn_local};
 use weldhub::config::{Config, Ways};
-use weldhub::entries::List;
+use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
 use weldhub::net::http::Kind;
 use weldhub::net::stream::Way;
@@ -30,7 +30,7 @@
 struct Watcher {
     agent: TcpListener,
     ways: watch::Sender<Ways>,
-    told: mpsc::UnboundedReceiver<List>,
+    told: mpsc::UnboundedReceiver<BackendList>,
     running: JoinHandle<()>,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-type Watching = (watch::Sender<Ways>, mpsc::UnboundedReceiver<List>, JoinHandle<()>);
+type Watching = (watch::Sender<Ways>, mpsc::UnboundedReceiver<BackendList>, JoinHandle<()>);
 
 /// Has one of so many instances watch this agent, which tells by itself or has to be asked.
 fn watches(agent: SocketAddr, instances: u16, seed: u64, on_request: bool) -> Watching {
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use std::fmt::Write;
-use weldhub::entries::{List, Places};
+use weldhub::entries::{BackendList, Places};
 use weldhub::interface::{
     Class, ClassId, ColdStart, CustomerId, DedupScope, IngressId, Plan, PlanId, Request, RequestId,
     RetrySafety, Settings, ZoneId,
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// Why it cannot be read.
-pub fn read(line: &str, known: Option<u64>) -> Result<List, String> {
+pub fn read(line: &str, known: Option<u64>) -> Result<BackendList, String> {
     read_line(line.as_bytes(), known, &places())?.ok_or_else(|| "a list is no sign of life".to_owned())
 }
 
--- a/trials/src/scale/layers.rs
+++ b/trials/src/scale/layers.rs
@@ -3,7 +3,7 @@
 
 use super::meter::measure;
 use weldhub::Limiter;
-use weldhub::entries::List;
+use weldhub::entries::BackendList;
 use weldhub::interface::{Action, Event, ListKind, Millis, Settings, TimerKey};
 use weldhub::maintenance::Maintenance;
 use weldhub::subset::Subset;
@@ -50,8 +50,8 @@
     }
 
     /// Takes in what discovery tells.
-    pub fn listed(&mut self, now: Millis, list: List) -> Kept {
-        let kind = if list.whole { ListKind::Full } else { ListKind::Changes };
+    pub fn listed(&mut self, now: Millis, list: BackendList) -> Kept {
+        let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
         let (list, above) = measure(|| {
             let list = self.maintenance.listed(list);
             match &mut self.subset {
--- a/trials/src/scale/spread.rs
+++ b/trials/src/scale/spread.rs
@@ -3,7 +3,7 @@
 use super::fixture::{ZONES, read, whole_list};
 use super::slope::{Over, Slope};
 use std::collections::{BTreeMap, BTreeSet};
-use weldhub::entries::List;
+use weldhub::entries::BackendList;
 use weldhub::interface::{BackendId, BackendState, IngressId};
 use weldhub::subset::Subset;
 
@@ -53,17 +53,17 @@
     Ok(vec![least, most, fewest_holders, most_holders, uneven, by_one, by_zone])
 }
 
-fn subset(number: usize, ingresses: usize, size: usize, list: &List) -> Subset {
+fn subset(number: usize, ingresses: usize, size: usize, list: &BackendList) -> Subset {
     let mut subset = Subset::new(IngressId(number as u16), ingresses as u16, size);
     subset.listed(0.0, list.clone());
     subset
 }
 
-fn measure(ingresses: usize, size: usize, list: &List) -> Seen {
+fn measure(ingresses: usize, size: usize, list: &BackendList) -> Seen {
     let mut seen = Seen::default();
     let Some(mut gone) = list.entries.first().cloned() else { return seen };
     gone.entry.state = BackendState::Gone;
-    let gone = List { generation: 2, whole: false, entries: vec![gone] };
+    let gone = BackendList { generation: 2, complete: false, entries: vec![gone] };
     // Numbers are given to zones in turn; the ingresses of one zone die.
     let living: Vec<bool> = (0..ingresses).map(|number| number % ZONES != 0).collect();
     for number in 0..ingresses {
