--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use crate::backends::entries::BackendList;
 use crate::interface::*;
-use crate::stats::{End, Members};
+use crate::stats::{BackendCounts, RequestOutcome};
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 use std::pin::Pin;
@@ -53,11 +53,11 @@
 
 impl<A> FinalAnswer<A> {
     /// What it counts as.
-    pub fn end(&self) -> End {
+    pub fn end(&self) -> RequestOutcome {
         match self {
-            Self::Served(_) => End::Completed,
-            Self::Rejected(_) | Self::NoRoom(_) => End::Rejected,
-            Self::Failed { .. } => End::Failed,
+            Self::Served(_) => RequestOutcome::Completed,
+            Self::Rejected(_) | Self::NoRoom(_) => RequestOutcome::Rejected,
+            Self::Failed { .. } => RequestOutcome::Failed,
         }
     }
 }
@@ -143,7 +143,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendStatus {
     /// The real servers.
-    pub counts: Members,
+    pub counts: BackendCounts,
     /// The names of those that are out by hand.
     pub disabled: Vec<String>,
 }
--- a/src/fronts/ext_authz/service.rs
+++ b/src/fronts/ext_authz/service.rs
@@ -68,7 +68,7 @@
             let check = Check { message, metadata };
             let terms = this.front.read(&check)?;
             // A caller that cancels drops this future, and with it the flow.
-            let taken = this.stats.take(terms.class);
+            let taken = this.stats.request_started(terms.class);
             let verdict = this.exchange.submit(terms, check).await;
             taken.ended(verdict.end());
             Ok(Response::new(this.front.word(verdict)))
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -9,7 +9,7 @@
 use crate::deadlines::Deadlines;
 use crate::exchange::{Exchange, FinalAnswer, RequestInfo};
 use crate::interface::Millis;
-use crate::stats::{End, Stats, Taken};
+use crate::stats::{RequestInProgress, RequestOutcome, Stats};
 use bytes::{BufMut, Bytes, BytesMut};
 use slog::{Logger, info, warn};
 use socket2::SockRef;
@@ -440,7 +440,7 @@
                     Passed::Whole => {}
                     Passed::Broken => {
                         if let Some((taken, _)) = counts {
-                            taken.ended(End::Failed);
+                            taken.ended(RequestOutcome::Failed);
                         }
                         // Prevents an answer that has no other end from looking whole.
                         let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
@@ -916,7 +916,7 @@
             }
             Asked::Flow(terms, ..) if self.full => {
                 plain(out, 503, "no room", Some(shared.retry_after), true);
-                said(true, Some((shared.stats.take(terms.class), End::Rejected)))
+                said(true, Some((shared.stats.request_started(terms.class), RequestOutcome::Rejected)))
             }
             Asked::Flow(mut terms, mut question, id) => {
                 // Prevents a client from taking another's answer, and one id from being out twice.
@@ -930,7 +930,7 @@
                 // Prevents one that comes late while this process drains from being lost at its end.
                 terms.time_left =
                     terms.time_left.min((shared.ends.get() - shared.deadlines.clock().now()).max(1.0));
-                let taken = shared.stats.take(terms.class);
+                let taken = shared.stats.request_started(terms.class);
                 let upload = rest.map(|body| {
                     let (sender, pieces) = pieces::way();
                     question.rest = Some(Once::new(pieces));
@@ -1050,7 +1050,7 @@
     /// The connection is to be closed then.
     close: bool,
     /// How a flow ends once that is written.
-    counts: Option<(Taken, End)>,
+    counts: Option<(RequestInProgress, RequestOutcome)>,
     /// What follows, and whether in chunks.
     rest: Option<(Pieces, bool)>,
     /// What of its body is not read yet: the next message begins after it.
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use crate::quota_pool::PoolAccount;
 use crate::ramp::{SlowStart, WarmBackends};
 use crate::slow_start::SERVED_OVER;
-use crate::stats::Members;
+use crate::stats::BackendCounts;
 use crate::window::{Bucket, Ewma, Fading, Rate, Share};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -381,12 +381,12 @@
     }
 
     /// The servers on the list, and those of them that get no work now, by the list's word or by what was seen.
-    pub fn members(&self, now: Millis) -> Members {
+    pub fn members(&self, now: Millis) -> BackendCounts {
         let listed = self.servers.values().filter(|s| s.entry.state != BackendState::Gone);
         let avoided =
             |s: &Server| s.entry.state != BackendState::Ready || !self.shared && self.passed_over(now, s);
         let (all, out) = listed.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(avoided(s))));
-        Members { listed: all, unavailable: out }
+        BackendCounts { listed: all, unavailable: out }
     }
 
     /// The client of a request has left: its attempts are cancelled where that is allowed.
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -8,7 +8,7 @@
 
 /// How a request ended whose client waited for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// It was served.
     Completed,
     /// It was rejected: to try again is harmless.
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Class {
     name: String,
-    /// Requests by their [`End`].
+    /// Requests by their [`RequestOutcome`].
     ends: [AtomicU64; 3],
 }
 
@@ -49,7 +49,7 @@
 
 /// How many backends there are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Members {
+pub struct BackendCounts {
     /// On the list.
     pub listed: usize,
     /// Those of them that get no work now: disabled, draining, or ejected.
@@ -64,9 +64,9 @@
     }
 
     /// Counts a request that is taken.
-    pub fn take(self: &Arc<Self>, class: ClassId) -> Taken {
+    pub fn request_started(self: &Arc<Self>, class: ClassId) -> RequestInProgress {
         self.pending.fetch_add(1, Ordering::Relaxed);
-        Taken { stats: self.clone(), class }
+        RequestInProgress { stats: self.clone(), class }
     }
 
     /// Counts an attempt that was written to its last byte.
@@ -83,7 +83,7 @@
     }
 
     /// All metrics as text, a line each.
-    pub fn text(&self, members: Members) -> String {
+    pub fn text(&self, members: BackendCounts) -> String {
         let read = |metric: &AtomicU64| metric.load(Ordering::Relaxed);
         let mut text = String::new();
         for (i, what) in ["completed", "rejected", "failed"].into_iter().enumerate() {
@@ -119,21 +119,21 @@
 
 /// A request that is taken and has not ended. One that is dropped without an end was given up by its client.
 #[derive(Debug)]
-pub struct Taken {
+pub struct RequestInProgress {
     stats: Arc<Stats>,
     class: ClassId,
 }
 
-impl Taken {
+impl RequestInProgress {
     /// Counts how it ended: its answer was written, or will never be whole.
-    pub fn ended(self, how: End) {
+    pub fn ended(self, how: RequestOutcome) {
         if let Some(class) = self.stats.classes.get(self.class.0) {
             class.ends[how as usize].fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-impl Drop for Taken {
+impl Drop for RequestInProgress {
     fn drop(&mut self) {
         self.stats.pending.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -3,12 +3,12 @@
 #[test]
 fn every_class_is_shown_from_zero_and_every_flow_counts_once() {
     let stats = Stats::new(["a", "b"]);
-    let [one, two, three, left] = [0, 1, 1, 0].map(|class| stats.take(ClassId(class)));
+    let [one, two, three, left] = [0, 1, 1, 0].map(|class| stats.request_started(ClassId(class)));
     stats.written();
-    one.ended(End::Completed);
-    two.ended(End::Rejected);
+    one.ended(RequestOutcome::Completed);
+    two.ended(RequestOutcome::Rejected);
     drop(left);
-    let text = stats.text(Members { listed: 5, unavailable: 2 });
+    let text = stats.text(BackendCounts { listed: 5, unavailable: 2 });
     assert_eq!(
         text,
         "svc_completed_total{lane=\"a\"} 1\nsvc_completed_total{lane=\"b\"} 0\n\
@@ -16,6 +16,6 @@
          svc_failed_total{lane=\"a\"} 0\nsvc_failed_total{lane=\"b\"} 0\n\
          svc_upstream_requests_total 1\nsvc_pending 1\nsvc_members 5\nsvc_members_unavailable 2\n"
     );
-    three.ended(End::Failed);
-    assert!(stats.text(Members::default()).contains("svc_pending 0\n"));
+    three.ended(RequestOutcome::Failed);
+    assert!(stats.text(BackendCounts::default()).contains("svc_pending 0\n"));
 }
