--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -230,8 +230,8 @@
 
     /// Drains this instance, or ends that, here and in the other process at this address.
     fn drain(&self, drained: bool) {
-        let drain = if drained { Drain::Announced } else { Drain::No };
-        if (*self.server.drain.borrow() != Drain::No) != drained {
+        let drain = if drained { Drain::Announced } else { Drain::Inactive };
+        if (*self.server.drain.borrow() != Drain::Inactive) != drained {
             match drained {
                 true => info!(self.server.log, "an operator drains this instance"),
                 false => info!(self.server.log, "an operator ends the drain"),
--- a/src/cluster/transport.rs
+++ b/src/cluster/transport.rs
@@ -90,7 +90,7 @@
                 }
                 Some(notice) = self.local_notices.recv() => self.apply_local(notice, &mut actions),
                 Ok(()) = drains.changed() => {
-                    let drained = *drains.borrow_and_update() != Drain::No;
+                    let drained = *drains.borrow_and_update() != Drain::Inactive;
                     self.publish_drain(drained, &mut actions);
                 }
                 changed = role.wait_for(|role| *role != Role::Active) => return changed.is_err(),
@@ -129,8 +129,9 @@
         let drained = cluster.notices().is_active(&me);
         drop(cluster);
         if drained {
-            self.drain.send_if_modified(|drain| std::mem::replace(drain, announced(*drain)) == Drain::No);
-        } else if *self.drain.borrow() != Drain::No {
+            self.drain
+                .send_if_modified(|drain| std::mem::replace(drain, announced(*drain)) == Drain::Inactive);
+        } else if *self.drain.borrow() != Drain::Inactive {
             self.publish_drain(true, &mut Vec::new());
         }
         digest
@@ -166,9 +167,9 @@
     /// Begins or ends the drain of this instance.
     fn set_drain(&self, active: bool) {
         self.drain.send_if_modified(|drain| {
-            let changes = (*drain != Drain::No) != active;
+            let changes = (*drain != Drain::Inactive) != active;
             if changes {
-                *drain = if active { Drain::Announced } else { Drain::No };
+                *drain = if active { Drain::Announced } else { Drain::Inactive };
             }
             changes
         });
@@ -249,5 +250,5 @@
 }
 
 fn announced(drain: Drain) -> Drain {
-    if drain == Drain::No { Drain::Announced } else { drain }
+    if drain == Drain::Inactive { Drain::Announced } else { drain }
 }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 use crate::net::client_side::Question;
 use crate::net::http::Head;
-use crate::net::server_side::Asked;
+use crate::net::server_side::ParsedRequest;
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// The longest id or key that is passed on.
@@ -15,16 +15,16 @@
 
 /// Makes a flow of a request, or says what is wrong with it; nothing wrong ever reaches a real server. Its body is
 /// `body`, and where that is not the whole of it, more will come.
-pub fn read(head: &Head, body: Bytes, whole: bool, site: &Site) -> Asked {
+pub fn read(head: &Head, body: Bytes, whole: bool, site: &Site) -> ParsedRequest {
     match flow(head, body, whole, site) {
         Ok(asked) => asked,
-        Err((status, text)) => Asked::Wrong(status, text),
+        Err((status, text)) => ParsedRequest::Invalid(status, text),
     }
 }
 
 type Wrong = (u16, &'static str);
 
-fn flow(head: &Head, body: Bytes, whole: bool, site: &Site) -> Result<Asked, Wrong> {
+fn flow(head: &Head, body: Bytes, whole: bool, site: &Site) -> Result<ParsedRequest, Wrong> {
     let (method, target) = head.request_line();
     let bad = |text: &'static str| move || (400, text);
     // Prevents a real server, which closes on what it cannot read, from being sent bytes that no target holds.
@@ -33,7 +33,7 @@
     let (path, query) = text.split_once('?').unwrap_or((text, ""));
     if path == "/ready" {
         return match method {
-            b"GET" | b"HEAD" => Ok(Asked::Ready),
+            b"GET" | b"HEAD" => Ok(ParsedRequest::Readiness),
             _ => Err((405, "/ready takes GET")),
         };
     }
@@ -97,7 +97,11 @@
     }
     let passed = passed.freeze();
     let id = passed.slice(at);
-    Ok(Asked::Flow(terms, Question { head: passed, body, bodiless, length: head.length(), rest: None }, id))
+    Ok(ParsedRequest::Request(
+        terms,
+        Question { head: passed, body, bodiless, length: head.length(), rest: None },
+        id,
+    ))
 }
 
 /// Whether a value can be passed on as an id or a key.
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -304,7 +304,7 @@
             }
             Err(_) => Then::End,
         },
-        Ok(_) = role.wait_for(|role| *role == Role::Gone) => Then::Pass,
+        Ok(_) = role.wait_for(|role| *role == Role::Retiring) => Then::Pass,
         () = side.deadlines.sleep(side.site.conn_idle * IDLE_PART) => Then::End,
     };
     // A job that was handed over as the connection ended: nothing of it was written.
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -51,13 +51,13 @@
 
 /// What the front makes of a message.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ParsedRequest {
     /// A flow, and its id.
-    Flow(RequestInfo, Question, Bytes),
+    Request(RequestInfo, Question, Bytes),
     /// Whether the program is ready.
-    Ready,
+    Readiness,
     /// It is answered with this status: no flow, or one that cannot be read.
-    Wrong(u16, &'static str),
+    Invalid(u16, &'static str),
 }
 
 /// How far the program is on its way out.
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Drain {
     /// No.
-    No,
+    Inactive,
     /// Yes, and so far only `/ready` says it.
     Announced,
     /// Every connection is closed after its answer, and idle ones at once.
@@ -88,11 +88,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// It comes next, and waits for what the other one has.
-    Waiting,
+    Standby,
     /// It decides.
     Active,
     /// It has handed all over, and ends what it has out.
-    Gone,
+    Retiring,
 }
 
 /// What the server side goes by.
@@ -108,7 +108,7 @@
 
 /// A client's connection between answers, on its way to another process.
 #[derive(Debug)]
-pub struct Passing {
+pub struct ConnectionHandover {
     /// The connection.
     pub stream: TcpStream,
     /// What has come of a message.
@@ -141,7 +141,7 @@
     spare: RefCell<[BTreeMap<u64, Spare>; 2]>,
     turns: Cell<u64>,
     /// Where connections go that another process is to have.
-    passing: mpsc::UnboundedSender<Passing>,
+    passing: mpsc::UnboundedSender<ConnectionHandover>,
     /// The ids of the flows that are open.
     ids: RefCell<HashSet<Bytes>>,
     /// Where bytes go that nobody wants.
@@ -187,13 +187,13 @@
     spare.extract_if(.., |_, spare| spare.idle).for_each(|(_, spare)| spare.close());
 }
 
-impl<F: Fn(&Head, Bytes, bool) -> Asked + 'static> ServerSide<F> {
+impl<F: Fn(&Head, Bytes, bool) -> ParsedRequest + 'static> ServerSide<F> {
     /// A server side that reads messages by `read` and holds `most` connections.
     pub fn new(
         read: F,
         exchange: Exchange<Question, Answer>,
         deadlines: Deadlines,
-        (signals, passing): (Signals, mpsc::UnboundedSender<Passing>),
+        (signals, passing): (Signals, mpsc::UnboundedSender<ConnectionHandover>),
         stats: Arc<Stats>,
         (room, retry_after): (Room, Millis),
         log: Logger,
@@ -223,7 +223,7 @@
     }
 
     /// Takes connections in, and those that another process passes on, until it drains and the last one is closed.
-    pub async fn run(self, listener: TcpListener, mut passed: mpsc::UnboundedReceiver<Passing>) {
+    pub async fn run(self, listener: TcpListener, mut passed: mpsc::UnboundedReceiver<ConnectionHandover>) {
         let shared = self.shared;
         let Signals { mut role, mut phase, mut drain } = shared.signals.clone();
         let hard = shared.room.connections + shared.room.turned_away;
@@ -244,7 +244,7 @@
                         shared.deadlines.sleep(50.0).await;
                     }
                 },
-                Some(Passing { stream, bytes, flows, age }) = passed.recv() => {
+                Some(ConnectionHandover { stream, bytes, flows, age }) = passed.recv() => {
                     shared.open.set(shared.open.get() + 1);
                     let began = age.map(|age| shared.deadlines.clock().now() - age);
                     let connection = Connection { shared: shared.clone(), full: false, flows: Cell::new(flows) };
@@ -404,7 +404,7 @@
     }
 }
 
-impl<F: Fn(&Head, Bytes, bool) -> Asked> Connection<F> {
+impl<F: Fn(&Head, Bytes, bool) -> ParsedRequest> Connection<F> {
     async fn run(self, mut stream: TcpStream, mut buffer: BytesMut, mut began: Option<Millis>) {
         let mut out = BytesMut::new();
         loop {
@@ -425,7 +425,7 @@
                 Ok(Next::Pass) => {
                     let age = began.map(|began| self.shared.deadlines.clock().now() - began);
                     let (bytes, flows) = (buffer, self.flows.get());
-                    let _ = self.shared.passing.send(Passing { stream, bytes, flows, age });
+                    let _ = self.shared.passing.send(ConnectionHandover { stream, bytes, flows, age });
                     return;
                 }
                 Err(wrong) => self.wrong(&mut out, wrong),
@@ -586,7 +586,7 @@
         let Signals { role, phase, drain } = &self.shared.signals;
         let ends = *phase.borrow() == Phase::Draining || *drain.borrow() == Drain::Closing;
         // Where another process has taken over, it has the connection next.
-        ends && *role.borrow() != Role::Gone
+        ends && *role.borrow() != Role::Retiring
     }
 
     /// The next message: a short one whole, of a long one the head and what has come of its body; or that the connection
@@ -602,7 +602,7 @@
         let first = began.is_some() && !self.flows.get();
         let mut role = shared.signals.role.clone();
         let head = loop {
-            if *role.borrow() == Role::Gone && !self.full {
+            if *role.borrow() == Role::Retiring && !self.full {
                 return Ok(Next::Pass);
             }
             match peek_head(buffer, Kind::Request) {
@@ -648,7 +648,7 @@
                 biased;
                 more = more => Some(more.unwrap_or(false)),
                 () = closing => None,
-                Ok(_) = role.wait_for(|role| *role == Role::Gone), if !self.full => Some(true),
+                Ok(_) = role.wait_for(|role| *role == Role::Retiring), if !self.full => Some(true),
                 () = shared.deadlines.sleep(ends - now) => None,
             };
             if let Some((place, _)) = spare {
@@ -691,7 +691,7 @@
             }
             if read == 0 {
                 // What nobody wants, nobody is asked to send.
-                if let Asked::Wrong(status, text) = (shared.read)(&head, Bytes::new(), false) {
+                if let ParsedRequest::Invalid(status, text) = (shared.read)(&head, Bytes::new(), false) {
                     return Err((status, text));
                 }
                 if self.full {
@@ -713,7 +713,7 @@
                 biased;
                 more = read_more(stream, buffer) => Ok(more.unwrap_or(false)),
                 () = closing => Err(TOO_SLOW),
-                Ok(_) = role.wait_for(|role| *role == Role::Gone), if !self.full => Ok(true),
+                Ok(_) = role.wait_for(|role| *role == Role::Retiring), if !self.full => Ok(true),
                 () = shared.deadlines.sleep(self.pace(started, read)) => Err(TOO_SLOW),
             };
             if let Some((place, _)) = spare {
@@ -722,7 +722,7 @@
             if !more? {
                 return Ok(Next::Over);
             }
-            if *role.borrow() == Role::Gone && !self.full {
+            if *role.borrow() == Role::Retiring && !self.full {
                 let mut again = body.again(&head, &taken);
                 again.extend_from_slice(buffer);
                 *buffer = again;
@@ -897,16 +897,16 @@
             Some(Said { close, counts, rest: None, unread: None, ahead: Ahead::default() })
         };
         match (shared.read)(&head, body, !unread) {
-            Asked::Wrong(status, text) => {
+            ParsedRequest::Invalid(status, text) => {
                 let close = closes(unread);
                 plain(out, status, text, None, close);
                 said(close, None)
             }
-            Asked::Ready => {
+            ParsedRequest::Readiness => {
                 let close = closes(unread);
                 let before = out.len();
                 match (*shared.signals.phase.borrow(), *shared.signals.drain.borrow()) {
-                    (Phase::Serving, Drain::No) => plain(out, 200, "ready", None, close),
+                    (Phase::Serving, Drain::Inactive) => plain(out, 200, "ready", None, close),
                     _ => plain(out, 503, "not ready", None, close),
                 }
                 if bodiless {
@@ -914,11 +914,11 @@
                 }
                 said(close, None)
             }
-            Asked::Flow(terms, ..) if self.full => {
+            ParsedRequest::Request(terms, ..) if self.full => {
                 plain(out, 503, "no room", Some(shared.retry_after), true);
                 said(true, Some((shared.stats.request_started(terms.class), RequestOutcome::Rejected)))
             }
-            Asked::Flow(mut terms, mut question, id) => {
+            ParsedRequest::Request(mut terms, mut question, id) => {
                 // Prevents a client from taking another's answer, and one id from being out twice.
                 if !shared.ids.borrow_mut().insert(id.clone()) {
                     let close = closes(unread);
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -6,7 +6,7 @@
 use crate::config::{Pairs, Site};
 use crate::fronts::platform;
 use crate::interface::CounterAnswer;
-use crate::net::server_side::Asked;
+use crate::net::server_side::ParsedRequest;
 use bytes::BytesMut;
 use quickcheck::{Gen, QuickCheck};
 
@@ -220,7 +220,9 @@
         platform::read(&message.head, message.body, true, &site)
     };
     let sound = String::from_utf8(REQUESTS.to_vec()).unwrap();
-    let Asked::Flow(terms, question, id) = read(sound.as_bytes()) else { panic!("the first is a flow") };
+    let ParsedRequest::Request(terms, question, id) = read(sound.as_bytes()) else {
+        panic!("the first is a flow")
+    };
     assert_eq!((terms.units, terms.spread, terms.first_ingress.0, terms.time_left), (2.0, 3, 1, 480.0));
     assert_eq!((terms.class.0, terms.plan.0, terms.customer.0), (1, 0, 0xb4d6_5521));
     assert_eq!(id, "9b1f03aa5c7e2d41");
@@ -250,6 +252,6 @@
     ];
     for (old, new, status) in wrong {
         let asked = read(sound.replacen(old, new, 1).as_bytes());
-        assert!(matches!(asked, Asked::Wrong(s, _) if s == status), "{new}: {asked:?}");
+        assert!(matches!(asked, ParsedRequest::Invalid(s, _) if s == status), "{new}: {asked:?}");
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -256,7 +256,7 @@
             outlets.peers = Some(mail);
         }
         let phase = watch::Sender::new(Phase::Starting);
-        let drain = watch::Sender::new(Drain::No);
+        let drain = watch::Sender::new(Drain::Inactive);
         let bans = instance.management.and_then(|_| rendezvous::path(instance.listen, "bans"));
         let out: Vec<String> = bans.iter().flat_map(|path| kept_bans(path, log)).collect();
         let cluster = instance.cluster.as_ref().map(|fleet| {
@@ -413,7 +413,7 @@
         let _ = self.deadlines.within(self.list_wait, told.wait_for(|told| *told)).await;
         taking_over();
         let mut role = self.role.subscribe();
-        let _ = role.wait_for(|role| *role != Role::Waiting).await;
+        let _ = role.wait_for(|role| *role != Role::Standby).await;
         self.phase.send_replace(Phase::Serving);
         self.back.clone().serving();
         info!(log, "serving"; "name" => &instance.name, "listen" => %instance.listen);
@@ -459,7 +459,7 @@
     };
     let copy = |socket: BorrowedFd<'_>| socket.try_clone_to_owned();
     let leaving = (copy(listener.as_fd())?, peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?);
-    let role = if link.is_some() { Role::Waiting } else { Role::Active };
+    let role = if link.is_some() { Role::Standby } else { Role::Active };
     let socket = peers.map(UdpSocket::from_std).transpose()?;
     let witness = matches!(source, Source::Consul(_)).then(Rc::<Witness>::default);
     let bounds = (flows, witness.clone());
--- a/src/upgrade/succession.rs
+++ b/src/upgrade/succession.rs
@@ -10,7 +10,7 @@
 use crate::interface::{AttemptEnd, BackendId, Millis};
 use crate::net::budget::Elsewhere;
 use crate::net::client_side::{Answer, Question};
-use crate::net::server_side::{Drain, Passing, Phase, Role};
+use crate::net::server_side::{ConnectionHandover, Drain, Phase, Role};
 use bytes::BytesMut;
 use slog::{Logger, info, warn};
 use std::cell::Cell;
@@ -43,7 +43,7 @@
     /// The other process.
     pub other: OtherProcess,
     /// Takes clients' connections that pass to this process.
-    pub adopt: mpsc::UnboundedSender<Passing>,
+    pub adopt: mpsc::UnboundedSender<ConnectionHandover>,
     /// Takes idle connections to backends that pass to this process.
     pub adopt_server: mpsc::UnboundedSender<(BackendId, TcpStream)>,
     /// How many connections the other process still has open.
@@ -59,7 +59,7 @@
 /// What passes from this process to the next one.
 pub struct Outgoing {
     /// Clients' connections.
-    pub clients: mpsc::UnboundedReceiver<Passing>,
+    pub clients: mpsc::UnboundedReceiver<ConnectionHandover>,
     /// Idle connections to backends.
     pub servers: mpsc::UnboundedReceiver<(BackendId, TcpStream)>,
     /// Attempts that have ended here.
@@ -136,7 +136,7 @@
             }
             Frame::Done(number) => self.other.done(number),
             Frame::Drain(drained) => {
-                self.drain.send_replace(if drained { Drain::Announced } else { Drain::No });
+                self.drain.send_replace(if drained { Drain::Announced } else { Drain::Inactive });
             }
             _ => {}
         }
@@ -147,7 +147,7 @@
         let Frame::Client { flows, age, bytes } = parcel.frame else { return };
         let Some(stream) = first_stream(parcel.descriptors) else { return };
         let bytes = BytesMut::from(&bytes[..]);
-        let _ = self.adopt.send(Passing { stream, bytes, flows, age });
+        let _ = self.adopt.send(ConnectionHandover { stream, bytes, flows, age });
     }
 
     /// Waits for next processes, for ever, and hands everything over to each.
@@ -188,7 +188,7 @@
 
     /// Becomes active again where the next process has ended and this one still serves.
     fn take_back(&self) {
-        if *self.role.borrow() == Role::Gone && *self.phase.borrow() == Phase::Serving {
+        if *self.role.borrow() == Role::Retiring && *self.phase.borrow() == Phase::Serving {
             warn!(self.log, "serving again");
             self.exchange.send(EngineEvent::Resume);
             self.role.send_replace(Role::Active);
@@ -200,9 +200,9 @@
         let (mut reader, mut writer) = link(stream);
         self.give_sockets(&mut reader, &mut writer, outgoing).await?;
         info!(self.log, "another process takes over");
-        self.role.send_replace(Role::Gone);
+        self.role.send_replace(Role::Retiring);
         let estate: EngineState = self.ask(EngineEvent::HandOver).await.unwrap_or_default();
-        let drained = *self.drain.borrow() != Drain::No;
+        let drained = *self.drain.borrow() != Drain::Inactive;
         let servers = self.open.get();
         writer.write(&Frame::State { estate, drained, servers }.into()).await?;
         self.pass_on(&mut reader, &mut writer, outgoing).await
@@ -285,7 +285,7 @@
     TcpStream::from_std(stream).ok()
 }
 
-fn client_parcel(passing: Passing) -> io::Result<Parcel> {
-    let Passing { stream, bytes, flows, age } = passing;
+fn client_parcel(passing: ConnectionHandover) -> io::Result<Parcel> {
+    let ConnectionHandover { stream, bytes, flows, age } = passing;
     Parcel::with_stream(Frame::Client { flows, age, bytes: bytes.to_vec() }, stream)
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -69,7 +69,7 @@
         let (phase, role, drain) = (
             watch::Sender::new(Phase::Serving),
             watch::Sender::new(Role::Active),
-            watch::Sender::new(Drain::No),
+            watch::Sender::new(Drain::Inactive),
         );
         let signals = Signals { role: role.subscribe(), phase: phase.subscribe(), drain: drain.subscribe() };
         let budget = Budget::new(bytes, Elsewhere::default());
@@ -185,7 +185,7 @@
             client.ends_well().await;
         }
         // Called off, connections stay open again.
-        side.drain.send_replace(Drain::No);
+        side.drain.send_replace(Drain::Inactive);
         let mut stays = side.idle().await;
         stays.write(&board("more", 900, 1));
         side.sent_on().await.send(served("4")).unwrap();
