--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -21,7 +21,7 @@
 use weldhub::config::{Config, Consul as Asked, Service, Ways};
 use weldhub::consul::Watch;
 use weldhub::consul::agent::Counts;
-use weldhub::deadlines::{Clock, Deadlines, Due};
+use weldhub::deadlines::{Clock, Deadlines, Expiry};
 use weldhub::net::http::{Kind, take_message};
 use weldhub_load::run::run;
 use weldhub_load::work::Work;
@@ -232,7 +232,7 @@
                         spawn_local(async move {
                             loop {
                                 deadlines.first_due().await;
-                                deadlines.sweep(deadlines.clock().now()).into_iter().for_each(|_: Due| ());
+                                deadlines.take_expired(deadlines.clock().now()).into_iter().for_each(|_: Expiry| ());
                             }
                         });
                     }
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -38,27 +38,27 @@
 
 /// What a deadline is for.
 #[derive(Debug)]
-pub enum Due {
+pub enum Expiry {
     /// The request must have its final answer.
-    Flow(RequestId),
+    Request(RequestId),
     /// The attempt is given up.
-    Scheduling(RequestId, AttemptIndex),
+    Attempt(RequestId, AttemptIndex),
     /// A timer of the decision module.
     Timer(TimerKey),
     /// A call to the counter counts as unanswered.
-    Call(u64),
+    CounterCall(u64),
     /// It is logged what became of the requests.
-    Tally,
+    RequestSummary,
     /// A task of the network code sleeps until then.
     Wake(Waker),
 }
 
 /// The key of a deadline, to remove it by.
-pub type Key = (u64, u64);
+pub type DeadlineKey = (u64, u64);
 
 #[derive(Debug, Default)]
 struct Sorted {
-    due: BTreeMap<Key, Due>,
+    due: BTreeMap<DeadlineKey, Expiry>,
     next: u64,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Adds a deadline.
-    pub fn add(&self, at: Millis, due: Due) -> Key {
+    pub fn add(&self, at: Millis, due: Expiry) -> DeadlineKey {
         let mut sorted = self.sorted.borrow_mut();
         sorted.next += 1;
         // Rounded up: what is due is never swept before its time, if only by less than a microsecond.
@@ -100,12 +100,12 @@
     }
 
     /// Removes a deadline.
-    pub fn remove(&self, key: Key) {
+    pub fn remove(&self, key: DeadlineKey) {
         self.sorted.borrow_mut().due.remove(&key);
     }
 
     /// Removes all that are due at `now` and returns them in order, without sleepers, which are woken.
-    pub fn sweep(&self, now: Millis) -> Vec<Due> {
+    pub fn take_expired(&self, now: Millis) -> Vec<Expiry> {
         let mut sorted = self.sorted.borrow_mut();
         if sorted.due.first_key_value().is_none_or(|(first, _)| first.0 > micros(now)) {
             return Vec::new();
@@ -114,7 +114,7 @@
         let due = std::mem::replace(&mut sorted.due, later);
         drop(sorted);
         let wake = |due| match due {
-            Due::Wake(waker) => {
+            Expiry::Wake(waker) => {
                 waker.wake();
                 None
             }
@@ -159,7 +159,7 @@
 pub struct Sleep {
     deadlines: Deadlines,
     at: Millis,
-    key: Option<Key>,
+    key: Option<DeadlineKey>,
 }
 
 impl Future for Sleep {
@@ -170,7 +170,7 @@
         if self.deadlines.clock.now() >= self.at {
             return Poll::Ready(());
         }
-        self.key = Some(self.deadlines.add(self.at, Due::Wake(cx.waker().clone())));
+        self.key = Some(self.deadlines.add(self.at, Expiry::Wake(cx.waker().clone())));
         Poll::Pending
     }
 }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -2,7 +2,7 @@
 //! it that every flow gets one final answer, before its deadline.
 
 use crate::cluster::notices::{LocalNotice, Subject};
-use crate::deadlines::{Deadlines, Due, Key};
+use crate::deadlines::{DeadlineKey, Deadlines, Expiry};
 use crate::entries::BackendList;
 use crate::exchange::{
     AttemptReport, BackendStatus, ClientSideCommand, CounterCall, EngineEvent, EngineState, FinalAnswer,
@@ -62,7 +62,7 @@
     sent: Millis,
     /// When its answer began to pass on.
     began: Option<Millis>,
-    deadline: Key,
+    deadline: DeadlineKey,
 }
 
 #[derive(Debug)]
@@ -74,7 +74,7 @@
     uploads: Option<Millis>,
     /// When the last scheduling ends.
     until: Millis,
-    guard: Key,
+    guard: DeadlineKey,
     started: u16,
     out: Vec<Scheduling>,
     timed_out: bool,
@@ -171,7 +171,7 @@
     /// Starts from the list that was known last, if any, and runs until every way in is closed.
     pub async fn run(mut self, known: Option<BackendList>) {
         self.now = self.deadlines.clock().now();
-        self.deadlines.add(self.now + TALLY, Due::Tally);
+        self.deadlines.add(self.now + TALLY, Expiry::RequestSummary);
         self.feed(Event::Start);
         // Prevents the first list of all from being taken for one of newcomers, which are spared as cold.
         if let Some(known) = known.filter(|known| !known.entries.is_empty()) {
@@ -194,7 +194,7 @@
             while let Ok(news) = self.news.try_recv() {
                 self.take(news);
             }
-            self.deadlines.sweep(self.now).into_iter().for_each(|due| self.due(due));
+            self.deadlines.take_expired(self.now).into_iter().for_each(|due| self.due(due));
         }
     }
 
@@ -219,7 +219,7 @@
                 }
                 let uploads = terms.body_pending.then_some(terms.time_left);
                 let [left, last] = parts(if terms.body_pending { UPLOAD } else { terms.time_left });
-                let guard = self.deadlines.add(self.now + last, Due::Flow(id));
+                let guard = self.deadlines.add(self.now + last, Expiry::Request(id));
                 let (client, until) = (Some(client), self.now + left);
                 let (out, started, timed_out) = (Vec::new(), 0, false);
                 let flow = Flow { question, client, uploads, until, guard, started, out, timed_out };
@@ -366,16 +366,16 @@
         self.feed(Event::BackendList(kind, entries));
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: Expiry) {
         match due {
-            Due::Timer(key) => self.feed(Event::Timer(key)),
-            Due::Scheduling(flow, no) => self.order(ClientSideCommand::GiveUp(flow, no, Outcome::TimedOut)),
-            Due::Call(seq) => {
+            Expiry::Timer(key) => self.feed(Event::Timer(key)),
+            Expiry::Attempt(flow, no) => self.order(ClientSideCommand::GiveUp(flow, no, Outcome::TimedOut)),
+            Expiry::CounterCall(seq) => {
                 if let Some(name) = self.calls.remove(&seq) {
                     self.feed(Event::CounterAnswered(name, CounterAnswer::Unknown));
                 }
             }
-            Due::Flow(id) => {
+            Expiry::Request(id) => {
                 // The last guard: a flow that the decisions still hold gets its one final answer.
                 if let Some(client) = self.close(id) {
                     self.answer(client, FinalAnswer::Failed { timed_out: true });
@@ -383,8 +383,8 @@
                     self.feed(Event::ClientLeft(id));
                 }
             }
-            Due::Tally => {
-                self.deadlines.add(self.now + TALLY, Due::Tally);
+            Expiry::RequestSummary => {
+                self.deadlines.add(self.now + TALLY, Expiry::RequestSummary);
                 let tally = std::mem::take(&mut self.tally);
                 if tally != Tally::default() || !self.flows.is_empty() {
                     info!(self.log, "tally";
@@ -394,7 +394,7 @@
                         "open" => self.flows.len());
                 }
             }
-            Due::Wake(waker) => waker.wake(),
+            Expiry::Wake(waker) => waker.wake(),
         }
     }
 
@@ -429,11 +429,11 @@
         let Some(flow) = self.flows.get_mut(&id) else { return };
         let Some([left, last]) = flow.uploads.take().map(parts) else { return };
         self.deadlines.remove(flow.guard);
-        flow.guard = self.deadlines.add(self.now + last, Due::Flow(id));
+        flow.guard = self.deadlines.add(self.now + last, Expiry::Request(id));
         flow.until = self.now + left;
         for s in &mut flow.out {
             self.deadlines.remove(s.deadline);
-            s.deadline = self.deadlines.add(flow.until, Due::Scheduling(id, s.no));
+            s.deadline = self.deadlines.add(flow.until, Expiry::Attempt(id, s.no));
             s.sent = self.now;
         }
     }
@@ -515,13 +515,13 @@
                 let sent = counter.is_some_and(|counter| counter.send(call).is_ok());
                 if sent {
                     self.calls.insert(call.seq, name);
-                    self.deadlines.add(self.now + self.bounds.counter_timeout, Due::Call(call.seq));
+                    self.deadlines.add(self.now + self.bounds.counter_timeout, Expiry::CounterCall(call.seq));
                 } else {
                     self.own.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
                 }
             }
             Action::SetTimer(after, key) => {
-                self.deadlines.add(self.now + after.max(0.0), Due::Timer(key));
+                self.deadlines.add(self.now + after.max(0.0), Expiry::Timer(key));
             }
             // The watch on discovery is open all the time.
             Action::Subscribe => {}
@@ -545,7 +545,7 @@
         }
         self.tally.schedulings += 1;
         self.tally.retried += u64::from(no.0 > 0);
-        let deadline = self.deadlines.add(self.now + wait, Due::Scheduling(id, no));
+        let deadline = self.deadlines.add(self.now + wait, Expiry::Attempt(id, no));
         flow.out.push(Scheduling { no, server, sent: self.now, began: None, deadline });
         let question = flow.question.clone();
         let wait = flow.uploads.unwrap_or(wait);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -281,7 +281,7 @@
         // Nobody sweeps: it is still open when its time is up, and is closed in the turn in which the bytes come.
         tokio::time::sleep(Duration::from_millis(5100)).await;
         client.write(&board("crosses", 900, 1));
-        side.deadlines.sweep(side.deadlines.clock().now());
+        side.deadlines.take_expired(side.deadlines.clock().now());
         side.sent_on().await.send(served("2")).unwrap();
         assert_eq!(&client.answer().await.unwrap().body[..], b"2");
     });
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -97,7 +97,7 @@
     spawn_local(async move {
         loop {
             sweeping.first_due().await;
-            sweeping.sweep(sweeping.clock().now());
+            sweeping.take_expired(sweeping.clock().now());
         }
     });
     deadlines
