--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -232,7 +232,8 @@
                         spawn_local(async move {
                             loop {
                                 deadlines.first_due().await;
-                                deadlines.take_expired(deadlines.clock().now()).into_iter().for_each(|_: Expiry| ());
+                                let expired = deadlines.take_expired(deadlines.clock().now());
+                                expired.into_iter().for_each(|_: Expiry| ());
                             }
                         });
                     }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -136,9 +136,10 @@
         let mut bed = start("", 10);
         let waiting = bed.ask(80.0, 1.0);
         let (flow, no) = bed.started().await;
-        assert!(
-            matches!(bed.order().await, ClientSideCommand::GiveUp(f, n, Outcome::TimedOut) if (f, n) == (flow, no))
-        );
+        assert!(matches!(
+            bed.order().await,
+            ClientSideCommand::GiveUp(f, n, Outcome::TimedOut) if (f, n) == (flow, no)
+        ));
         assert_eq!(waiting.await, FinalAnswer::Failed { timed_out: true });
     });
 }
