--- a/trials/src/lib.rs
+++ b/trials/src/lib.rs
@@ -4,7 +4,7 @@
 #![warn(missing_docs)]
 
 pub mod check;
-pub mod gate;
+pub mod fault_proxy;
 pub mod relay;
 pub mod rig;
 pub mod scale;
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -3,7 +3,7 @@
 //! that it did not start.
 
 use crate::check::{Outcome, Seen, Yes};
-use crate::gate::{Gate, Line};
+use crate::fault_proxy::{FaultProxy, Impairment};
 use crate::relay::{Relay, Ways};
 use crate::script::{How, Net, Script, Talk, What};
 use crate::stand_ins::World;
@@ -482,13 +482,13 @@
     }
 }
 
-fn gates(all: &[Gate], of: &[usize], is: How, on: bool) {
+fn gates(all: &[FaultProxy], of: &[usize], is: How, on: bool) {
     let line = match is {
-        How::Silent => Line { silent: true, ..Line::default() },
-        How::Refused => Line { refused: true, ..Line::default() },
-        How::Slow => Line { delay: SLOW, ..Line::default() },
+        How::Silent => Impairment { silent: true, ..Impairment::default() },
+        How::Refused => Impairment { refused: true, ..Impairment::default() },
+        How::Slow => Impairment { delay_ms: SLOW, ..Impairment::default() },
     };
-    of.iter().for_each(|n| all[*n].fault(line, on));
+    of.iter().for_each(|n| all[*n].set_fault(line, on));
 }
 
 /// One that was told to stop is given its time, and then killed.
--- a/trials/src/stand_ins.rs
+++ b/trials/src/stand_ins.rs
@@ -1,7 +1,7 @@
 //! What the ingresses of a trial talk with: real servers, discovery and the counter, by the platform's protocol. They keep
 //! a record on one clock: what came, and what was told to whom.
 
-use crate::gate::Gate;
+use crate::fault_proxy::FaultProxy;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::server::conn::http1;
@@ -85,11 +85,11 @@
 #[derive(Clone)]
 pub struct World {
     /// Before each real server, by ingress.
-    pub to_servers: Vec<Vec<Gate>>,
+    pub to_servers: Vec<Vec<FaultProxy>>,
     /// Before discovery, by ingress.
-    pub to_discovery: Vec<Gate>,
+    pub to_discovery: Vec<FaultProxy>,
     /// Before the counter, by ingress.
-    pub to_counter: Vec<Gate>,
+    pub to_counter: Vec<FaultProxy>,
     at: Rc<RefCell<Vec<Ways>>>,
     record: Rc<RefCell<Record>>,
     listed: watch::Sender<Listed>,
@@ -107,7 +107,7 @@
     /// # Errors
     /// Where ports are not to be had.
     pub async fn start(ingresses: usize, servers: usize, work: u64) -> io::Result<Self> {
-        let gates = || (0..ingresses).map(|_| Gate::default()).collect::<Vec<_>>();
+        let gates = || (0..ingresses).map(|_| FaultProxy::default()).collect::<Vec<_>>();
         let listed = Listed { drains: vec![false; servers], generation: 1, empty: false };
         let this = Self {
             to_servers: (0..servers).map(|_| gates()).collect(),
@@ -245,7 +245,7 @@
         let mut told: Option<Vec<bool>> = None;
         loop {
             // What is held on its way has not been told.
-            let late = self.to_discovery[to].open().await;
+            let late = self.to_discovery[to].wait_open().await;
             let drains = listed.borrow().drains.clone();
             let line = self.list(to, &mut listed) + "\n";
             let now = self.now() + late.as_millis() as i64;
