--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -4,7 +4,7 @@
 
 use crate::check::{Outcome, Seen, Yes};
 use crate::fault_proxy::{FaultProxy, Impairment};
-use crate::relay::{Relay, Ways};
+use crate::relay::{Network, Relay};
 use crate::script::{How, Net, Script, Talk, What};
 use crate::stand_ins::World;
 use rustix::process::{Pid, Signal, kill_process};
@@ -82,7 +82,7 @@
     pub doors: Rc<RefCell<Vec<SocketAddr>>>,
     told: Vec<Value>,
     processes: Vec<Process>,
-    ways: Rc<RefCell<Ways>>,
+    network: Rc<RefCell<Network>>,
     relay: Relay,
     /// What the ingresses talk with.
     pub world: World,
@@ -185,9 +185,9 @@
         let (clients, doors) = (all[..count].to_vec(), all[count..].to_vec());
         let real = free_udp(home, 2 * count).map_err(ports)?;
         let (real, mail) = (real[..count].to_vec(), real[count..].to_vec());
-        let ways = Rc::new(RefCell::new(Ways::new(script.seed)));
-        let relay = Relay::start(real.clone(), ways.clone()).await.map_err(|e| said("the relay", e))?;
-        let post = Relay::start(mail.clone(), ways.clone()).await.map_err(|e| said("the relay", e))?;
+        let network = Rc::new(RefCell::new(Network::new(script.seed)));
+        let relay = Relay::start(real.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
+        let post = Relay::start(mail.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
         let world = World::start(count, script.servers, script.work).await;
         let world = world.map_err(|e| said("the stand-ins", e))?;
         let folder =
@@ -195,14 +195,14 @@
         std::fs::create_dir_all(&folder).map_err(|e| said("a folder", e))?;
         let told = (0..count)
             .map(|n| {
-                let seeds = [0, (n + 1) % count].map(|i| relay.told[i].to_string());
+                let seeds = [0, (n + 1) % count].map(|i| relay.advertised[i].to_string());
                 let fleet = if n < script.own() { "trial" } else { "stranger" };
                 let ways = world.ways(n);
                 let mut told = json!({
                     "name": format!("n{n}"), "listen": clients[n].to_string(), "management": doors[n].to_string(),
                     "discovery": ways.discovery.to_string(),
                     "known": {"generation": 1, "reset": true, "instances": world.entries(n)},
-                    "cluster": {"listen": real[n].to_string(), "advertise": relay.told[n].to_string(),
+                    "cluster": {"listen": real[n].to_string(), "advertise": relay.advertised[n].to_string(),
                         "fleet": fleet, "seeds": if count > 1 { &seeds[..] } else { &[] }},
                     "settings": settings(script, n),
                 });
@@ -216,7 +216,7 @@
                     Talk::None => {}
                     Talk::Counter => told["counter"] = json!(ways.counter.to_string()),
                     Talk::Peers => {
-                        let peers: Vec<String> = post.told.iter().map(SocketAddr::to_string).collect();
+                        let peers: Vec<String> = post.advertised.iter().map(SocketAddr::to_string).collect();
                         (told["peer_listen"], told["peers"]) = (json!(mail[n].to_string()), json!(peers));
                     }
                 }
@@ -232,7 +232,7 @@
             doors: Rc::new(RefCell::new(doors)),
             told,
             processes,
-            ways,
+            network,
             relay,
             world,
             home,
@@ -245,7 +245,7 @@
         for n in 0..count {
             this.ready(n).await?;
         }
-        this.ways.borrow_mut().net = script.net;
+        this.network.borrow_mut().conditions = script.net;
         Ok(this)
     }
 
@@ -345,7 +345,10 @@
             self.step(&step, &mut run, script.net).await.map_err(|e| format!("at {at}: {e}"))?;
         }
         sleep_until(start + length).await;
-        let datagrams = self.ways.borrow().counts;
+        let datagrams = {
+            let network = self.network.borrow();
+            [network.received, network.forwarded]
+        };
         let processor = self.processes.iter().map(Process::processor).collect();
         let mut outcome = Outcome { run, datagrams, processor, yes: self.yes.clone(), ..Outcome::default() };
         for look in looks {
@@ -413,7 +416,7 @@
                 of.iter().try_for_each(|n| self.processes[*n].signal(signal)).map_err(wrong)?;
             }
             What::Cut { from, to, one_sided, .. } => self.cut(from, to, *one_sided, on),
-            What::Net { net, .. } => self.ways.borrow_mut().net = if on { *net } else { usual },
+            What::Net { net, .. } => self.network.borrow_mut().conditions = if on { *net } else { usual },
             What::ClockAhead { of, by } if on => self.forge(*of, *by).await,
             What::Discovery { of, is, .. } => gates(&self.world.to_discovery, of, *is, on),
             What::Counter { of, is, .. } => gates(&self.world.to_counter, of, *is, on),
@@ -459,23 +462,23 @@
         let from = Identity {
             name: format!("n{of}"),
             number: u16::try_from(of).unwrap_or_default(),
-            at: self.relay.told[of],
+            at: self.relay.advertised[of],
             born: now + by,
         };
         let (claims, notices) = (Vec::new(), Vec::new());
         let packet = Packet { from, incarnation: 0, body: Body::News, claims, notices, digest: 0 };
         if let Some(bytes) = packet.write(fleet_key("trial")) {
-            self.relay.forge(of, &bytes).await;
+            self.relay.send_forged(of, &bytes).await;
         }
     }
 
     fn cut(&self, from: &[usize], to: &[usize], one_sided: bool, on: bool) {
-        let mut ways = self.ways.borrow_mut();
+        let mut network = self.network.borrow_mut();
         for a in from {
             for b in to {
-                ways.cut(*a, *b, on);
+                network.set_cut(*a, *b, on);
                 if !one_sided {
-                    ways.cut(*b, *a, on);
+                    network.set_cut(*b, *a, on);
                 }
             }
         }
