--- a/trials/src/check.rs
+++ b/trials/src/check.rs
@@ -156,23 +156,23 @@
 /// when it wakes.
 fn drains(script: &Script, outcome: &Outcome, figures: &mut Figures, broken: &mut Vec<String>) {
     let mut since: HashMap<(usize, usize), i64> = HashMap::new();
-    let mut words = outcome.record.words.iter().peekable();
+    let mut words = outcome.record.drain_changes.iter().peekable();
     let mut late = HashSet::new();
     for arrival in &outcome.record.arrivals {
         while let Some(word) = words.next_if(|word| word.at <= arrival.at) {
-            match word.drains {
-                true => since.entry((word.to, word.server)).or_insert(word.at),
-                false => &mut since.remove(&(word.to, word.server)).unwrap_or_default(),
+            match word.draining {
+                true => since.entry((word.ingress, word.backend)).or_insert(word.at),
+                false => &mut since.remove(&(word.ingress, word.backend)).unwrap_or_default(),
             };
         }
-        let Some(told) = since.get(&(arrival.by, arrival.server)) else { continue };
+        let Some(told) = since.get(&(arrival.ingress, arrival.backend)) else { continue };
         let span = arrival.at - told;
-        if disturbed(script, arrival.by, arrival.at) || disturbed(script, arrival.by, *told) {
+        if disturbed(script, arrival.ingress, arrival.at) || disturbed(script, arrival.ingress, *told) {
             continue;
         }
         figures.drain = figures.drain.max(span);
-        if span > GRACE + SLACK && late.insert((arrival.by, arrival.server)) {
-            let (by, server) = (arrival.by, arrival.server);
+        if span > GRACE + SLACK && late.insert((arrival.ingress, arrival.backend)) {
+            let (by, server) = (arrival.ingress, arrival.backend);
             broken.push(format!("{} ms: {by} sends to {server}, told to drain {span} ms ago", arrival.at));
         }
     }
@@ -183,8 +183,8 @@
     for (i, yes) in outcome.yes.iter().enumerate().filter(|(_, yes)| yes.out) {
         let back = outcome.yes[i..].iter().find(|later| !later.out && later.server == yes.server);
         let until = back.map_or(i64::MAX, |back| back.at);
-        for arrival in outcome.record.arrivals.iter().filter(|a| a.server == yes.server) {
-            let (span, by) = (arrival.at - yes.at, arrival.by);
+        for arrival in outcome.record.arrivals.iter().filter(|a| a.backend == yes.server) {
+            let (span, by) = (arrival.at - yes.at, arrival.ingress);
             if span < 0 || arrival.at >= until || !script.together(by, yes.by) {
                 continue;
             }
@@ -242,8 +242,8 @@
     }
     let (mut once, mut sent) = (HashSet::new(), BTreeMap::<u64, Vec<(i64, f64)>>::new());
     for arrival in &outcome.record.arrivals {
-        let of = arrival.of.and_then(|n| outcome.asked.get(n));
-        if let Some((customer, units)) = of.filter(|_| once.insert(&arrival.id)) {
+        let of = arrival.request_index.and_then(|n| outcome.asked.get(n));
+        if let Some((customer, units)) = of.filter(|_| once.insert(&arrival.request_id)) {
             sent.entry(*customer).or_default().push((arrival.at, f64::from(*units)));
         }
     }
@@ -272,7 +272,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::stand_ins::{Arrival, Word};
+    use crate::stand_ins::{Arrival, DrainChange};
 
     fn script() -> Script {
         let kill = "[[faults]]\nat = 5000\ndo = { kill = [2] }\n";
@@ -283,13 +283,13 @@
     }
 
     fn arrival(at: i64, by: usize, server: usize, of: usize) -> Arrival {
-        Arrival { at, by, server, of: Some(of), id: format!("{of}") }
+        Arrival { at, ingress: by, backend: server, request_index: Some(of), request_id: format!("{of}") }
     }
 
     fn whole() -> Outcome {
         let view = |states: [&str; 3]| Some((0..3).zip(states.map(str::to_owned)).collect());
         let dead = |at, by| Seen { at, by, of: 2, state: "dead".into() };
-        let word = |at, drains| Word { at, to: 0, server: 1, drains };
+        let word = |at, drains| DrainChange { at, ingress: 0, backend: 1, draining: drains };
         let words = Some(vec!["s0 server back by 1".to_owned()]);
         Outcome {
             seen: vec![dead(7500, 0), dead(7600, 1)],
@@ -318,8 +318,8 @@
                     arrival(4500, 0, 1, 2),
                     arrival(4600, 1, 0, 3),
                 ],
-                words: vec![word(2000, true), word(4000, false)],
-                calls: 0,
+                drain_changes: vec![word(2000, true), word(4000, false)],
+                counter_calls: 0,
             },
         }
     }
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -6,7 +6,7 @@
 use crate::fault_proxy::{FaultProxy, Impairment};
 use crate::relay::{Network, Relay};
 use crate::script::{How, Net, Script, Talk, What};
-use crate::stand_ins::World;
+use crate::stand_ins::StandIns;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -85,7 +85,7 @@
     network: Rc<RefCell<Network>>,
     relay: Relay,
     /// What the ingresses talk with.
-    pub world: World,
+    pub stand_ins: StandIns,
     home: IpAddr,
     strangers: usize,
     yes: Vec<Yes>,
@@ -188,8 +188,8 @@
         let network = Rc::new(RefCell::new(Network::new(script.seed)));
         let relay = Relay::start(real.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
         let post = Relay::start(mail.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
-        let world = World::start(count, script.servers, script.work).await;
-        let world = world.map_err(|e| said("the stand-ins", e))?;
+        let stand_ins = StandIns::start(count, script.servers, script.work).await;
+        let stand_ins = stand_ins.map_err(|e| said("the stand-ins", e))?;
         let folder =
             std::env::temp_dir().join(format!("weldhub-trial-{}-{}", std::process::id(), clients[0].port()));
         std::fs::create_dir_all(&folder).map_err(|e| said("a folder", e))?;
@@ -197,11 +197,11 @@
             .map(|n| {
                 let seeds = [0, (n + 1) % count].map(|i| relay.advertised[i].to_string());
                 let fleet = if n < script.own() { "trial" } else { "stranger" };
-                let ways = world.ways(n);
+                let addresses = stand_ins.addresses(n);
                 let mut told = json!({
                     "name": format!("n{n}"), "listen": clients[n].to_string(), "management": doors[n].to_string(),
-                    "discovery": ways.discovery.to_string(),
-                    "known": {"generation": 1, "reset": true, "instances": world.entries(n)},
+                    "discovery": addresses.discovery.to_string(),
+                    "known": {"generation": 1, "reset": true, "instances": stand_ins.list_entries(n)},
                     "cluster": {"listen": real[n].to_string(), "advertise": relay.advertised[n].to_string(),
                         "fleet": fleet, "seeds": if count > 1 { &seeds[..] } else { &[] }},
                     "settings": settings(script, n),
@@ -214,7 +214,7 @@
                 }
                 match script.talk {
                     Talk::None => {}
-                    Talk::Counter => told["counter"] = json!(ways.counter.to_string()),
+                    Talk::Counter => told["counter"] = json!(addresses.counter.to_string()),
                     Talk::Peers => {
                         let peers: Vec<String> = post.advertised.iter().map(SocketAddr::to_string).collect();
                         (told["peer_listen"], told["peers"]) = (json!(mail[n].to_string()), json!(peers));
@@ -234,7 +234,7 @@
             processes,
             network,
             relay,
-            world,
+            stand_ins,
             home,
             strangers: script.strangers,
             yes: Vec::new(),
@@ -319,7 +319,7 @@
             self.joined().await?;
         }
         let start = Instant::now();
-        self.world.begin();
+        self.stand_ins.reset_record();
         self.yes.clear();
         let (length, count) = (Duration::from_millis(script.length), self.clients.len());
         let looks: Vec<_> =
@@ -366,7 +366,7 @@
             outcome.asked = arrivals.iter().map(|a| (a.customer, a.units)).collect();
             outcome.ends = [End::Served, End::Refused, End::Failed].map(|end| report.count(end));
         }
-        outcome.record = self.world.record();
+        outcome.record = self.stand_ins.record();
         Ok(outcome)
     }
 
@@ -418,15 +418,15 @@
             What::Cut { from, to, one_sided, .. } => self.cut(from, to, *one_sided, on),
             What::Net { net, .. } => self.network.borrow_mut().conditions = if on { *net } else { usual },
             What::ClockAhead { of, by } if on => self.forge(*of, *by).await,
-            What::Discovery { of, is, .. } => gates(&self.world.to_discovery, of, *is, on),
-            What::Counter { of, is, .. } => gates(&self.world.to_counter, of, *is, on),
+            What::Discovery { of, is, .. } => gates(&self.stand_ins.discovery_proxies, of, *is, on),
+            What::Counter { of, is, .. } => gates(&self.stand_ins.counter_proxies, of, *is, on),
             What::Servers { servers, of, is, .. } => {
-                servers.iter().for_each(|s| gates(&self.world.to_servers[*s], of, *is, on));
+                servers.iter().for_each(|s| gates(&self.stand_ins.backend_proxies[*s], of, *is, on));
             }
-            What::Empty { .. } => self.world.empty(on),
-            What::Forget if on => self.world.forget(),
-            What::Split { of, .. } => self.world.split(if on { of } else { &[] }),
-            What::Drain { servers, .. } => servers.iter().for_each(|s| self.world.drain(*s, on)),
+            What::Empty { .. } => self.stand_ins.set_list_empty(on),
+            What::Forget if on => self.stand_ins.reset_counter(),
+            What::Split { of, .. } => self.stand_ins.split_counter(if on { of } else { &[] }),
+            What::Drain { servers, .. } => servers.iter().for_each(|s| self.stand_ins.set_draining(*s, on)),
             What::Ban { server, by, back_by, .. } => {
                 let word = if on { "disable-server" } else { "enable-server" };
                 let door = if on { *by } else { *back_by };
@@ -444,13 +444,13 @@
 
     /// An operator's call at a door, and when it was answered.
     async fn operate(&mut self, by: usize, line: &str, of: Option<(usize, bool)>) -> Result<(), String> {
-        let asked = self.world.now();
+        let asked = self.stand_ins.now();
         let answer = call(self.door(by), &format!("{line}\n")).await.unwrap_or_default();
         if !answer.starts_with("ok") {
             return Err(format!("the door of n{by} says {answer:?} to {line}"));
         }
         if let Some((server, out)) = of {
-            let at = if out { self.world.now() } else { asked };
+            let at = if out { self.stand_ins.now() } else { asked };
             self.yes.push(Yes { at, by, server, out });
         }
         Ok(())
--- a/trials/src/stand_ins.rs
+++ b/trials/src/stand_ins.rs
@@ -1,5 +1,5 @@
-//! What the ingresses of a trial talk with: real servers, discovery and the counter, by the platform's protocol. They keep
-//! a record on one clock: what came, and what was told to whom.
+//! Stand-ins for the systems around the ingresses of a trial: backends, discovery and the counter, which speak the
+//! platform's protocols. They record on one clock which requests arrived and which list changes were sent to whom.
 
 use crate::fault_proxy::FaultProxy;
 use http_body_util::Full;
@@ -21,279 +21,306 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// An empty line goes to each watch so often.
-const BEAT: Duration = Duration::from_secs(2);
+/// The interval of the empty lines that keep a discovery watch alive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A request that came to a real server.
+/// A request that arrived at a backend.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Arrival {
-    /// When its head had come, in milliseconds from the start of the trial.
+    /// When its head had been read, in milliseconds from the start of the trial.
     pub at: i64,
-    /// From which ingress.
-    pub by: usize,
-    /// At which real server.
-    pub server: usize,
-    /// Which of the load's requests; none for others.
-    pub of: Option<usize>,
-    /// Which try of its client's.
-    pub id: String,
+    /// The number of the ingress that sent it.
+    #[serde(rename = "by")]
+    pub ingress: usize,
+    /// The number of the backend.
+    #[serde(rename = "server")]
+    pub backend: usize,
+    /// The index of the load's request, from the last segment of the path; `None` if that is not a number.
+    #[serde(rename = "of")]
+    pub request_index: Option<usize>,
+    /// Its `Request-Id`, which names one try of a client; empty if it has none.
+    #[serde(rename = "id")]
+    pub request_id: String,
 }
 
-/// A change of a service entry that was written to an ingress.
+/// A change of a backend's state that discovery sent to an ingress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Word {
-    /// When.
+pub struct DrainChange {
+    /// When the ingress received it, in milliseconds from the start of the trial.
     pub at: i64,
-    /// To which ingress.
-    pub to: usize,
-    /// Which real server.
-    pub server: usize,
-    /// It drains, or serves again.
-    pub drains: bool,
+    /// The number of the ingress.
+    #[serde(rename = "to")]
+    pub ingress: usize,
+    /// The number of the backend.
+    #[serde(rename = "server")]
+    pub backend: usize,
+    /// Whether the backend drains from now on; `false` if it is in service again.
+    #[serde(rename = "drains")]
+    pub draining: bool,
 }
 
-/// What has happened at the stand-ins.
+/// What happened at the stand-ins.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Record {
-    /// Requests at real servers, in order.
+    /// The requests that arrived at backends, in order.
     pub arrivals: Vec<Arrival>,
-    /// What discovery wrote, in order.
-    pub words: Vec<Word>,
-    /// Calls that the counter answered.
-    pub calls: u64,
+    /// The changes that discovery sent, in order.
+    #[serde(rename = "words")]
+    pub drain_changes: Vec<DrainChange>,
+    /// The number of calls that the counter answered with a total.
+    #[serde(rename = "calls")]
+    pub counter_calls: u64,
 }
 
+/// The backend list that discovery publishes.
 #[derive(Debug, Clone)]
-struct Listed {
-    drains: Vec<bool>,
+struct PublishedList {
+    /// Whether each backend drains, by its number.
+    draining: Vec<bool>,
     generation: u64,
+    /// Publishes a list without backends instead.
     empty: bool,
 }
 
-/// Where an ingress finds the stand-ins.
+/// The addresses at which one ingress reaches the stand-ins.
 #[derive(Debug, Clone)]
-pub struct Ways {
-    /// The real servers, by number.
-    pub servers: Vec<SocketAddr>,
-    /// Discovery's agent.
+pub struct StandInAddresses {
+    /// The addresses of the backends, by their number.
+    pub backends: Vec<SocketAddr>,
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// The address of the counter.
     pub counter: SocketAddr,
 }
 
 /// The stand-ins of a trial.
 #[derive(Clone)]
-pub struct World {
-    /// Before each real server, by ingress.
-    pub to_servers: Vec<Vec<FaultProxy>>,
-    /// Before discovery, by ingress.
-    pub to_discovery: Vec<FaultProxy>,
-    /// Before the counter, by ingress.
-    pub to_counter: Vec<FaultProxy>,
-    at: Rc<RefCell<Vec<Ways>>>,
+pub struct StandIns {
+    /// The proxies in front of the backends, by backend and ingress.
+    pub backend_proxies: Vec<Vec<FaultProxy>>,
+    /// The proxies in front of discovery, by ingress.
+    pub discovery_proxies: Vec<FaultProxy>,
+    /// The proxies in front of the counter, by ingress.
+    pub counter_proxies: Vec<FaultProxy>,
+    /// The addresses of the proxies, by ingress.
+    addresses: Rc<RefCell<Vec<StandInAddresses>>>,
     record: Rc<RefCell<Record>>,
-    listed: watch::Sender<Listed>,
-    /// The counter's numbers; those on the other side of a split have others.
-    numbers: Rc<RefCell<[HashMap<String, f64>; 2]>>,
-    split: Rc<RefCell<Vec<usize>>>,
-    work: u64,
+    list: watch::Sender<PublishedList>,
+    /// The totals of the counter by name, and those of the second counter that `split_ingresses` reach.
+    totals: Rc<RefCell<[HashMap<String, f64>; 2]>>,
+    split_ingresses: Rc<RefCell<Vec<usize>>>,
+    /// How long a backend takes to answer, in milliseconds.
+    service_time: u64,
     served: Rc<Cell<u64>>,
+    /// The zero of the record's clock.
     start: Rc<Cell<Instant>>,
 }
 
-impl World {
-    /// Starts all of it, within a local task set. A real server takes `work` milliseconds for an answer.
+impl StandIns {
+    /// Starts all stand-ins and their proxies. Must be called within a `LocalSet`. A backend takes `service_time`
+    /// milliseconds to answer.
     ///
     /// # Errors
-    /// Where ports are not to be had.
-    pub async fn start(ingresses: usize, servers: usize, work: u64) -> io::Result<Self> {
-        let gates = || (0..ingresses).map(|_| FaultProxy::default()).collect::<Vec<_>>();
-        let listed = Listed { drains: vec![false; servers], generation: 1, empty: false };
+    /// The operating system's error if no port can be bound.
+    pub async fn start(ingresses: usize, backends: usize, service_time: u64) -> io::Result<Self> {
+        let proxies = || (0..ingresses).map(|_| FaultProxy::default()).collect::<Vec<_>>();
+        let list = PublishedList { draining: vec![false; backends], generation: 1, empty: false };
         let this = Self {
-            to_servers: (0..servers).map(|_| gates()).collect(),
-            to_discovery: gates(),
-            to_counter: gates(),
-            at: Rc::default(),
+            backend_proxies: (0..backends).map(|_| proxies()).collect(),
+            discovery_proxies: proxies(),
+            counter_proxies: proxies(),
+            addresses: Rc::default(),
             record: Rc::default(),
-            listed: watch::Sender::new(listed),
-            numbers: Rc::default(),
-            split: Rc::default(),
-            work,
+            list: watch::Sender::new(list),
+            totals: Rc::default(),
+            split_ingresses: Rc::default(),
+            service_time,
             served: Rc::default(),
             start: Rc::new(Cell::new(Instant::now())),
         };
-        for n in 0..ingresses {
-            let mut at = Vec::new();
-            for (s, gates) in this.to_servers.iter().enumerate() {
-                let world = this.clone();
-                at.push(gates[n].listen(move |far| world.clone().server(far, n, s)).await?);
+        for ingress in 0..ingresses {
+            let mut backends = Vec::new();
+            for (backend, proxies) in this.backend_proxies.iter().enumerate() {
+                let stand_ins = this.clone();
+                let serve = move |stream| stand_ins.clone().serve_backend(stream, ingress, backend);
+                backends.push(proxies[ingress].listen(serve).await?);
             }
             let (agent, counter) = (this.clone(), this.clone());
-            let discovery = this.to_discovery[n].listen(move |far| agent.clone().discovery(far, n)).await?;
-            let counter = this.to_counter[n].listen(move |far| counter.clone().counter(far, n)).await?;
-            this.at.borrow_mut().push(Ways { servers: at, discovery, counter });
+            let serve_discovery = move |stream| agent.clone().serve_discovery(stream, ingress);
+            let discovery = this.discovery_proxies[ingress].listen(serve_discovery).await?;
+            let serve_counter = move |stream| counter.clone().serve_counter(stream, ingress);
+            let counter = this.counter_proxies[ingress].listen(serve_counter).await?;
+            this.addresses.borrow_mut().push(StandInAddresses { backends, discovery, counter });
         }
         Ok(this)
     }
 
-    /// From now on the record's clock runs.
-    pub fn begin(&self) {
+    /// Sets the record's clock to 0 and clears the record.
+    pub fn reset_record(&self) {
         self.start.set(Instant::now());
         *self.record.borrow_mut() = Record::default();
     }
 
-    /// Milliseconds since then; before it, less than 0.
+    /// Returns the time on the record's clock, in milliseconds; negative before its start.
     pub fn now(&self) -> i64 {
         let start = self.start.get();
         match Instant::now().checked_duration_since(start) {
-            Some(span) => span.as_millis() as i64,
+            Some(elapsed) => elapsed.as_millis() as i64,
             None => -((start - Instant::now()).as_millis() as i64),
         }
     }
 
-    /// Requests that the real servers have answered.
+    /// Returns the number of requests that the backends have answered.
     pub fn served(&self) -> u64 {
         self.served.get()
     }
 
-    /// All that has happened.
+    /// Returns a copy of the record.
     pub fn record(&self) -> Record {
         self.record.borrow().clone()
     }
 
-    /// Discovery says that a real server drains, or no longer.
-    pub fn drain(&self, server: usize, drains: bool) {
-        self.listed.send_modify(|listed| {
-            listed.generation += 1;
-            listed.drains[server] = drains;
+    /// Publishes a list in which this backend drains, or is in service.
+    pub fn set_draining(&self, backend: usize, draining: bool) {
+        self.list.send_modify(|list| {
+            list.generation += 1;
+            list.draining[backend] = draining;
         });
     }
 
-    /// Discovery tells an empty list, or the whole again.
-    pub fn empty(&self, empty: bool) {
-        self.listed.send_modify(|listed| {
-            listed.generation += 1;
-            listed.empty = empty;
+    /// Publishes an empty list, or the list of all backends.
+    pub fn set_list_empty(&self, empty: bool) {
+        self.list.send_modify(|list| {
+            list.generation += 1;
+            list.empty = empty;
         });
     }
 
-    /// The counter is replaced by an empty one.
-    pub fn forget(&self) {
-        self.numbers.borrow_mut().iter_mut().for_each(HashMap::clear);
+    /// Clears all totals, as if the counter were replaced by an empty one.
+    pub fn reset_counter(&self) {
+        self.totals.borrow_mut().iter_mut().for_each(HashMap::clear);
     }
 
-    /// These ingresses reach another counter, which begins empty; none: all reach the one.
-    pub fn split(&self, of: &[usize]) {
-        self.numbers.borrow_mut()[1].clear();
-        of.clone_into(&mut self.split.borrow_mut());
+    /// Sends the calls of these ingresses to a second counter, which starts empty. An empty slice ends the split.
+    pub fn split_counter(&self, ingresses: &[usize]) {
+        self.totals.borrow_mut()[1].clear();
+        ingresses.clone_into(&mut self.split_ingresses.borrow_mut());
     }
 
-    /// Where an ingress finds all of it.
-    pub fn ways(&self, of: usize) -> Ways {
-        self.at.borrow()[of].clone()
+    /// Returns the addresses at which an ingress reaches the stand-ins.
+    pub fn addresses(&self, ingress: usize) -> StandInAddresses {
+        self.addresses.borrow()[ingress].clone()
     }
 
-    /// The list as one ingress is told it.
-    pub fn entries(&self, to: usize) -> Vec<Value> {
-        let at = self.ways(to).servers;
-        let listed = self.listed.borrow();
-        let entry = |(s, drains): (usize, &bool)| {
-            json!({"instanceId": format!("s{s}"), "hostPort": at[s].to_string(), "zone": "a", "machineType": "m",
-                "cell": 0, "lifecycle": if *drains { "terminating" } else { "in_service" }, "weight": 1.0,
+    /// Returns the published list for one ingress, as the entries of a discovery answer.
+    pub fn list_entries(&self, ingress: usize) -> Vec<Value> {
+        let addresses = self.addresses(ingress).backends;
+        let list = self.list.borrow();
+        let entry = |(backend, draining): (usize, &bool)| {
+            json!({"instanceId": format!("s{backend}"), "hostPort": addresses[backend].to_string(), "zone": "a",
+                "machineType": "m", "cell": 0,
+                "lifecycle": if *draining { "terminating" } else { "in_service" }, "weight": 1.0,
                 "startedAtMs": 0})
         };
-        if listed.empty { Vec::new() } else { listed.drains.iter().enumerate().map(entry).collect() }
+        if list.empty { Vec::new() } else { list.draining.iter().enumerate().map(entry).collect() }
     }
 
-    async fn server(self, far: DuplexStream, by: usize, server: usize) {
+    /// Serves a connection of an ingress to a backend.
+    async fn serve_backend(self, stream: DuplexStream, ingress: usize, backend: usize) {
         let answer = service_fn(move |request: Request<hyper::body::Incoming>| {
             let this = self.clone();
-            let of = request.uri().path().rsplit('/').next().and_then(|n| n.parse().ok());
+            let request_index = request.uri().path().rsplit('/').next().and_then(|n| n.parse().ok());
             let id = request.headers().get("request-id").and_then(|id| id.to_str().ok()).unwrap_or("");
-            let arrival = Arrival { at: this.now(), by, server, of, id: id.to_owned() };
+            let arrival =
+                Arrival { at: this.now(), ingress, backend, request_index, request_id: id.to_owned() };
             this.record.borrow_mut().arrivals.push(arrival);
             async move {
-                sleep(Duration::from_millis(this.work)).await;
+                sleep(Duration::from_millis(this.service_time)).await;
                 this.served.set(this.served.get() + 1);
                 Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(b"a board\n"))))
             }
         });
-        let _ = http1::Builder::new().serve_connection(TokioIo::new(far), answer).await;
+        let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
     }
 
-    /// One call of an ingress: the list, or a watch that tells it and each change.
-    async fn discovery(self, mut far: DuplexStream, to: usize) {
+    /// Serves one discovery call of an ingress: answers with the list, or for a watch streams the list and every change.
+    async fn serve_discovery(self, mut stream: DuplexStream, ingress: usize) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") && head.len() < 8192 {
-            match far.read_u8().await {
+            match stream.read_u8().await {
                 Ok(byte) => head.push(byte),
                 Err(_) => return,
             }
         }
-        let watches = String::from_utf8_lossy(&head).lines().next().is_some_and(|l| l.contains("stream=1"));
-        let mut listed = self.listed.subscribe();
-        if !watches {
-            let text = self.list(to, &mut listed);
+        let is_watch =
+            String::from_utf8_lossy(&head).lines().next().is_some_and(|line| line.contains("stream=1"));
+        let mut list = self.list.subscribe();
+        if !is_watch {
+            let text = self.list_json(ingress, &mut list);
             let head =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", text.len());
-            let _ = far.write_all((head + &text).as_bytes()).await;
+            let _ = stream.write_all((head + &text).as_bytes()).await;
             return;
         }
-        if far.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
+        if stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
             return;
         }
-        let mut told: Option<Vec<bool>> = None;
+        let mut sent: Option<Vec<bool>> = None;
         loop {
-            // What is held on its way has not been told.
-            let late = self.to_discovery[to].wait_open().await;
-            let drains = listed.borrow().drains.clone();
-            let line = self.list(to, &mut listed) + "\n";
-            let now = self.now() + late.as_millis() as i64;
-            if far.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await.is_err() {
+            // A list counts as received only when the proxy lets it through, so the proxy's delay is added.
+            let delay = self.discovery_proxies[ingress].wait_open().await;
+            let draining = list.borrow().draining.clone();
+            let line = self.list_json(ingress, &mut list) + "\n";
+            let now = self.now() + delay.as_millis() as i64;
+            if stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await.is_err() {
                 return;
             }
-            for (server, drains) in drains.iter().enumerate() {
-                let before = told.as_ref().map_or(!drains, |told| told[server]);
-                if before != *drains {
-                    self.record.borrow_mut().words.push(Word { at: now, to, server, drains: *drains });
+            for (backend, draining) in draining.iter().enumerate() {
+                let before = sent.as_ref().map_or(!draining, |sent| sent[backend]);
+                if before != *draining {
+                    let change = DrainChange { at: now, ingress, backend, draining: *draining };
+                    self.record.borrow_mut().drain_changes.push(change);
                 }
             }
-            told = Some(drains);
-            while timeout(BEAT, listed.changed()).await.is_err() {
-                if far.write_all(b"1\r\n\n\r\n").await.is_err() {
+            sent = Some(draining);
+            while timeout(KEEPALIVE_INTERVAL, list.changed()).await.is_err() {
+                if stream.write_all(b"1\r\n\n\r\n").await.is_err() {
                     return;
                 }
             }
         }
     }
 
-    fn list(&self, to: usize, listed: &mut watch::Receiver<Listed>) -> String {
-        let generation = listed.borrow_and_update().generation;
-        let entries = self.entries(to);
+    /// Returns the list for one ingress as discovery's JSON, and marks it as seen.
+    fn list_json(&self, ingress: usize, list: &mut watch::Receiver<PublishedList>) -> String {
+        let generation = list.borrow_and_update().generation;
+        let entries = self.list_entries(ingress);
         json!({"generation": generation, "reset": true, "instances": entries}).to_string()
     }
 
-    async fn counter(self, far: DuplexStream, by: usize) {
-        let mut far = BufReader::new(far);
+    /// Serves a connection of an ingress to the counter: `ping`, and `bump NAME AMOUNT LIFETIME`, which adds an amount and
+    /// answers with the new total.
+    async fn serve_counter(self, stream: DuplexStream, ingress: usize) {
+        let mut stream = BufReader::new(stream);
         let mut line = String::new();
-        while far.read_line(&mut line).await.is_ok_and(|n| n > 0) {
+        while stream.read_line(&mut line).await.is_ok_and(|n| n > 0) {
             let words: Vec<&str> = line.split_whitespace().collect();
             let answer = match words[..] {
                 ["ping"] => "pong\r\n".to_owned(),
                 ["bump", name, amount, _] => match amount.parse::<f64>() {
                     Ok(amount) => {
-                        let side = usize::from(self.split.borrow().contains(&by));
-                        let mut numbers = self.numbers.borrow_mut();
-                        let total = numbers[side].entry(name.to_owned()).or_default();
+                        let side = usize::from(self.split_ingresses.borrow().contains(&ingress));
+                        let mut totals = self.totals.borrow_mut();
+                        let total = totals[side].entry(name.to_owned()).or_default();
                         *total += amount;
-                        self.record.borrow_mut().calls += 1;
+                        self.record.borrow_mut().counter_calls += 1;
                         format!("ok {total}\r\n")
                     }
                     Err(_) => "error\r\n".to_owned(),
                 },
                 _ => "error\r\n".to_owned(),
             };
-            if far.get_mut().write_all(answer.as_bytes()).await.is_err() {
+            if stream.get_mut().write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
             line.clear();
