--- a/trials/src/check.rs
+++ b/trials/src/check.rs
@@ -1,7 +1,7 @@
 //! What must hold of a record: deaths that are none, views that do not become one, requests without an end, work sent
 //! after a drain's word or an operator's, ceilings passed.
 
-use crate::script::{Script, What};
+use crate::script::{FaultKind, Script};
 use crate::stand_ins::Record;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -86,16 +86,21 @@
 fn disturbed(script: &Script, n: usize, at: i64) -> bool {
     const SLACK: u64 = 6000;
     script.faults.iter().any(|fault| {
-        let touched = match &fault.what {
-            What::Kill(of) | What::Term(of) | What::Start(of) | What::Pause { of, .. } => of.contains(&n),
+        let touched = match &fault.kind {
+            FaultKind::Kill(of)
+            | FaultKind::Term(of)
+            | FaultKind::Start(of)
+            | FaultKind::Pause { ingresses: of, .. } => of.contains(&n),
             // One side of a one-sided cut is still heard by the others: nobody may die of it.
-            What::Cut { from, to, one_sided, .. } => !one_sided && (from.contains(&n) || to.contains(&n)),
-            What::Net { net, .. } => net.loss > 0.3,
+            FaultKind::Cut { from, to, one_sided, .. } => {
+                !one_sided && (from.contains(&n) || to.contains(&n))
+            }
+            FaultKind::Network { net, .. } => net.loss > 0.3,
             _ => false,
         };
-        let down = matches!(&fault.what, What::Kill(_) | What::Term(_));
+        let down = matches!(&fault.kind, FaultKind::Kill(_) | FaultKind::Term(_));
         let started = |later: &crate::script::Fault| {
-            later.at > fault.at && matches!(&later.what, What::Start(of) if of.contains(&n))
+            later.at > fault.at && matches!(&later.kind, FaultKind::Start(of) if of.contains(&n))
         };
         let until = match script.faults.iter().find(|later| down && started(later)) {
             Some(start) => start.at + SLACK,
@@ -137,7 +142,7 @@
         };
         for (of, run) in outcome.run.iter().enumerate().filter(|(of, _)| *of != n) {
             let state = view.get(&of).map_or("unknown", String::as_str);
-            if !script.together(n, of) {
+            if !script.same_fleet(n, of) {
                 if state != "unknown" {
                     broken.push(format!("the end: {n} sees {of} as {state}, which is of another fleet"));
                 }
@@ -185,21 +190,22 @@
         let until = back.map_or(i64::MAX, |back| back.at);
         for arrival in outcome.record.arrivals.iter().filter(|a| a.backend == yes.server) {
             let (span, by) = (arrival.at - yes.at, arrival.ingress);
-            if span < 0 || arrival.at >= until || !script.together(by, yes.by) {
+            if span < 0 || arrival.at >= until || !script.same_fleet(by, yes.by) {
                 continue;
             }
             if disturbed(script, by, arrival.at) || disturbed(script, by, yes.at) {
                 continue;
             }
             figures.ban = figures.ban.max(span);
-            let limit = if by == yes.by { GRACE } else { script.spoken as i64 };
+            let limit = if by == yes.by { GRACE } else { script.notice_time as i64 };
             if span > limit + SLACK {
                 broken.push(format!("{} ms: {by} sends to {}, out since {span} ms", arrival.at, yes.server));
                 break;
             }
         }
     }
-    let mut known = outcome.words.iter().enumerate().filter(|(n, _)| *n < script.own() && outcome.run[*n]);
+    let mut known =
+        outcome.words.iter().enumerate().filter(|(n, _)| *n < script.fleet_size() && outcome.run[*n]);
     let Some((first, Some(words))) = known.next() else { return };
     broken.extend(
         words
@@ -222,9 +228,9 @@
     let at: Vec<i64> = outcome.record.arrivals.iter().map(|arrival| arrival.at).collect();
     let within = |from: i64, to: i64| at.partition_point(|a| *a < to) - at.partition_point(|a| *a < from);
     for (i, fault) in script.faults.iter().enumerate() {
-        let What::Start(of) = &fault.what else { continue };
+        let FaultKind::Start(of) = &fault.kind else { continue };
         let killed =
-            |before: &&crate::script::Fault| matches!(&before.what, What::Kill(k) if k.contains(&of[0]));
+            |before: &&crate::script::Fault| matches!(&before.kind, FaultKind::Kill(k) if k.contains(&of[0]));
         let Some(kill) = script.faults[..i].iter().rev().find(killed) else { continue };
         let (kill, start) = (kill.at as i64, fault.at as i64);
         let usual = within(kill - 4000, kill) as f64 / 4.0;
@@ -279,7 +285,7 @@
         let cut = "[[faults]]\nat = 6000\ndo = { cut = { from = [0], to = [1], one_sided = true, lasting = 100 } }\n";
         let plan = "plan = { ceiling = 10.0, ceiling_burst = 5.0, units = 2 }\n";
         let base = format!("ingresses = 4\nstrangers = 1\nservers = 2\nlength = 30000\n{plan}");
-        Script::read(&format!("{base}{kill}{cut}")).unwrap()
+        Script::parse(&format!("{base}{kill}{cut}")).unwrap()
     }
 
     fn arrival(at: i64, by: usize, server: usize, of: usize) -> Arrival {
--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -74,7 +74,7 @@
     for (i, path) in scripts.into_iter().enumerate() {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{name}: {e}"))?;
-        let script = Script::read(&text).map_err(|e| format!("{name}: {e}"))?;
+        let script = Script::parse(&text).map_err(|e| format!("{name}: {e}"))?;
         println!("{} of {count}, {name}: {} ingresses, {} ms", i + 1, script.ingresses, script.length);
         let mut rig = Rig::start(&program, &script).await?;
         let outcome = rig.play(&script, |step| println!("  {step}")).await?;
@@ -122,7 +122,7 @@
 }
 
 async fn fleet(program: PathBuf, ingresses: usize, servers: usize) -> Result<bool, String> {
-    let script = Script::read(&format!("ingresses = {ingresses}\nservers = {servers}\nlength = 1"))?;
+    let script = Script::parse(&format!("ingresses = {ingresses}\nservers = {servers}\nlength = 1"))?;
     let rig = Rig::start(&program, &script).await?;
     rig.joined().await?;
     println!("{ingresses} ingresses before {servers} stand-in real servers; Ctrl-C ends them. Try:\n");
--- a/trials/src/relay.rs
+++ b/trials/src/relay.rs
@@ -2,7 +2,7 @@
 //! datagram that arrives at such a socket is forwarded from the socket of its sender, so that the relay can drop, delay,
 //! duplicate or cut off datagrams by direction.
 
-use crate::script::Net;
+use crate::script::LinkConditions;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct Network {
     /// The loss, delay and duplication between every two ingresses.
-    pub conditions: Net,
+    pub conditions: LinkConditions,
     /// The number of active cuts by direction (from, to).
     cuts: HashMap<(usize, usize), usize>,
     rng: fastrand::Rng,
@@ -30,7 +30,7 @@
     /// Creates a network without cuts, loss, delay or duplication. `seed` seeds its random choices.
     pub fn new(seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
-        Self { conditions: Net::default(), cuts: HashMap::new(), rng, received: 0, forwarded: 0 }
+        Self { conditions: LinkConditions::default(), cuts: HashMap::new(), rng, received: 0, forwarded: 0 }
     }
 
     /// Adds a cut of one direction, or removes one. Datagrams pass again once every cut of the direction is removed.
@@ -44,9 +44,9 @@
         self.received += 1;
         let lost = self.cuts.get(&(from, to)).is_some_and(|count| *count > 0)
             || self.rng.f64() < self.conditions.loss;
-        let copies = if lost { 0 } else { 1 + usize::from(self.rng.f64() < self.conditions.twice) };
+        let copies = if lost { 0 } else { 1 + usize::from(self.rng.f64() < self.conditions.duplication) };
         self.forwarded += copies as u64;
-        (0..copies).map(|_| Duration::from_millis(self.rng.u64(0..=self.conditions.delay))).collect()
+        (0..copies).map(|_| Duration::from_millis(self.rng.u64(0..=self.conditions.max_delay))).collect()
     }
 }
 
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -5,7 +5,7 @@
 use crate::check::{Outcome, Seen, Yes};
 use crate::fault_proxy::{FaultProxy, Impairment};
 use crate::relay::{Network, Relay};
-use crate::script::{How, Net, Script, Talk, What};
+use crate::script::{ConnectionFault, FaultKind, LinkConditions, QuotaSharing, Script};
 use crate::stand_ins::StandIns;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -161,9 +161,9 @@
         "balancers": script.ingresses, "myNumber": n, "zone": 0, "zones": ["a"], "flavors": ["m"],
         "membershipMode": "pushed",
         "limits": {"maxAttempts": 3, "cancelling": true, "retryAfter": true, "maxRetryAfter": 1000.0,
-            "mayTell": script.talk == Talk::Peers},
+            "mayTell": script.quota_sharing == QuotaSharing::Peers},
         "familyInfo": {"largest": f64::from(plan.units).max(6.0), "mailPerS": 60.0, "counterTimeout": 50.0,
-            "hasCounter": script.talk == Talk::Counter},
+            "hasCounter": script.quota_sharing == QuotaSharing::Counter},
         "rules": {"coldFrom": 0.25, "cold": 18000.0, "fallMultiple": 2.0, "overloadFor": 3000.0},
         "classes": [class("board-state", 1500.0, "read_like"), class("move-submit", 3000.0, "idempotency_key")],
         "tariffs": [{"name": PLAN, "perSecond": plan.rate, "storeSize": plan.burst, "atOnce": 0,
@@ -188,7 +188,7 @@
         let network = Rc::new(RefCell::new(Network::new(script.seed)));
         let relay = Relay::start(real.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
         let post = Relay::start(mail.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
-        let stand_ins = StandIns::start(count, script.servers, script.work).await;
+        let stand_ins = StandIns::start(count, script.backends, script.service_time).await;
         let stand_ins = stand_ins.map_err(|e| said("the stand-ins", e))?;
         let folder =
             std::env::temp_dir().join(format!("weldhub-trial-{}-{}", std::process::id(), clients[0].port()));
@@ -196,7 +196,7 @@
         let told = (0..count)
             .map(|n| {
                 let seeds = [0, (n + 1) % count].map(|i| relay.advertised[i].to_string());
-                let fleet = if n < script.own() { "trial" } else { "stranger" };
+                let fleet = if n < script.fleet_size() { "trial" } else { "stranger" };
                 let addresses = stand_ins.addresses(n);
                 let mut told = json!({
                     "name": format!("n{n}"), "listen": clients[n].to_string(), "management": doors[n].to_string(),
@@ -212,10 +212,10 @@
                 if !script.membership {
                     told.as_object_mut().and_then(|told| told.remove("cluster"));
                 }
-                match script.talk {
-                    Talk::None => {}
-                    Talk::Counter => told["counter"] = json!(addresses.counter.to_string()),
-                    Talk::Peers => {
+                match script.quota_sharing {
+                    QuotaSharing::None => {}
+                    QuotaSharing::Counter => told["counter"] = json!(addresses.counter.to_string()),
+                    QuotaSharing::Peers => {
                         let peers: Vec<String> = post.advertised.iter().map(SocketAddr::to_string).collect();
                         (told["peer_listen"], told["peers"]) = (json!(mail[n].to_string()), json!(peers));
                     }
@@ -236,7 +236,7 @@
             relay,
             stand_ins,
             home,
-            strangers: script.strangers,
+            strangers: script.foreign_ingresses,
             yes: Vec::new(),
         };
         for n in 0..count {
@@ -324,7 +324,7 @@
         let (length, count) = (Duration::from_millis(script.length), self.clients.len());
         let looks: Vec<_> =
             (0..count).map(|n| spawn_local(look(n, self.doors.clone(), start, length))).collect();
-        let (work, own) = (work(script), script.own());
+        let (work, own) = (work(script), script.fleet_size());
         let arrivals = work.as_ref().map(Work::arrivals).unwrap_or_default();
         let load = work.map(|work| {
             let at: Vec<String> = self.clients[..own].iter().map(SocketAddr::to_string).collect();
@@ -332,9 +332,9 @@
         });
         let mut todo: Vec<(u64, Turn)> = Vec::new();
         for fault in &script.faults {
-            todo.push((fault.at, Turn::Begin(fault.what.clone())));
+            todo.push((fault.at, Turn::Begin(fault.kind.clone())));
             if fault.end() > fault.at {
-                todo.push((fault.end(), Turn::End(fault.what.clone())));
+                todo.push((fault.end(), Turn::End(fault.kind.clone())));
             }
         }
         todo.sort_by_key(|(at, _)| *at);
@@ -370,12 +370,12 @@
         Ok(outcome)
     }
 
-    async fn step(&mut self, step: &Turn, run: &mut [bool], usual: Net) -> Result<(), String> {
+    async fn step(&mut self, step: &Turn, run: &mut [bool], usual: LinkConditions) -> Result<(), String> {
         let wrong = |e: io::Error| e.to_string();
         let on = matches!(step, Turn::Begin(_));
         let (Turn::Begin(what) | Turn::End(what)) = step;
         match what {
-            What::Kill(of) if on => {
+            FaultKind::Kill(of) if on => {
                 for n in of {
                     run[*n] = false;
                     if let Some(mut child) = self.processes[*n].child.take() {
@@ -383,13 +383,13 @@
                     }
                 }
             }
-            What::Term(of) if on => {
+            FaultKind::Term(of) if on => {
                 for n in of {
                     run[*n] = false;
                     self.processes[*n].signal(Signal::TERM).map_err(wrong)?;
                 }
             }
-            What::Start(of) if on => {
+            FaultKind::Start(of) if on => {
                 for n in of {
                     if let Some(child) = self.processes[*n].child.take() {
                         end(child).await.map_err(wrong)?;
@@ -398,7 +398,7 @@
                     run[*n] = true;
                 }
             }
-            What::Upgrade(of) if on => {
+            FaultKind::Upgrade(of) if on => {
                 for n in of {
                     let door = free(self.home, 1).map_err(wrong)?[0];
                     self.told[*n]["management"] = json!(door.to_string());
@@ -411,31 +411,43 @@
                     }
                 }
             }
-            What::Pause { of, .. } => {
+            FaultKind::Pause { ingresses: of, .. } => {
                 let signal = if on { Signal::STOP } else { Signal::CONT };
                 of.iter().try_for_each(|n| self.processes[*n].signal(signal)).map_err(wrong)?;
             }
-            What::Cut { from, to, one_sided, .. } => self.cut(from, to, *one_sided, on),
-            What::Net { net, .. } => self.network.borrow_mut().conditions = if on { *net } else { usual },
-            What::ClockAhead { of, by } if on => self.forge(*of, *by).await,
-            What::Discovery { of, is, .. } => gates(&self.stand_ins.discovery_proxies, of, *is, on),
-            What::Counter { of, is, .. } => gates(&self.stand_ins.counter_proxies, of, *is, on),
-            What::Servers { servers, of, is, .. } => {
-                servers.iter().for_each(|s| gates(&self.stand_ins.backend_proxies[*s], of, *is, on));
+            FaultKind::Cut { from, to, one_sided, .. } => self.cut(from, to, *one_sided, on),
+            FaultKind::Network { net, .. } => {
+                self.network.borrow_mut().conditions = if on { *net } else { usual }
             }
-            What::Empty { .. } => self.stand_ins.set_list_empty(on),
-            What::Forget if on => self.stand_ins.reset_counter(),
-            What::Split { of, .. } => self.stand_ins.split_counter(if on { of } else { &[] }),
-            What::Drain { servers, .. } => servers.iter().for_each(|s| self.stand_ins.set_draining(*s, on)),
-            What::Ban { server, by, back_by, .. } => {
+            FaultKind::ClockAhead { ingress, by } if on => self.forge(*ingress, *by).await,
+            FaultKind::Discovery { ingresses, fault, .. } => {
+                gates(&self.stand_ins.discovery_proxies, ingresses, *fault, on)
+            }
+            FaultKind::Counter { ingresses, fault, .. } => {
+                gates(&self.stand_ins.counter_proxies, ingresses, *fault, on)
+            }
+            FaultKind::Backends { backends, ingresses, fault, .. } => {
+                backends
+                    .iter()
+                    .for_each(|s| gates(&self.stand_ins.backend_proxies[*s], ingresses, *fault, on));
+            }
+            FaultKind::EmptyList { .. } => self.stand_ins.set_list_empty(on),
+            FaultKind::ResetCounter if on => self.stand_ins.reset_counter(),
+            FaultKind::SplitCounter { ingresses, .. } => {
+                self.stand_ins.split_counter(if on { ingresses } else { &[] })
+            }
+            FaultKind::DrainBackends { backends, .. } => {
+                backends.iter().for_each(|s| self.stand_ins.set_draining(*s, on))
+            }
+            FaultKind::DisableBackend { backend, by, back_by, .. } => {
                 let word = if on { "disable-server" } else { "enable-server" };
                 let door = if on { *by } else { *back_by };
-                self.operate(door, &format!("{word} s{server}"), Some((*server, on))).await?;
+                self.operate(door, &format!("{word} s{backend}"), Some((*backend, on))).await?;
             }
-            What::SendAway { of, by, back_by, .. } => {
+            FaultKind::DrainIngress { ingress, by, back_by, .. } => {
                 let word = if on { "drain" } else { "resume" };
                 let door = if on { *by } else { *back_by };
-                self.operate(door, &format!("{word} n{of}"), None).await?;
+                self.operate(door, &format!("{word} n{ingress}"), None).await?;
             }
             _ => {}
         }
@@ -485,11 +497,11 @@
     }
 }
 
-fn gates(all: &[FaultProxy], of: &[usize], is: How, on: bool) {
-    let line = match is {
-        How::Silent => Impairment { silent: true, ..Impairment::default() },
-        How::Refused => Impairment { refused: true, ..Impairment::default() },
-        How::Slow => Impairment { delay_ms: SLOW, ..Impairment::default() },
+fn gates(all: &[FaultProxy], of: &[usize], fault: ConnectionFault, on: bool) {
+    let line = match fault {
+        ConnectionFault::Silent => Impairment { silent: true, ..Impairment::default() },
+        ConnectionFault::Refused => Impairment { refused: true, ..Impairment::default() },
+        ConnectionFault::Slow => Impairment { delay_ms: SLOW, ..Impairment::default() },
     };
     of.iter().for_each(|n| all[*n].set_fault(line, on));
 }
@@ -506,7 +518,7 @@
 
 /// What is asked in a trial; none where nothing is.
 fn work(script: &Script) -> Option<Work> {
-    let own = script.own();
+    let own = script.fleet_size();
     (script.rate > 0.0).then(|| Work {
         seed: script.seed,
         steps: vec![Step { seconds: script.length as f64 / 1000.0 - 2.0, rate: script.rate }],
@@ -521,8 +533,8 @@
 /// A step of a script: a fault begins, or ends.
 #[derive(Debug)]
 enum Turn {
-    Begin(What),
-    End(What),
+    Begin(FaultKind),
+    End(FaultKind),
 }
 
 /// Reads a door again and again; tells each change, and the last view.
--- a/trials/src/script.rs
+++ b/trials/src/script.rs
@@ -1,108 +1,111 @@
-//! What a trial does, as TOML. Times are in milliseconds from the moment when all ingresses are ready.
+//! The script of a trial, as TOML. Times are in milliseconds from the moment when all ingresses are ready.
 
 use serde::{Deserialize, Serialize};
 
 /// The most ingresses of a trial.
-pub const MOST: usize = 64;
+pub const MAX_INGRESSES: usize = 64;
 
-/// A trial.
+/// The script of a trial.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// For chance in the relay.
-    #[serde(default = "one")]
+    /// The seed of the load and of the relay's random choices.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How many ingresses there are.
+    /// The number of ingresses, foreign ones included.
     pub ingresses: usize,
-    /// The last so many of them are another fleet's, with the same ones to join by; clients ask them nothing.
-    #[serde(default)]
-    pub strangers: usize,
-    /// Whether ingresses tell each other who lives; off for comparison.
-    #[serde(default = "yes")]
+    /// How many of the ingresses, the last ones, belong to another fleet but use the same seeds to join. Clients send them
+    /// no requests.
+    #[serde(default, rename = "strangers")]
+    pub foreign_ingresses: usize,
+    /// Whether ingresses run the membership protocol; without it, a trial serves as a baseline.
+    #[serde(default = "default_membership")]
     pub membership: bool,
-    /// How many stand-in real servers.
-    pub servers: usize,
-    /// Each ingress goes by about so many of them; all where it is not set.
+    /// The number of stand-in backends.
+    #[serde(rename = "servers")]
+    pub backends: usize,
+    /// The size of the subset of backends that each ingress uses; `None` if each uses all.
     #[serde(default)]
     pub subset: Option<usize>,
-    /// What a stand-in takes for an answer, in milliseconds.
-    #[serde(default = "work")]
-    pub work: u64,
-    /// How long the trial takes.
+    /// How long a stand-in backend takes to answer, in milliseconds.
+    #[serde(default = "default_service_time", rename = "work")]
+    pub service_time: u64,
+    /// The length of the trial, in milliseconds.
     pub length: u64,
-    /// Requests a second, through all ingresses together; none: 0.
+    /// The load in requests a second over all ingresses; 0 for none.
     #[serde(default)]
     pub rate: f64,
-    /// Who asks, and within which limits.
+    /// The customers of the load, and the limits of their plan.
     #[serde(default)]
     pub plan: Plan,
-    /// How ingresses learn what the others have granted.
-    #[serde(default)]
-    pub talk: Talk,
-    /// What holds between every two ingresses, throughout.
+    /// How ingresses share customers' quotas.
+    #[serde(default, rename = "talk")]
+    pub quota_sharing: QuotaSharing,
+    /// The conditions between every two ingresses while no `Network` fault is active.
     #[serde(default)]
-    pub net: Net,
-    /// What happens.
+    pub net: LinkConditions,
+    /// The faults; sorted by their start once parsed.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// After the last fault has ended, so long until all must have one view.
-    #[serde(default = "settle")]
+    /// The time from the end of the last fault until all views must agree, in milliseconds.
+    #[serde(default = "default_settle")]
     pub settle: u64,
-    /// All must go by an operator's word within this of its yes.
-    #[serde(default = "spoken")]
-    pub spoken: u64,
+    /// The time within which every ingress must apply an operator's notice once the command is answered, in
+    /// milliseconds.
+    #[serde(default = "default_notice_time", rename = "spoken")]
+    pub notice_time: u64,
 }
 
-fn yes() -> bool {
+fn default_membership() -> bool {
     true
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn work() -> u64 {
+fn default_service_time() -> u64 {
     10
 }
 
-fn settle() -> u64 {
+fn default_settle() -> u64 {
     15_000
 }
 
-fn spoken() -> u64 {
+fn default_notice_time() -> u64 {
     5000
 }
 
-/// How ingresses learn what the others have granted.
+/// How ingresses share customers' quotas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Talk {
-    /// Not at all: even slices.
+pub enum QuotaSharing {
+    /// Not at all: each ingress grants an equal slice.
     #[default]
     None,
-    /// By messages to each other, over the relay.
+    /// By peer messages, over a relay.
     Peers,
-    /// By the counter.
+    /// By the shared counter.
     Counter,
 }
 
-/// Who asks, and within which limits.
+/// The customers of the load, and the limits of their plan.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
-    /// How many customers ask, one as often as another.
+    /// The number of customers, each of which sends the same share of the requests.
     pub customers: u64,
-    /// Over how many ingresses each is spread; 0: all.
+    /// The number of ingresses over which each customer's requests are spread; 0 for all.
     pub spread: usize,
-    /// A request's units: one to so many.
+    /// The most units of a request; each has from 1 to this many.
     pub units: u32,
-    /// Units a second of each customer's quota.
+    /// The quota of each customer, in units a second.
     pub rate: f64,
-    /// How many of them may be used at once.
+    /// The burst of each customer's quota, in units.
     pub burst: f64,
-    /// Units a second of the hard ceiling; none: 0.
+    /// The hard ceiling of each customer, in units a second; 0 for none.
     pub ceiling: f64,
-    /// How many of these at once.
+    /// The burst of the ceiling, in units.
     pub ceiling_burst: f64,
 }
 
@@ -113,267 +116,316 @@
     }
 }
 
-/// What becomes of datagrams on their way.
+/// What the relays do to datagrams between ingresses.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Net {
-    /// The part that is lost.
+pub struct LinkConditions {
+    /// The fraction of datagrams that are lost.
     #[serde(default)]
     pub loss: f64,
-    /// Each is held for a time up to this; so they overtake each other.
-    #[serde(default)]
-    pub delay: u64,
-    /// The part that comes twice.
-    #[serde(default)]
-    pub twice: f64,
+    /// The longest delay of a datagram, in milliseconds. Each is delayed by a random time up to this, so datagrams may
+    /// overtake each other.
+    #[serde(default, rename = "delay")]
+    pub max_delay: u64,
+    /// The fraction of datagrams that are duplicated.
+    #[serde(default, rename = "twice")]
+    pub duplication: f64,
 }
 
-/// Something that happens.
+/// A fault of a trial, and its start.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When.
+    /// When it starts, in milliseconds.
     pub at: u64,
-    /// What.
+    /// What happens.
     #[serde(rename = "do")]
-    pub what: What,
+    pub kind: FaultKind,
 }
 
-/// What becomes of connections to a stand-in.
+/// A fault on connections to a stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
-    /// Nothing passes.
+pub enum ConnectionFault {
+    /// No bytes pass.
     Silent,
-    /// They are reset.
+    /// Open and new connections are closed.
     Refused,
-    /// Whatever passes is half a second late each way.
+    /// Bytes arrive half a second later, each way.
     Slow,
 }
 
-/// What can happen.
+/// What happens in a fault. Ingresses and backends are given by their numbers, from 0.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
-    /// SIGKILL to these.
+pub enum FaultKind {
+    /// Sends SIGKILL to these ingresses.
     Kill(Vec<usize>),
-    /// SIGTERM to these.
+    /// Sends SIGTERM to these ingresses.
     Term(Vec<usize>),
-    /// These are started again, in this order.
+    /// Starts these ingresses again, in this order.
     Start(Vec<usize>),
-    /// SIGSTOP to these, and SIGCONT after so long.
+    /// Sends SIGSTOP to these ingresses, and SIGCONT at the end.
     Pause {
-        /// Whom.
-        of: Vec<usize>,
-        /// For how long.
-        lasting: u64,
+        /// The ingresses.
+        #[serde(rename = "of")]
+        ingresses: Vec<usize>,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// No datagram passes from the first to the second ones, and none back unless it is one-sided.
+    /// Drops all datagrams from the first to the second group of ingresses, and back unless the cut is one-sided.
     Cut {
-        /// From these.
+        /// The first group of ingresses.
         from: Vec<usize>,
-        /// To these.
+        /// The second group of ingresses.
         to: Vec<usize>,
-        /// Only that way.
+        /// Whether datagrams from the second group to the first still pass.
         #[serde(default)]
         one_sided: bool,
-        /// For how long.
-        lasting: u64,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// What holds between every two, for so long.
-    Net {
-        /// What.
-        net: Net,
-        /// For how long.
-        lasting: u64,
+    /// Replaces the conditions between every two ingresses.
+    #[serde(rename = "net")]
+    Network {
+        /// The conditions.
+        net: LinkConditions,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// A new process of each takes over from the old one, one after the other.
+    /// Upgrades these ingresses one after the other: a new process takes over from the old one.
     Upgrade(Vec<usize>),
-    /// A process of this ingress ran before with its clock so far ahead, and all have heard of it.
+    /// Announces to all others an earlier process of this ingress whose clock was ahead.
     ClockAhead {
-        /// Whose.
-        of: usize,
-        /// By so much.
+        /// The ingress.
+        #[serde(rename = "of")]
+        ingress: usize,
+        /// How far the clock was ahead, in milliseconds.
         by: u64,
     },
-    /// Discovery is so for these ingresses.
+    /// Impairs these ingresses' connections to discovery.
     Discovery {
-        /// Whose.
-        of: Vec<usize>,
-        /// How.
-        is: How,
-        /// For how long.
-        lasting: u64,
+        /// The ingresses.
+        #[serde(rename = "of")]
+        ingresses: Vec<usize>,
+        /// The fault on the connections.
+        #[serde(rename = "is")]
+        fault: ConnectionFault,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// Discovery tells all an empty list.
-    Empty {
-        /// For how long.
-        lasting: u64,
+    /// Makes discovery publish an empty list to all ingresses.
+    #[serde(rename = "empty")]
+    EmptyList {
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// The counter is so for these ingresses.
+    /// Impairs these ingresses' connections to the counter.
     Counter {
-        /// Whose.
-        of: Vec<usize>,
-        /// How.
-        is: How,
-        /// For how long.
-        lasting: u64,
+        /// The ingresses.
+        #[serde(rename = "of")]
+        ingresses: Vec<usize>,
+        /// The fault on the connections.
+        #[serde(rename = "is")]
+        fault: ConnectionFault,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// The counter forgets all.
-    Forget,
-    /// These ingresses reach another counter, which begins empty.
-    Split {
-        /// Whose.
-        of: Vec<usize>,
-        /// For how long.
-        lasting: u64,
+    /// Clears all totals of the counter.
+    #[serde(rename = "forget")]
+    ResetCounter,
+    /// Sends the calls of these ingresses to a second counter, which starts empty.
+    #[serde(rename = "split")]
+    SplitCounter {
+        /// The ingresses.
+        #[serde(rename = "of")]
+        ingresses: Vec<usize>,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// The ways of these ingresses to these real servers are so.
-    Servers {
-        /// Which real servers.
-        servers: Vec<usize>,
-        /// Whose ways.
-        of: Vec<usize>,
-        /// How.
-        is: How,
-        /// For how long.
-        lasting: u64,
+    /// Impairs these ingresses' connections to these backends.
+    #[serde(rename = "servers")]
+    Backends {
+        /// The backends.
+        #[serde(rename = "servers")]
+        backends: Vec<usize>,
+        /// The ingresses.
+        #[serde(rename = "of")]
+        ingresses: Vec<usize>,
+        /// The fault on the connections.
+        #[serde(rename = "is")]
+        fault: ConnectionFault,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// Discovery says that these real servers drain, for so long.
-    Drain {
-        /// Which.
-        servers: Vec<usize>,
-        /// For how long.
-        lasting: u64,
+    /// Makes discovery list these backends as draining.
+    #[serde(rename = "drain")]
+    DrainBackends {
+        /// The backends.
+        #[serde(rename = "servers")]
+        backends: Vec<usize>,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// An operator takes a real server out at one door, and puts it back at another.
-    Ban {
-        /// Which.
-        server: usize,
-        /// At whose door.
+    /// Disables a backend at the admin interface of one ingress, and enables it again at that of another.
+    #[serde(rename = "ban")]
+    DisableBackend {
+        /// The backend.
+        #[serde(rename = "server")]
+        backend: usize,
+        /// The ingress at which it is disabled.
         by: usize,
-        /// At whose door it is put back.
+        /// The ingress at which it is enabled again.
         back_by: usize,
-        /// For how long.
-        lasting: u64,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
-    /// An operator drains an ingress at one door, and ends that at another.
-    SendAway {
-        /// Which.
-        of: usize,
-        /// At whose door.
+    /// Drains an ingress at the admin interface of one ingress, and resumes it at that of another.
+    #[serde(rename = "send_away")]
+    DrainIngress {
+        /// The ingress that is drained.
+        #[serde(rename = "of")]
+        ingress: usize,
+        /// The ingress at which the command is given.
         by: usize,
-        /// At whose door it is ended.
+        /// The ingress at which the drain is ended.
         back_by: usize,
-        /// For how long.
-        lasting: u64,
+        /// How long, in milliseconds.
+        #[serde(rename = "lasting")]
+        duration: u64,
     },
 }
 
 impl Fault {
-    /// When it is over.
+    /// Returns when the fault ends, in milliseconds; its start if it has no duration.
     pub fn end(&self) -> u64 {
         self.at
-            + match &self.what {
-                What::Pause { lasting, .. }
-                | What::Cut { lasting, .. }
-                | What::Net { lasting, .. }
-                | What::Discovery { lasting, .. }
-                | What::Empty { lasting }
-                | What::Counter { lasting, .. }
-                | What::Split { lasting, .. }
-                | What::Servers { lasting, .. }
-                | What::Drain { lasting, .. }
-                | What::Ban { lasting, .. }
-                | What::SendAway { lasting, .. } => *lasting,
+            + match &self.kind {
+                FaultKind::Pause { duration, .. }
+                | FaultKind::Cut { duration, .. }
+                | FaultKind::Network { duration, .. }
+                | FaultKind::Discovery { duration, .. }
+                | FaultKind::EmptyList { duration }
+                | FaultKind::Counter { duration, .. }
+                | FaultKind::SplitCounter { duration, .. }
+                | FaultKind::Backends { duration, .. }
+                | FaultKind::DrainBackends { duration, .. }
+                | FaultKind::DisableBackend { duration, .. }
+                | FaultKind::DrainIngress { duration, .. } => *duration,
                 _ => 0,
             }
     }
 
-    /// The ingresses that it names.
-    pub fn whom(&self) -> Vec<usize> {
-        match &self.what {
-            What::Kill(of) | What::Term(of) | What::Start(of) | What::Upgrade(of) => of.clone(),
-            What::Pause { of, .. }
-            | What::Discovery { of, .. }
-            | What::Counter { of, .. }
-            | What::Split { of, .. }
-            | What::Servers { of, .. } => of.clone(),
-            What::Cut { from, to, .. } => from.iter().chain(to).copied().collect(),
-            What::ClockAhead { of, .. } => vec![*of],
-            What::Ban { by, back_by, .. } => vec![*by, *back_by],
-            What::SendAway { of, by, back_by, .. } => vec![*of, *by, *back_by],
-            What::Net { .. } | What::Empty { .. } | What::Forget | What::Drain { .. } => Vec::new(),
+    /// Returns the ingresses that the fault names; empty if it names none.
+    pub fn ingresses(&self) -> Vec<usize> {
+        match &self.kind {
+            FaultKind::Kill(ingresses)
+            | FaultKind::Term(ingresses)
+            | FaultKind::Start(ingresses)
+            | FaultKind::Upgrade(ingresses) => ingresses.clone(),
+            FaultKind::Pause { ingresses, .. }
+            | FaultKind::Discovery { ingresses, .. }
+            | FaultKind::Counter { ingresses, .. }
+            | FaultKind::SplitCounter { ingresses, .. }
+            | FaultKind::Backends { ingresses, .. } => ingresses.clone(),
+            FaultKind::Cut { from, to, .. } => from.iter().chain(to).copied().collect(),
+            FaultKind::ClockAhead { ingress, .. } => vec![*ingress],
+            FaultKind::DisableBackend { by, back_by, .. } => vec![*by, *back_by],
+            FaultKind::DrainIngress { ingress, by, back_by, .. } => vec![*ingress, *by, *back_by],
+            FaultKind::Network { .. }
+            | FaultKind::EmptyList { .. }
+            | FaultKind::ResetCounter
+            | FaultKind::DrainBackends { .. } => Vec::new(),
         }
     }
 
-    fn servers(&self) -> Vec<usize> {
-        match &self.what {
-            What::Servers { servers, .. } | What::Drain { servers, .. } => servers.clone(),
-            What::Ban { server, .. } => vec![*server],
+    /// Returns the backends that the fault names; empty if it names none.
+    fn backends(&self) -> Vec<usize> {
+        match &self.kind {
+            FaultKind::Backends { backends, .. } | FaultKind::DrainBackends { backends, .. } => {
+                backends.clone()
+            }
+            FaultKind::DisableBackend { backend, .. } => vec![*backend],
             _ => Vec::new(),
         }
     }
 }
 
 impl Script {
-    /// Reads and checks one.
+    /// Parses and validates a script.
     ///
     /// # Errors
-    /// One line that names the key at fault.
-    pub fn read(text: &str) -> Result<Self, String> {
-        let mut this: Self = toml::from_str(text).map_err(|e| e.to_string())?;
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        let good = |net: &Net| part(net.loss) && part(net.twice) && net.delay <= 10_000;
-        if !(1..=MOST).contains(&this.ingresses) {
-            return Err(format!("ingresses={} is not within 1 and {MOST}", this.ingresses));
+    /// A message that names the key at fault.
+    pub fn parse(text: &str) -> Result<Self, String> {
+        let mut script: Self = toml::from_str(text).map_err(|e| e.to_string())?;
+        let is_fraction = |x: f64| (0.0..=1.0).contains(&x);
+        let is_valid = |net: &LinkConditions| {
+            is_fraction(net.loss) && is_fraction(net.duplication) && net.max_delay <= 10_000
+        };
+        if !(1..=MAX_INGRESSES).contains(&script.ingresses) {
+            return Err(format!("ingresses={} is not from 1 to {MAX_INGRESSES}", script.ingresses));
         }
-        if this.strangers >= this.ingresses {
-            return Err(format!("strangers={} leaves no ingress", this.strangers));
+        if script.foreign_ingresses >= script.ingresses {
+            return Err(format!(
+                "strangers={} must be less than ingresses={}",
+                script.foreign_ingresses, script.ingresses
+            ));
         }
-        if this.servers == 0 || this.servers > 32 {
-            return Err(format!("servers={} is not within 1 and 32", this.servers));
+        if script.backends == 0 || script.backends > 32 {
+            return Err(format!("servers={} is not from 1 to 32", script.backends));
         }
-        if this.length > 3_600_000 {
-            return Err(format!("length={} is more than an hour", this.length));
+        if script.length > 3_600_000 {
+            return Err(format!("length={} is more than an hour", script.length));
         }
-        if !(0.0..=5000.0).contains(&this.rate) {
-            return Err(format!("rate={} is not within 0 and 5000", this.rate));
+        if !(0.0..=5000.0).contains(&script.rate) {
+            return Err(format!("rate={} is not from 0 to 5000", script.rate));
         }
-        let figures = [this.plan.rate, this.plan.burst, this.plan.ceiling, this.plan.ceiling_burst];
-        if this.plan.customers == 0 || this.plan.units == 0 || figures.iter().any(|x| !(0.0..1e9).contains(x))
-        {
-            return Err("plan: customers and units begin at 1, and no figure is below 0".into());
+        let plan = &script.plan;
+        let limits = [plan.rate, plan.burst, plan.ceiling, plan.ceiling_burst];
+        if plan.customers == 0 || plan.units == 0 || limits.iter().any(|x| !(0.0..1e9).contains(x)) {
+            return Err("plan: customers and units must be at least 1, all limits from 0 to below 1e9".into());
         }
-        if !good(&this.net) {
-            return Err("net: loss and twice are parts of 1, delay at most 10000".into());
+        if !is_valid(&script.net) {
+            return Err("net: loss and twice must be from 0 to 1, delay at most 10000".into());
         }
-        for (i, fault) in this.faults.iter().enumerate() {
-            if let Some(n) = fault.whom().into_iter().find(|n| *n >= this.ingresses) {
-                return Err(format!("faults.{i}: there is no ingress {n}"));
+        for (i, fault) in script.faults.iter().enumerate() {
+            if let Some(n) = fault.ingresses().into_iter().find(|n| *n >= script.ingresses) {
+                return Err(format!("faults.{i}: ingress {n} does not exist"));
             }
-            if let Some(n) = fault.servers().into_iter().find(|n| *n >= this.servers) {
-                return Err(format!("faults.{i}: there is no real server {n}"));
+            if let Some(n) = fault.backends().into_iter().find(|n| *n >= script.backends) {
+                return Err(format!("faults.{i}: backend {n} does not exist"));
             }
-            if fault.end() + this.settle > this.length {
-                return Err(format!("faults.{i}: it ends less than settle={} before length", this.settle));
+            if fault.end() + script.settle > script.length {
+                return Err(format!("faults.{i}: it ends less than settle={} before length", script.settle));
             }
-            if matches!(&fault.what, What::Net { net, .. } if !good(net)) {
-                return Err(format!("faults.{i}.do.net: loss and twice are parts of 1, delay at most 10000"));
+            if matches!(&fault.kind, FaultKind::Network { net, .. } if !is_valid(net)) {
+                return Err(format!(
+                    "faults.{i}.do.net: loss and twice must be from 0 to 1, delay at most 10000"
+                ));
             }
         }
-        this.faults.sort_by_key(|fault| fault.at);
-        Ok(this)
+        script.faults.sort_by_key(|fault| fault.at);
+        Ok(script)
     }
 
-    /// Those of the fleet that clients ask.
-    pub fn own(&self) -> usize {
-        self.ingresses - self.strangers
+    /// Returns the number of ingresses of the fleet that clients send requests to, which are the first ones.
+    pub fn fleet_size(&self) -> usize {
+        self.ingresses - self.foreign_ingresses
     }
 
-    /// Whether two ingresses are of one fleet.
-    pub fn together(&self, a: usize, b: usize) -> bool {
-        (a < self.own()) == (b < self.own())
+    /// Returns whether two ingresses belong to the same fleet.
+    pub fn same_fleet(&self, a: usize, b: usize) -> bool {
+        (a < self.fleet_size()) == (b < self.fleet_size())
     }
 }
 
@@ -382,9 +434,9 @@
     use super::*;
 
     #[test]
-    fn a_script_is_read_and_what_is_wrong_names_its_key() {
+    fn parses_a_script_and_names_the_key_of_an_error() {
         let base = "ingresses = 3\nservers = 2\nlength = 30000\n";
-        let fault = |text: &str| Script::read(&format!("{base}[[faults]]\nat = 1000\ndo = {text}\n"));
+        let fault = |text: &str| Script::parse(&format!("{base}[[faults]]\nat = 1000\ndo = {text}\n"));
         assert!(fault("{ kill = [2] }").is_ok());
         assert!(fault("{ cut = { from = [0], to = [1, 2], lasting = 3000 } }").is_ok());
         assert!(fault("{ counter = { of = [0], is = \"silent\", lasting = 3000 } }").is_ok());
@@ -395,11 +447,11 @@
             ("{ smash = [0] }", "smash"),
             ("{ net = { net = { loss = 1.5 }, lasting = 10 } }", "faults.0.do.net"),
             ("{ net = { net = { lost = 0.5 }, lasting = 10 } }", "lost"),
-            ("{ ban = { server = 2, by = 0, back_by = 1, lasting = 10 } }", "real server 2"),
+            ("{ ban = { server = 2, by = 0, back_by = 1, lasting = 10 } }", "backend 2"),
             ("{ discovery = { of = [0], is = \"odd\", lasting = 10 } }", "odd"),
         ] {
-            let wrong = fault(text).unwrap_err();
-            assert!(wrong.contains(key), "{key}: {wrong}");
+            let error = fault(text).unwrap_err();
+            assert!(error.contains(key), "{key}: {error}");
         }
         for (text, key) in [
             ("ingresses = 0\nservers = 1\nlength = 1", "ingresses"),
@@ -407,7 +459,7 @@
             ("ingresses = 2\nstrangers = 2\nservers = 1\nlength = 1", "strangers"),
             ("ingresses = 2\nservers = 1\nlength = 1\nplan = { units = 0 }", "plan"),
         ] {
-            assert!(Script::read(text).unwrap_err().contains(key));
+            assert!(Script::parse(text).unwrap_err().contains(key));
         }
     }
 }
--- a/trials/src/timeline.rs
+++ b/trials/src/timeline.rs
@@ -2,7 +2,7 @@
 //! them the requests that came to real servers, by second.
 
 use crate::check::Outcome;
-use crate::script::{Script, What};
+use crate::script::{FaultKind, Script};
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -39,14 +39,17 @@
         area.draw(&PathElement::new([(LEFT, y(n) + ROW - 2), (WIDTH - 10, y(n) + ROW - 2)], WHITE.mix(0.0)))?;
     }
     for fault in &script.faults {
-        let colour = match &fault.what {
-            What::Kill(_) | What::Term(_) => RED,
-            What::Start(_) | What::Upgrade(_) => GREEN,
-            What::Pause { .. } => YELLOW,
-            What::Ban { .. } | What::SendAway { .. } | What::Drain { .. } => MAGENTA,
+        let colour = match &fault.kind {
+            FaultKind::Kill(_) | FaultKind::Term(_) => RED,
+            FaultKind::Start(_) | FaultKind::Upgrade(_) => GREEN,
+            FaultKind::Pause { .. } => YELLOW,
+            FaultKind::DisableBackend { .. }
+            | FaultKind::DrainIngress { .. }
+            | FaultKind::DrainBackends { .. } => MAGENTA,
             _ => BLUE,
         };
-        let whom = if fault.whom().is_empty() { (0..script.ingresses).collect() } else { fault.whom() };
+        let whom =
+            if fault.ingresses().is_empty() { (0..script.ingresses).collect() } else { fault.ingresses() };
         let (from, to) = (x(fault.at as f64), x(fault.end() as f64).max(x(fault.at as f64) + 3));
         for n in whom {
             area.draw(&Rectangle::new([(from, y(n)), (to, y(n) + ROW - 4)], colour.mix(0.35).filled()))?;
@@ -111,7 +114,7 @@
 
     #[test]
     fn a_picture_has_a_row_for_each_and_a_table_a_line_for_each_change() {
-        let script = Script::read(
+        let script = Script::parse(
             "ingresses = 3\nservers = 1\nlength = 20000\n[[faults]]\nat = 1000\ndo = { kill = [2] }",
         );
         let script = script.unwrap();
