--- a/trials/src/check.rs
+++ b/trials/src/check.rs
@@ -1,264 +1,337 @@
-//! What must hold of a record: deaths that are none, views that do not become one, requests without an end, work sent
-//! after a drain's word or an operator's, ceilings passed.
+//! Checks what a trial recorded. Violations are: an ingress that runs but was declared dead, views that do not agree at the
+//! end, requests without an outcome, requests that were sent to a draining or disabled backend, exceeded ceilings, and
+//! ingresses that did not recover fully.
 
-use crate::script::{FaultKind, Script};
+use crate::script::{Fault, FaultKind, Script};
 use crate::stand_ins::Record;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Nothing new goes to a real server later than this after the word that it drains, in milliseconds; the platform's rule.
-const GRACE: i64 = 250;
-/// Machines differ: what is timed may be so much later.
-const SLACK: i64 = 500;
-/// A ceiling may be passed by this part of it, or by one of the largest requests.
-const OVER: f64 = 0.1;
-/// A ceiling's rate goes on for so long more, in seconds.
-const WIDER: f64 = 0.15;
+/// How long after it learned that a backend drains an ingress may still send it requests, in milliseconds; a rule of the
+/// platform.
+const DRAIN_GRACE_MS: i64 = 250;
+/// What is added to time limits because of differences between machines, in milliseconds.
+const TIMING_SLACK_MS: i64 = 500;
+/// The fraction by which a ceiling may be exceeded, unless one request of the largest size exceeds it by more.
+const CEILING_TOLERANCE: f64 = 0.1;
+/// The time over which a ceiling's rate is added to its burst, in seconds.
+const EXTRA_BURST_SECONDS: f64 = 0.15;
 
-/// Something that was seen.
+/// A change of a member's state in the view of one ingress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Seen {
-    /// When, in milliseconds from the start of the trial.
+pub struct StateChange {
+    /// When it was seen, in milliseconds from the start of the trial.
     pub at: u64,
-    /// By which ingress's door.
-    pub by: usize,
-    /// Of which ingress.
-    pub of: usize,
-    /// Its state there: the door's word.
+    /// The ingress whose admin interface reported it.
+    #[serde(rename = "by")]
+    pub observer: usize,
+    /// The ingress whose state it is.
+    #[serde(rename = "of")]
+    pub member: usize,
+    /// The new state, as the admin interface names it.
     pub state: String,
 }
 
-/// A door's yes to an operator who takes a real server out; or the moment when one asks to have it back.
+/// An operator's successful command that disables or enables a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Yes {
-    /// When, in milliseconds from the start.
+pub struct BackendCommand {
+    /// When a disabling command was answered, or an enabling command was sent, in milliseconds from the start of the
+    /// trial: between the two the backend is certainly disabled.
     pub at: i64,
-    /// At whose door.
-    pub by: usize,
-    /// Which real server.
-    pub server: usize,
-    /// Out, or back.
-    pub out: bool,
+    /// The ingress whose admin interface took the command.
+    #[serde(rename = "by")]
+    pub ingress: usize,
+    /// The backend.
+    #[serde(rename = "server")]
+    pub backend: usize,
+    /// Whether the backend is disabled; `false` if it is enabled again.
+    #[serde(rename = "out")]
+    pub disabled: bool,
 }
 
-/// What a trial came to.
+/// What a trial recorded.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Outcome {
-    /// All changes, in order.
-    pub seen: Vec<Seen>,
-    /// Which ran at the end.
-    pub run: Vec<bool>,
-    /// The last views, by ingress: states by number; none where its door did not answer.
-    pub last: Vec<Option<BTreeMap<usize, String>>>,
-    /// Operators' words at the end, by ingress.
-    pub words: Vec<Option<Vec<String>>>,
-    /// Requests asked, each with its customer and units.
-    pub asked: Vec<(u64, u32)>,
-    /// Ends that they came to: served, refused, failed.
-    pub ends: [u64; 3],
-    /// Datagrams that came to the relay, and those it passed on.
+    /// All state changes of members, in order of time.
+    #[serde(rename = "seen")]
+    pub state_changes: Vec<StateChange>,
+    /// Whether each ingress ran at the end.
+    #[serde(rename = "run")]
+    pub running: Vec<bool>,
+    /// The last view of each ingress: states by member; `None` if its admin interface did not answer.
+    #[serde(rename = "last")]
+    pub final_views: Vec<Option<BTreeMap<usize, String>>>,
+    /// The operators' notices that each ingress knew at the end; `None` if its admin interface did not answer.
+    #[serde(rename = "words")]
+    pub final_notices: Vec<Option<Vec<String>>>,
+    /// The customer and the units of each request of the load.
+    #[serde(rename = "asked")]
+    pub requests: Vec<(u64, u32)>,
+    /// The number of requests that were served, were rejected, and failed, in this order.
+    #[serde(rename = "ends")]
+    pub request_outcomes: [u64; 3],
+    /// The number of datagrams that the relays received and forwarded, in this order.
     pub datagrams: [u64; 2],
-    /// The processor time of each process that runs at the end, in milliseconds.
-    pub processor: Vec<f64>,
-    /// How far each says that it has come back, and how long after its last start it was first whole, in milliseconds.
-    pub back: Vec<Option<(String, Option<u64>)>>,
-    /// Operators' calls that were answered.
-    pub yes: Vec<Yes>,
-    /// What the stand-ins saw.
+    /// The processor time that the process of each ingress has used, in milliseconds; 0 if it cannot be read.
+    #[serde(rename = "processor")]
+    pub cpu_time: Vec<f64>,
+    /// The recovery stage that each ingress reports at the end, and the time from its last start until it was first whole,
+    /// in milliseconds. `None` if its admin interface did not answer.
+    #[serde(rename = "back")]
+    pub recoveries: Vec<Option<(String, Option<u64>)>>,
+    /// The operators' commands on backends, in order.
+    #[serde(rename = "yes")]
+    pub backend_commands: Vec<BackendCommand>,
+    /// What the stand-ins recorded.
     pub record: Record,
 }
 
-/// What was measured on the way.
+/// The worst values that the checks measured.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct Figures {
-    /// The latest request after the word that its real server drains, in milliseconds after it.
-    pub drain: i64,
-    /// The same after an operator's word at another door.
-    pub ban: i64,
-    /// The most that was sent on of a customer's, as a part of its ceiling.
-    pub ceiling: f64,
-    /// From the start of ingresses that were killed until, over a second, nine of ten requests reach real servers again of
-    /// those that did in the 4 s before the kill; the longest, in milliseconds.
-    pub back: i64,
+pub struct Measurements {
+    /// The longest time after which an ingress that had learned that a backend drains still sent it a request, in
+    /// milliseconds.
+    #[serde(rename = "drain")]
+    pub drain_delay: i64,
+    /// The longest time after an operator disabled a backend at which an ingress still sent it a request, in milliseconds.
+    #[serde(rename = "ban")]
+    pub disable_delay: i64,
+    /// The highest use of a ceiling's burst by a customer, as a fraction of it.
+    #[serde(rename = "ceiling")]
+    pub ceiling_use: f64,
+    /// The longest time from the start of killed ingresses until the rate of requests at backends, over one second, is
+    /// back at nine tenths of that in the 4 s before the kill, in milliseconds.
+    #[serde(rename = "back")]
+    pub recovery_time: i64,
 }
 
-/// An ingress's time that it stood still or was cut off, widened by what a suspicion may take.
-fn disturbed(script: &Script, n: usize, at: i64) -> bool {
-    const SLACK: u64 = 6000;
+/// Returns whether an ingress was stopped, paused or cut off at this time, or shortly before: until the suspicion that
+/// follows from that must have been resolved.
+fn is_disturbed(script: &Script, ingress: usize, at: i64) -> bool {
+    const SUSPICION_SLACK_MS: u64 = 6000;
     script.faults.iter().any(|fault| {
-        let touched = match &fault.kind {
-            FaultKind::Kill(of)
-            | FaultKind::Term(of)
-            | FaultKind::Start(of)
-            | FaultKind::Pause { ingresses: of, .. } => of.contains(&n),
-            // One side of a one-sided cut is still heard by the others: nobody may die of it.
+        let affected = match &fault.kind {
+            FaultKind::Kill(ingresses)
+            | FaultKind::Term(ingresses)
+            | FaultKind::Start(ingresses)
+            | FaultKind::Pause { ingresses, .. } => ingresses.contains(&ingress),
+            // After a one-sided cut the others still receive from one side, so nobody may be declared dead.
             FaultKind::Cut { from, to, one_sided, .. } => {
-                !one_sided && (from.contains(&n) || to.contains(&n))
+                !one_sided && (from.contains(&ingress) || to.contains(&ingress))
             }
             FaultKind::Network { net, .. } => net.loss > 0.3,
             _ => false,
         };
-        let down = matches!(&fault.kind, FaultKind::Kill(_) | FaultKind::Term(_));
-        let started = |later: &crate::script::Fault| {
-            later.at > fault.at && matches!(&later.kind, FaultKind::Start(of) if of.contains(&n))
+        let stops = matches!(&fault.kind, FaultKind::Kill(_) | FaultKind::Term(_));
+        let restarts = |later: &Fault| {
+            later.at > fault.at
+                && matches!(&later.kind, FaultKind::Start(started) if started.contains(&ingress))
         };
-        let until = match script.faults.iter().find(|later| down && started(later)) {
-            Some(start) => start.at + SLACK,
-            None if down => u64::MAX,
-            None => fault.end() + SLACK,
+        let until = match script.faults.iter().find(|later| stops && restarts(later)) {
+            Some(start) => start.at + SUSPICION_SLACK_MS,
+            None if stops => u64::MAX,
+            None => fault.end() + SUSPICION_SLACK_MS,
         };
-        touched && at >= fault.at as i64 && (at as u64) <= until
+        affected && at >= fault.at as i64 && (at as u64) <= until
     })
 }
 
-/// What is broken; empty where all holds.
-pub fn check(script: &Script, outcome: &Outcome) -> (Vec<String>, Figures) {
-    let mut broken = Vec::new();
-    let mut figures = Figures::default();
+/// Checks an outcome, and returns the violations and the measured values. No violation means that the trial passed.
+pub fn check(script: &Script, outcome: &Outcome) -> (Vec<String>, Measurements) {
+    let mut violations = Vec::new();
+    let mut measurements = Measurements::default();
     if script.membership {
-        views(script, outcome, &mut broken);
+        check_views(script, outcome, &mut violations);
     }
-    drains(script, outcome, &mut figures, &mut broken);
-    words(script, outcome, &mut figures, &mut broken);
-    ceilings(script, outcome, &mut figures, &mut broken);
-    returns(script, outcome, &mut figures, &mut broken);
-    let (asked, ended) = (outcome.asked.len() as u64, outcome.ends.iter().sum::<u64>());
-    if ended != asked {
-        broken.push(format!("{asked} requests were asked and {ended} came to an end"));
+    check_drains(script, outcome, &mut measurements, &mut violations);
+    check_notices(script, outcome, &mut measurements, &mut violations);
+    check_ceilings(script, outcome, &mut measurements, &mut violations);
+    check_recovery(script, outcome, &mut measurements, &mut violations);
+    let (sent, ended) = (outcome.requests.len() as u64, outcome.request_outcomes.iter().sum::<u64>());
+    if ended != sent {
+        violations.push(format!("{sent} requests were sent, but {ended} have an outcome"));
     }
-    (broken, figures)
+    (violations, measurements)
 }
 
-fn views(script: &Script, outcome: &Outcome, broken: &mut Vec<String>) {
-    for seen in outcome.seen.iter().filter(|s| s.state == "dead") {
-        if !disturbed(script, seen.of, seen.at as i64) && !disturbed(script, seen.by, seen.at as i64) {
-            broken.push(format!("{} ms: {} takes {} for dead, which runs", seen.at, seen.by, seen.of));
+/// Checks that no running ingress was declared dead, and that at the end the view of each ingress shows who runs and no
+/// member of another fleet.
+fn check_views(script: &Script, outcome: &Outcome, violations: &mut Vec<String>) {
+    for change in outcome.state_changes.iter().filter(|change| change.state == "dead") {
+        let StateChange { at, observer, member, .. } = change;
+        if !is_disturbed(script, *member, *at as i64) && !is_disturbed(script, *observer, *at as i64) {
+            violations.push(format!("{at} ms: ingress {observer} sees ingress {member} as dead, which runs"));
         }
     }
-    for (n, last) in outcome.last.iter().enumerate().filter(|(n, _)| outcome.run[*n]) {
+    for (n, last) in outcome.final_views.iter().enumerate().filter(|(n, _)| outcome.running[*n]) {
         let Some(view) = last else {
-            broken.push(format!("the end: the door of {n} does not answer"));
+            violations.push(format!("at the end: the admin interface of ingress {n} does not answer"));
             continue;
         };
-        for (of, run) in outcome.run.iter().enumerate().filter(|(of, _)| *of != n) {
-            let state = view.get(&of).map_or("unknown", String::as_str);
-            if !script.same_fleet(n, of) {
+        for (member, runs) in outcome.running.iter().enumerate().filter(|(member, _)| *member != n) {
+            let state = view.get(&member).map_or("unknown", String::as_str);
+            if !script.same_fleet(n, member) {
                 if state != "unknown" {
-                    broken.push(format!("the end: {n} sees {of} as {state}, which is of another fleet"));
+                    violations.push(format!(
+                        "at the end: ingress {n} sees ingress {member} of another fleet as {state}"
+                    ));
                 }
                 continue;
             }
-            // A suspect may still say that it lives, and does at high loss.
-            if matches!(state, "alive" | "suspect") != *run {
-                let is = if *run { "runs" } else { "does not" };
-                broken.push(format!("the end: {n} sees {of} as {state}, which {is}"));
+            // A suspect can still refute the suspicion; at high loss, suspicions are frequent.
+            if matches!(state, "alive" | "suspect") != *runs {
+                let actual = if *runs { "runs" } else { "does not run" };
+                violations.push(format!(
+                    "at the end: ingress {n} sees ingress {member} as {state}, which {actual}"
+                ));
             }
         }
     }
 }
 
-/// Nothing goes to a real server once its ingress has been told that it drains. One that stood still meanwhile is told
-/// when it wakes.
-fn drains(script: &Script, outcome: &Outcome, figures: &mut Figures, broken: &mut Vec<String>) {
-    let mut since: HashMap<(usize, usize), i64> = HashMap::new();
-    let mut words = outcome.record.drain_changes.iter().peekable();
-    let mut late = HashSet::new();
+/// Checks that an ingress sends nothing to a backend once it has received that the backend drains. A paused ingress
+/// receives that only when it resumes, so times of disturbance do not count.
+fn check_drains(
+    script: &Script,
+    outcome: &Outcome,
+    measurements: &mut Measurements,
+    violations: &mut Vec<String>,
+) {
+    let mut draining_since: HashMap<(usize, usize), i64> = HashMap::new();
+    let mut changes = outcome.record.drain_changes.iter().peekable();
+    let mut reported = HashSet::new();
     for arrival in &outcome.record.arrivals {
-        while let Some(word) = words.next_if(|word| word.at <= arrival.at) {
-            match word.draining {
-                true => since.entry((word.ingress, word.backend)).or_insert(word.at),
-                false => &mut since.remove(&(word.ingress, word.backend)).unwrap_or_default(),
+        while let Some(change) = changes.next_if(|change| change.at <= arrival.at) {
+            match change.draining {
+                true => draining_since.entry((change.ingress, change.backend)).or_insert(change.at),
+                false => &mut draining_since.remove(&(change.ingress, change.backend)).unwrap_or_default(),
             };
         }
-        let Some(told) = since.get(&(arrival.ingress, arrival.backend)) else { continue };
-        let span = arrival.at - told;
-        if disturbed(script, arrival.ingress, arrival.at) || disturbed(script, arrival.ingress, *told) {
+        let (ingress, backend) = (arrival.ingress, arrival.backend);
+        let Some(since) = draining_since.get(&(ingress, backend)) else { continue };
+        let delay = arrival.at - since;
+        if is_disturbed(script, ingress, arrival.at) || is_disturbed(script, ingress, *since) {
             continue;
         }
-        figures.drain = figures.drain.max(span);
-        if span > GRACE + SLACK && late.insert((arrival.ingress, arrival.backend)) {
-            let (by, server) = (arrival.ingress, arrival.backend);
-            broken.push(format!("{} ms: {by} sends to {server}, told to drain {span} ms ago", arrival.at));
+        measurements.drain_delay = measurements.drain_delay.max(delay);
+        if delay > DRAIN_GRACE_MS + TIMING_SLACK_MS && reported.insert((ingress, backend)) {
+            violations.push(format!(
+                "{} ms: ingress {ingress} sends to backend {backend}, {delay} ms after it received that it drains",
+                arrival.at
+            ));
         }
     }
 }
 
-/// All go by an operator's word in time, and at the end all know the same words, and none of them holds any more.
-fn words(script: &Script, outcome: &Outcome, figures: &mut Figures, broken: &mut Vec<String>) {
-    for (i, yes) in outcome.yes.iter().enumerate().filter(|(_, yes)| yes.out) {
-        let back = outcome.yes[i..].iter().find(|later| !later.out && later.server == yes.server);
-        let until = back.map_or(i64::MAX, |back| back.at);
-        for arrival in outcome.record.arrivals.iter().filter(|a| a.backend == yes.server) {
-            let (span, by) = (arrival.at - yes.at, arrival.ingress);
-            if span < 0 || arrival.at >= until || !script.same_fleet(by, yes.by) {
+/// Checks that every ingress of a fleet applies an operator's notice in time, and that at the end all know the same
+/// notices, none of which is active.
+fn check_notices(
+    script: &Script,
+    outcome: &Outcome,
+    measurements: &mut Measurements,
+    violations: &mut Vec<String>,
+) {
+    let commands = &outcome.backend_commands;
+    for (i, command) in commands.iter().enumerate().filter(|(_, command)| command.disabled) {
+        let enabled = commands[i..].iter().find(|later| !later.disabled && later.backend == command.backend);
+        let until = enabled.map_or(i64::MAX, |enabled| enabled.at);
+        for arrival in outcome.record.arrivals.iter().filter(|a| a.backend == command.backend) {
+            let (delay, ingress) = (arrival.at - command.at, arrival.ingress);
+            if delay < 0 || arrival.at >= until || !script.same_fleet(ingress, command.ingress) {
                 continue;
             }
-            if disturbed(script, by, arrival.at) || disturbed(script, by, yes.at) {
+            if is_disturbed(script, ingress, arrival.at) || is_disturbed(script, ingress, command.at) {
                 continue;
             }
-            figures.ban = figures.ban.max(span);
-            let limit = if by == yes.by { GRACE } else { script.notice_time as i64 };
-            if span > limit + SLACK {
-                broken.push(format!("{} ms: {by} sends to {}, out since {span} ms", arrival.at, yes.server));
+            measurements.disable_delay = measurements.disable_delay.max(delay);
+            let limit = if ingress == command.ingress { DRAIN_GRACE_MS } else { script.notice_time as i64 };
+            if delay > limit + TIMING_SLACK_MS {
+                violations.push(format!(
+                    "{} ms: ingress {ingress} sends to backend {}, {delay} ms after it was disabled",
+                    arrival.at, command.backend
+                ));
                 break;
             }
         }
     }
-    let mut known =
-        outcome.words.iter().enumerate().filter(|(n, _)| *n < script.fleet_size() && outcome.run[*n]);
-    let Some((first, Some(words))) = known.next() else { return };
-    broken.extend(
-        words
+    let mut known = outcome
+        .final_notices
+        .iter()
+        .enumerate()
+        .filter(|(n, _)| *n < script.fleet_size() && outcome.running[*n]);
+    let Some((first, Some(notices))) = known.next() else { return };
+    violations.extend(
+        notices
             .iter()
-            .filter(|word| word.contains(" out ") || word.contains(" drained "))
-            .map(|word| format!("the end: {first} still goes by {word}")),
+            .filter(|notice| notice.contains(" out ") || notice.contains(" drained "))
+            .map(|notice| format!("at the end: ingress {first} has the active notice {notice:?}")),
     );
-    for (n, other) in known.filter(|(_, other)| other.as_ref() != Some(words)) {
-        broken.push(format!("the end: {n} knows the words {other:?}, and {first} knows {words:?}"));
+    for (n, other) in known.filter(|(_, other)| other.as_ref() != Some(notices)) {
+        violations.push(format!(
+            "at the end: ingress {n} knows the notices {other:?}, but ingress {first} knows {notices:?}"
+        ));
     }
 }
 
-/// All that run say at the end that they have come back whole; and how long the fleet took to serve what it served.
-fn returns(script: &Script, outcome: &Outcome, figures: &mut Figures, broken: &mut Vec<String>) {
-    for (n, back) in outcome.back.iter().enumerate().filter(|(n, _)| outcome.run[*n]) {
-        if back.as_ref().is_none_or(|(stage, _)| stage != "whole") {
-            broken.push(format!("the end: {n} has come back so far: {back:?}"));
+/// Checks that all ingresses that run at the end report that they are whole, and measures how long the fleet took to get
+/// back to the request rate that it had before a kill.
+fn check_recovery(
+    script: &Script,
+    outcome: &Outcome,
+    measurements: &mut Measurements,
+    violations: &mut Vec<String>,
+) {
+    for (n, recovery) in outcome.recoveries.iter().enumerate().filter(|(n, _)| outcome.running[*n]) {
+        if recovery.as_ref().is_none_or(|(stage, _)| stage != "whole") {
+            violations.push(format!("at the end: ingress {n} is not whole: {recovery:?}"));
         }
     }
-    let at: Vec<i64> = outcome.record.arrivals.iter().map(|arrival| arrival.at).collect();
-    let within = |from: i64, to: i64| at.partition_point(|a| *a < to) - at.partition_point(|a| *a < from);
+    let arrivals: Vec<i64> = outcome.record.arrivals.iter().map(|arrival| arrival.at).collect();
+    let count_within = |from: i64, to: i64| {
+        arrivals.partition_point(|at| *at < to) - arrivals.partition_point(|at| *at < from)
+    };
     for (i, fault) in script.faults.iter().enumerate() {
-        let FaultKind::Start(of) = &fault.kind else { continue };
-        let killed =
-            |before: &&crate::script::Fault| matches!(&before.kind, FaultKind::Kill(k) if k.contains(&of[0]));
-        let Some(kill) = script.faults[..i].iter().rev().find(killed) else { continue };
+        let FaultKind::Start(started) = &fault.kind else { continue };
+        let kills_first =
+            |before: &&Fault| matches!(&before.kind, FaultKind::Kill(killed) if killed.contains(&started[0]));
+        let Some(kill) = script.faults[..i].iter().rev().find(kills_first) else { continue };
         let (kill, start) = (kill.at as i64, fault.at as i64);
-        let usual = within(kill - 4000, kill) as f64 / 4.0;
-        let again = (start..script.length as i64 - 3000).step_by(100);
-        let again = again.filter(|_| usual > 0.0).find(|t| within(*t, t + 1000) as f64 >= 0.9 * usual);
-        figures.back = figures.back.max(again.map_or(0, |t| t - start));
+        let usual_rate = count_within(kill - 4000, kill) as f64 / 4.0;
+        let times = (start..script.length as i64 - 3000).step_by(100);
+        let recovered = times
+            .filter(|_| usual_rate > 0.0)
+            .find(|t| count_within(*t, t + 1000) as f64 >= 0.9 * usual_rate);
+        measurements.recovery_time = measurements.recovery_time.max(recovered.map_or(0, |t| t - start));
     }
 }
 
-/// What was sent on of each customer's stays below the ceiling, by a bucket that fills at its rate.
-fn ceilings(script: &Script, outcome: &Outcome, figures: &mut Figures, broken: &mut Vec<String>) {
+/// Checks that the requests of each customer that reached backends stay within its ceiling, a token bucket that fills at
+/// the ceiling's rate. Repeats of a request count once.
+fn check_ceilings(
+    script: &Script,
+    outcome: &Outcome,
+    measurements: &mut Measurements,
+    violations: &mut Vec<String>,
+) {
     let plan = &script.plan;
     if plan.ceiling <= 0.0 {
         return;
     }
-    let (mut once, mut sent) = (HashSet::new(), BTreeMap::<u64, Vec<(i64, f64)>>::new());
+    let (mut counted, mut sent) = (HashSet::new(), BTreeMap::<u64, Vec<(i64, f64)>>::new());
     for arrival in &outcome.record.arrivals {
-        let of = arrival.request_index.and_then(|n| outcome.asked.get(n));
-        if let Some((customer, units)) = of.filter(|_| once.insert(&arrival.request_id)) {
+        let request = arrival.request_index.and_then(|n| outcome.requests.get(n));
+        if let Some((customer, units)) = request.filter(|_| counted.insert(&arrival.request_id)) {
             sent.entry(*customer).or_default().push((arrival.at, f64::from(*units)));
         }
     }
-    let depth = plan.ceiling_burst + plan.ceiling * WIDER;
-    // By the slack in parts, and by that of one request: broken where neither holds.
-    let [parts, one] =
-        [(plan.ceiling * (1.0 + OVER), depth * (1.0 + OVER)), (plan.ceiling, depth + f64::from(plan.units))];
+    let depth = plan.ceiling_burst + plan.ceiling * EXTRA_BURST_SECONDS;
+    // A ceiling is violated only if it is exceeded both by the tolerance and by one request of the largest size.
+    let [with_tolerance, with_one_request] = [
+        (plan.ceiling * (1.0 + CEILING_TOLERANCE), depth * (1.0 + CEILING_TOLERANCE)),
+        (plan.ceiling, depth + f64::from(plan.units)),
+    ];
     for (customer, sent) in sent {
-        let over = |(rate, depth): (f64, f64)| -> f64 {
+        let excess = |(rate, depth): (f64, f64)| -> f64 {
             let (mut level, mut last, mut worst) = (depth, 0, 0.0f64);
             for (at, units) in &sent {
                 level = (level + rate * (at - last) as f64 / 1000.0).min(depth) - units;
@@ -267,10 +340,10 @@
             }
             worst
         };
-        let used = over((plan.ceiling, depth));
-        figures.ceiling = figures.ceiling.max((depth + used) / depth);
-        if over(parts) > 0.0 && over(one) > 0.0 {
-            broken.push(format!("customer {customer}: {used:.0} units above its ceiling"));
+        let exceeded = excess((plan.ceiling, depth));
+        measurements.ceiling_use = measurements.ceiling_use.max((depth + exceeded) / depth);
+        if excess(with_tolerance) > 0.0 && excess(with_one_request) > 0.0 {
+            violations.push(format!("customer {customer}: {exceeded:.0} units above its ceiling"));
         }
     }
 }
@@ -288,79 +361,90 @@
         Script::parse(&format!("{base}{kill}{cut}")).unwrap()
     }
 
-    fn arrival(at: i64, by: usize, server: usize, of: usize) -> Arrival {
-        Arrival { at, ingress: by, backend: server, request_index: Some(of), request_id: format!("{of}") }
+    fn arrival(at: i64, ingress: usize, backend: usize, request: usize) -> Arrival {
+        Arrival { at, ingress, backend, request_index: Some(request), request_id: format!("{request}") }
     }
 
-    fn whole() -> Outcome {
+    fn passing_outcome() -> Outcome {
         let view = |states: [&str; 3]| Some((0..3).zip(states.map(str::to_owned)).collect());
-        let dead = |at, by| Seen { at, by, of: 2, state: "dead".into() };
-        let word = |at, drains| DrainChange { at, ingress: 0, backend: 1, draining: drains };
-        let words = Some(vec!["s0 server back by 1".to_owned()]);
+        let dead = |at, observer| StateChange { at, observer, member: 2, state: "dead".into() };
+        let drain_change = |at, draining| DrainChange { at, ingress: 0, backend: 1, draining };
+        let notices = Some(vec!["s0 server back by 1".to_owned()]);
         Outcome {
-            seen: vec![dead(7500, 0), dead(7600, 1)],
-            run: vec![true, true, false, true],
-            last: vec![
+            state_changes: vec![dead(7500, 0), dead(7600, 1)],
+            running: vec![true, true, false, true],
+            final_views: vec![
                 view(["self", "alive", "dead"]),
                 view(["alive", "self", "dead"]),
                 None,
                 Some([(3, "self".into())].into()),
             ],
-            words: vec![words.clone(), words, None, Some(Vec::new())],
-            asked: vec![(7, 2); 10],
-            ends: [8, 1, 1],
+            final_notices: vec![notices.clone(), notices, None, Some(Vec::new())],
+            requests: vec![(7, 2); 10],
+            request_outcomes: [8, 1, 1],
             datagrams: [0; 2],
-            processor: Vec::new(),
-            back: vec![Some(("whole".into(), Some(3100))); 4],
-            yes: vec![
-                Yes { at: 1000, by: 0, server: 0, out: true },
-                Yes { at: 9000, by: 1, server: 0, out: false },
+            cpu_time: Vec::new(),
+            recoveries: vec![Some(("whole".into(), Some(3100))); 4],
+            backend_commands: vec![
+                BackendCommand { at: 1000, ingress: 0, backend: 0, disabled: true },
+                BackendCommand { at: 9000, ingress: 1, backend: 0, disabled: false },
             ],
             record: Record {
-                // Told to drain at 2 s, and back at 4 s; out by hand from 1 s to 9 s.
+                // Backend 1 drains from 2 s to 4 s; backend 0 is disabled from 1 s to 9 s.
                 arrivals: vec![
                     arrival(900, 0, 0, 0),
                     arrival(2100, 0, 1, 1),
                     arrival(4500, 0, 1, 2),
                     arrival(4600, 1, 0, 3),
                 ],
-                drain_changes: vec![word(2000, true), word(4000, false)],
+                drain_changes: vec![drain_change(2000, true), drain_change(4000, false)],
                 counter_calls: 0,
             },
         }
     }
 
     #[test]
-    fn a_whole_record_holds_and_each_broken_one_is_seen() {
-        let (broken, figures) = check(&script(), &whole());
-        assert_eq!(broken, Vec::<String>::new());
-        assert_eq!((figures.drain, figures.ban), (100, 3600));
-        let broken = |change: fn(&mut Outcome)| {
-            let mut outcome = whole();
+    fn accepts_a_passing_outcome_and_reports_each_violation() {
+        let (violations, measurements) = check(&script(), &passing_outcome());
+        assert_eq!(violations, Vec::<String>::new());
+        assert_eq!((measurements.drain_delay, measurements.disable_delay), (100, 3600));
+        let violations = |change: fn(&mut Outcome)| {
+            let mut outcome = passing_outcome();
             change(&mut outcome);
             check(&script(), &outcome).0.len()
         };
-        // A death of one that runs, also by a one-sided cut.
-        assert_eq!(broken(|o| o.seen.push(Seen { at: 6500, by: 0, of: 1, state: "dead".into() })), 1);
-        // A death that was never noticed, one that was forgotten, a door that is shut, an answer that never came.
-        assert_eq!(broken(|o| o.last[0] = Some([(1, "alive".into()), (2, "alive".into())].into())), 1);
-        assert_eq!(broken(|o| o.last[1] = Some([(2, "dead".into())].into())), 1);
-        assert_eq!(broken(|o| o.last[1] = None), 1);
-        assert_eq!(broken(|o| o.ends[0] = 7), 1);
-        // One of another fleet is seen.
-        assert_eq!(broken(|o| o.last[3] = Some([(0, "dead".into())].into())), 1);
-        // Work after a drain's word, after one's own yes, long after another's yes.
-        assert_eq!(broken(|o| o.record.arrivals[1].at = 2900), 1);
-        assert_eq!(broken(|o| o.record.arrivals[0].at = 1900), 1);
-        assert_eq!(broken(|o| o.record.arrivals[3].at = 6900), 1);
-        // One that lacks something at the end.
-        assert_eq!(broken(|o| o.back[1] = Some(("partial".into(), None))), 1);
-        // A word that was not heard, one that still holds.
-        assert_eq!(broken(|o| o.words[1] = Some(Vec::new())), 1);
-        assert_eq!(broken(|o| o.words.fill(Some(vec!["s0 server out by 1".into()]))), 1);
-        // Five more of two units at once: 14 units where 6.5, or 8.5 by one request, are allowed.
-        assert_eq!(broken(|o| o.record.arrivals.extend((4..9).map(|n| arrival(4600, 1, 1, n)))), 1);
-        // The same requests, sent again, count once.
-        assert_eq!(broken(|o| o.record.arrivals.extend((0..9).map(|_| arrival(4600, 1, 1, 3)))), 0);
+        // A running ingress is declared dead, here during a one-sided cut, which is no excuse.
+        assert_eq!(
+            violations(|o| o.state_changes.push(StateChange {
+                at: 6500,
+                observer: 0,
+                member: 1,
+                state: "dead".into()
+            })),
+            1
+        );
+        // An unnoticed death, an unknown member, an admin interface that does not answer, a request without an outcome.
+        assert_eq!(
+            violations(|o| o.final_views[0] = Some([(1, "alive".into()), (2, "alive".into())].into())),
+            1
+        );
+        assert_eq!(violations(|o| o.final_views[1] = Some([(2, "dead".into())].into())), 1);
+        assert_eq!(violations(|o| o.final_views[1] = None), 1);
+        assert_eq!(violations(|o| o.request_outcomes[0] = 7), 1);
+        // A member of another fleet is known.
+        assert_eq!(violations(|o| o.final_views[3] = Some([(0, "dead".into())].into())), 1);
+        // Requests to a draining backend, to one disabled at the same ingress, and to one disabled long ago at another.
+        assert_eq!(violations(|o| o.record.arrivals[1].at = 2900), 1);
+        assert_eq!(violations(|o| o.record.arrivals[0].at = 1900), 1);
+        assert_eq!(violations(|o| o.record.arrivals[3].at = 6900), 1);
+        // An ingress that has not recovered fully at the end.
+        assert_eq!(violations(|o| o.recoveries[1] = Some(("partial".into(), None))), 1);
+        // A notice that did not reach an ingress, and one that is still active.
+        assert_eq!(violations(|o| o.final_notices[1] = Some(Vec::new())), 1);
+        assert_eq!(violations(|o| o.final_notices.fill(Some(vec!["s0 server out by 1".into()]))), 1);
+        // Five more requests of two units at once: 14 units, where 6.5 are allowed, or 8.5 with one request in excess.
+        assert_eq!(violations(|o| o.record.arrivals.extend((4..9).map(|n| arrival(4600, 1, 1, n)))), 1);
+        // Repeats of a request count once.
+        assert_eq!(violations(|o| o.record.arrivals.extend((0..9).map(|_| arrival(4600, 1, 1, 3)))), 0);
     }
 }
--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -79,30 +79,31 @@
         let mut rig = Rig::start(&program, &script).await?;
         let outcome = rig.play(&script, |step| println!("  {step}")).await?;
         let (broken, figures) = check(&script, &outcome);
-        let [served, refused, failed] = outcome.ends;
+        let [served, refused, failed] = outcome.request_outcomes;
         let [came, passed] = outcome.datagrams;
         println!(
             "  {} changes seen; {} asked: {served} served, {refused} refused, {failed} failed; {came} datagrams, {passed} passed on",
-            outcome.seen.len(),
-            outcome.asked.len()
+            outcome.state_changes.len(),
+            outcome.requests.len()
         );
-        let most = figures.ceiling;
+        let most = figures.ceiling_use;
         println!(
             "  latest after a drain's word {} ms, after an operator's {} ms; most of a ceiling {most:.2}",
-            figures.drain, figures.ban
+            figures.drain_delay, figures.disable_delay
         );
-        let mut after: Vec<u64> = outcome.back.iter().flatten().filter_map(|(_, after)| *after).collect();
+        let mut after: Vec<u64> =
+            outcome.recoveries.iter().flatten().filter_map(|(_, after)| *after).collect();
         after.sort_unstable();
         println!(
             "  whole after {} ms (median), {} ms (last); nine of ten served again {} ms after a start",
             after.get(after.len() / 2).unwrap_or(&0),
             after.last().unwrap_or(&0),
-            figures.back
+            figures.recovery_time
         );
-        let used: f64 = outcome.processor.iter().sum();
+        let used: f64 = outcome.cpu_time.iter().sum();
         println!(
             "  {used:.0} ms of processor time, {:.3} ms a request",
-            used / outcome.asked.len().max(1) as f64
+            used / outcome.requests.len().max(1) as f64
         );
         broken.iter().for_each(|what| println!("  BROKEN {what}"));
         println!("  {}", if broken.is_empty() { "holds" } else { "does not hold" });
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -2,7 +2,7 @@
 //! starts ends with it: processes are killed when it is dropped, or when its own process is, and it waits for nothing
 //! that it did not start.
 
-use crate::check::{Outcome, Seen, Yes};
+use crate::check::{BackendCommand, Outcome, StateChange};
 use crate::fault_proxy::{FaultProxy, Impairment};
 use crate::relay::{Network, Relay};
 use crate::script::{ConnectionFault, FaultKind, LinkConditions, QuotaSharing, Script};
@@ -88,7 +88,7 @@
     pub stand_ins: StandIns,
     home: IpAddr,
     strangers: usize,
-    yes: Vec<Yes>,
+    backend_commands: Vec<BackendCommand>,
 }
 
 impl Drop for Rig {
@@ -237,7 +237,7 @@
             stand_ins,
             home,
             strangers: script.foreign_ingresses,
-            yes: Vec::new(),
+            backend_commands: Vec::new(),
         };
         for n in 0..count {
             this.spawn(n).map_err(|e| said(&format!("{}", program.display()), e))?;
@@ -320,7 +320,7 @@
         }
         let start = Instant::now();
         self.stand_ins.reset_record();
-        self.yes.clear();
+        self.backend_commands.clear();
         let (length, count) = (Duration::from_millis(script.length), self.clients.len());
         let looks: Vec<_> =
             (0..count).map(|n| spawn_local(look(n, self.doors.clone(), start, length))).collect();
@@ -350,21 +350,27 @@
             [network.received, network.forwarded]
         };
         let processor = self.processes.iter().map(Process::processor).collect();
-        let mut outcome = Outcome { run, datagrams, processor, yes: self.yes.clone(), ..Outcome::default() };
+        let mut outcome = Outcome {
+            running: run,
+            datagrams,
+            cpu_time: processor,
+            backend_commands: self.backend_commands.clone(),
+            ..Outcome::default()
+        };
         for look in looks {
             let (seen, last) = look.await.map_err(|e| e.to_string())?;
-            outcome.seen.extend(seen);
-            outcome.last.push(last);
+            outcome.state_changes.extend(seen);
+            outcome.final_views.push(last);
         }
-        outcome.seen.sort_by_key(|seen| seen.at);
+        outcome.state_changes.sort_by_key(|seen| seen.at);
         for n in 0..count {
-            outcome.back.push(call(self.door(n), "recovery\n").await.as_deref().and_then(returned));
-            outcome.words.push(call(self.door(n), "notices\n").await.as_deref().and_then(spoken));
+            outcome.recoveries.push(call(self.door(n), "recovery\n").await.as_deref().and_then(returned));
+            outcome.final_notices.push(call(self.door(n), "notices\n").await.as_deref().and_then(spoken));
         }
         if let Some(load) = load {
             let report = load.await.map_err(|e| e.to_string())??;
-            outcome.asked = arrivals.iter().map(|a| (a.customer, a.units)).collect();
-            outcome.ends = [End::Served, End::Refused, End::Failed].map(|end| report.count(end));
+            outcome.requests = arrivals.iter().map(|a| (a.customer, a.units)).collect();
+            outcome.request_outcomes = [End::Served, End::Refused, End::Failed].map(|end| report.count(end));
         }
         outcome.record = self.stand_ins.record();
         Ok(outcome)
@@ -463,7 +469,7 @@
         }
         if let Some((server, out)) = of {
             let at = if out { self.stand_ins.now() } else { asked };
-            self.yes.push(Yes { at, by, server, out });
+            self.backend_commands.push(BackendCommand { at, ingress: by, backend: server, disabled: out });
         }
         Ok(())
     }
@@ -543,7 +549,7 @@
     doors: Rc<RefCell<Vec<SocketAddr>>>,
     start: Instant,
     length: Duration,
-) -> (Vec<Seen>, Option<BTreeMap<usize, String>>) {
+) -> (Vec<StateChange>, Option<BTreeMap<usize, String>>) {
     let (mut seen, mut before, mut last) = (Vec::new(), BTreeMap::new(), None);
     let pause = LOOK + Duration::from_millis(10 * doors.borrow().len() as u64);
     while start.elapsed() < length {
@@ -553,7 +559,7 @@
             for (of, state) in now.iter().filter(|(of, _)| **of != by) {
                 if before.get(of) != Some(state) {
                     let at = start.elapsed().as_millis() as u64;
-                    seen.push(Seen { at, by, of: *of, state: state.clone() });
+                    seen.push(StateChange { at, observer: by, member: *of, state: state.clone() });
                 }
             }
             before.clone_from(now);
--- a/trials/src/timeline.rs
+++ b/trials/src/timeline.rs
@@ -55,10 +55,13 @@
             area.draw(&Rectangle::new([(from, y(n)), (to, y(n) + ROW - 4)], colour.mix(0.35).filled()))?;
         }
     }
-    for seen in outcome.seen.iter().filter(|seen| seen.state == "dead" || seen.state == "alive") {
+    for seen in outcome.state_changes.iter().filter(|seen| seen.state == "dead" || seen.state == "alive") {
         let colour = if seen.state == "dead" { RED } else { GREEN };
         let at = x(seen.at as f64);
-        area.draw(&PathElement::new([(at, y(seen.by)), (at, y(seen.by) + ROW - 4)], colour.stroke_width(1)))?;
+        area.draw(&PathElement::new(
+            [(at, y(seen.observer)), (at, y(seen.observer) + ROW - 4)],
+            colour.stroke_width(1),
+        ))?;
     }
     let by_second = seconds(script, outcome);
     let most = by_second.iter().copied().max().unwrap_or(1).max(1);
@@ -89,7 +92,7 @@
 /// Where they cannot be written.
 pub fn csv(outcome: &Outcome) -> Result<Vec<u8>, String> {
     let mut out = csv::Writer::from_writer(Vec::new());
-    for seen in &outcome.seen {
+    for seen in &outcome.state_changes {
         out.serialize(seen).map_err(|e| e.to_string())?;
     }
     out.into_inner().map_err(|e| e.to_string())
@@ -110,7 +113,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::check::Seen;
+    use crate::check::StateChange;
 
     #[test]
     fn a_picture_has_a_row_for_each_and_a_table_a_line_for_each_change() {
@@ -118,8 +121,8 @@
             "ingresses = 3\nservers = 1\nlength = 20000\n[[faults]]\nat = 1000\ndo = { kill = [2] }",
         );
         let script = script.unwrap();
-        let seen = vec![Seen { at: 3000, by: 0, of: 2, state: "dead".into() }];
-        let outcome = Outcome { seen, ..Outcome::default() };
+        let state_changes = vec![StateChange { at: 3000, observer: 0, member: 2, state: "dead".into() }];
+        let outcome = Outcome { state_changes, ..Outcome::default() };
         let text = svg(&script, &outcome, "a kill").unwrap();
         assert!(["n0", "n1", "n2", "a kill"].iter().all(|part| text.contains(part)), "{text}");
         assert_eq!(csv(&outcome).unwrap(), b"at,by,of,state\n3000,0,2,dead\n");
