--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -125,16 +125,16 @@
 async fn fleet(program: PathBuf, ingresses: usize, servers: usize) -> Result<bool, String> {
     let script = Script::parse(&format!("ingresses = {ingresses}\nservers = {servers}\nlength = 1"))?;
     let rig = Rig::start(&program, &script).await?;
-    rig.joined().await?;
+    rig.wait_joined().await?;
     println!("{ingresses} ingresses before {servers} stand-in real servers; Ctrl-C ends them. Try:\n");
     let fields = ["Request-Id: a1", "X-Tier: club", "Request-Timeout-Ms: 1000"];
     let fields: Vec<String> = fields.iter().map(|field| format!("-H '{field}'")).collect();
     println!(
         "  curl -i {} -H 'X-Call-Terms: units=1,spread=1,first=0' 'http://{}/board-state/17?client=0000000000000007'\n",
         fields.join(" "),
-        rig.clients[0]
+        rig.client_addresses[0]
     );
-    for (n, door) in rig.doors.borrow().iter().enumerate() {
+    for (n, door) in rig.admin_addresses.borrow().iter().enumerate() {
         println!(
             "  the door of n{n}: {door}, as in: printf 'members\\n' | nc -N {} {}",
             door.ip(),
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -1,6 +1,6 @@
-//! Starts what a trial needs, breaks what its script says, and records what the doors and the stand-ins show. All that it
-//! starts ends with it: processes are killed when it is dropped, or when its own process is, and it waits for nothing
-//! that it did not start.
+//! Starts the processes, relays and stand-ins of a trial, applies the faults of its script, and records what the admin
+//! interfaces and the stand-ins report. Everything that a rig started ends with it: processes are killed when the rig is
+//! dropped, or when its own process ends in any way. A rig waits for no process that it did not start.
 
 use crate::check::{BackendCommand, Outcome, StateChange};
 use crate::fault_proxy::{FaultProxy, Impairment};
@@ -26,20 +26,22 @@
 use weldhub_load::run::run;
 use weldhub_load::work::{Step, Work};
 
-/// The doors are read so often, and once more for each hundredth of a second and ingress.
-const LOOK: Duration = Duration::from_millis(100);
-/// A process is ready, or a door answers, within this; generous, as machines differ.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// What is slow takes so long each way.
-const SLOW: u64 = 500;
-/// The plan of all who ask, and its classes.
-const PLAN: &str = "club";
-const CLASSES: [&str; 2] = ["board-state:9:safe:1500", "move-submit:1:keyed=6000:3000"];
-
-/// A process of the program.
+/// The pause between two reads of the members at one admin interface; `poll_members` adds 10 ms for each ingress.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The time within which a process must be ready, have joined, or have exited; long, because machines differ.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
+/// The delay of a slow connection, in milliseconds each way.
+const SLOW_DELAY_MS: u64 = 500;
+/// The name of the plan that all customers of the load have.
+const PLAN_NAME: &str = "club";
+/// The classes of the load: NAME:SHARE:EFFECT:TIMEOUT, times in milliseconds.
+const LOAD_CLASSES: [&str; 2] = ["board-state:9:safe:1500", "move-submit:1:keyed=6000:3000"];
+
+/// The current process of an ingress, killed on drop, and its configuration file, removed on drop.
 struct Process {
+    /// `None` if the process was killed or has not been started.
     child: Option<Child>,
-    file: PathBuf,
+    config_path: PathBuf,
 }
 
 impl Drop for Process {
@@ -48,46 +50,49 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-fn send(child: &Child, signal: Signal) -> io::Result<()> {
+fn send_signal(child: &Child, signal: Signal) -> io::Result<()> {
     let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
     pid.map_or(Ok(()), |pid| kill_process(pid, signal).map_err(io::Error::from))
 }
 
 impl Process {
-    /// The processor time that it has used, in milliseconds; 0 where that is not told.
-    fn processor(&self) -> f64 {
+    /// Returns the processor time that the process has used, in milliseconds; 0 if it cannot be read.
+    fn cpu_time(&self) -> f64 {
         let stat = |child: &Child| std::fs::read_to_string(format!("/proc/{}/stat", child.id())).ok();
         let text = self.child.as_ref().and_then(stat).unwrap_or_default();
-        // After the name in brackets: the 12th and 13th fields, in hundredths of a second.
+        // utime and stime are the 12th and 13th fields after the command's name in brackets, in ticks of 10 ms.
         let fields = text.rsplit(')').next().unwrap_or_default().split_ascii_whitespace();
         fields.skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() * 10.0
     }
 
+    /// Sends a signal to the process, if there is one.
     fn signal(&self, signal: Signal) -> io::Result<()> {
-        self.child.as_ref().map_or(Ok(()), |child| send(child, signal))
+        self.child.as_ref().map_or(Ok(()), |child| send_signal(child, signal))
     }
 }
 
-/// A fleet that runs.
+/// A running fleet of ingresses, with its relays and stand-ins.
 pub struct Rig {
     program: PathBuf,
+    /// The folder of the configurations, logs and sockets of the processes; removed on drop.
     folder: PathBuf,
-    /// Where clients of each ingress connect.
-    pub clients: Vec<SocketAddr>,
-    /// Their doors, which change with an upgrade.
-    pub doors: Rc<RefCell<Vec<SocketAddr>>>,
-    told: Vec<Value>,
+    /// The address where clients connect, by ingress.
+    pub client_addresses: Vec<SocketAddr>,
+    /// The address of the admin interface, by ingress; an upgrade changes it.
+    pub admin_addresses: Rc<RefCell<Vec<SocketAddr>>>,
+    /// The configuration, by ingress.
+    configs: Vec<Value>,
     processes: Vec<Process>,
     network: Rc<RefCell<Network>>,
-    relay: Relay,
-    /// What the ingresses talk with.
+    membership_relay: Relay,
+    /// The stand-ins that the ingresses talk to.
     pub stand_ins: StandIns,
-    home: IpAddr,
-    strangers: usize,
+    loopback_ip: IpAddr,
+    foreign_ingresses: usize,
     backend_commands: Vec<BackendCommand>,
 }
 
@@ -98,67 +103,71 @@
     }
 }
 
-/// An address of this rig's own: nobody's outgoing connection takes a port there while an ingress is down.
-fn home() -> IpAddr {
+/// Returns a loopback address of this rig's own, derived from the process id. On a shared address an outgoing connection of
+/// another process could take the port of an ingress while that is down.
+fn own_loopback_ip() -> IpAddr {
     let [a, b, ..] = std::process::id().to_le_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 64 | (a & 63), b, 1 | a >> 6))
 }
 
-fn free(home: IpAddr, count: usize) -> io::Result<Vec<SocketAddr>> {
-    // All at once, so that none is given twice.
-    let held: Vec<_> = (0..count).map(|_| TcpListener::bind((home, 0))).collect::<io::Result<_>>()?;
-    held.iter().map(TcpListener::local_addr).collect()
+/// Returns addresses with free TCP ports.
+fn free_tcp_addresses(ip: IpAddr, count: usize) -> io::Result<Vec<SocketAddr>> {
+    // All are bound at the same time, so that no port is returned twice.
+    let bound: Vec<_> = (0..count).map(|_| TcpListener::bind((ip, 0))).collect::<io::Result<_>>()?;
+    bound.iter().map(TcpListener::local_addr).collect()
 }
 
-fn free_udp(home: IpAddr, count: usize) -> io::Result<Vec<SocketAddr>> {
-    let held: Vec<_> = (0..count).map(|_| UdpSocket::bind((home, 0))).collect::<io::Result<_>>()?;
-    held.iter().map(UdpSocket::local_addr).collect()
+/// Returns addresses with free UDP ports.
+fn free_udp_addresses(ip: IpAddr, count: usize) -> io::Result<Vec<SocketAddr>> {
+    let bound: Vec<_> = (0..count).map(|_| UdpSocket::bind((ip, 0))).collect::<io::Result<_>>()?;
+    bound.iter().map(UdpSocket::local_addr).collect()
 }
 
-/// One line to a door, and its answer.
-async fn call(door: SocketAddr, line: &str) -> Option<String> {
-    let said = async {
-        let mut stream = TcpStream::connect(door).await.ok()?;
+/// Sends a line to an admin interface and returns its answer; `None` if there is none within two seconds.
+async fn admin_call(address: SocketAddr, line: &str) -> Option<String> {
+    let exchange = async {
+        let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(line.as_bytes()).await.ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).await.ok()?;
         Some(text)
     };
-    timeout(Duration::from_secs(2), said).await.ok().flatten()
+    timeout(Duration::from_secs(2), exchange).await.ok().flatten()
 }
 
-/// The states of the others by number, as a door tells them.
-fn view(text: &str) -> Option<BTreeMap<usize, String>> {
+/// Parses the answer to `members` to the state of each member by its number; `None` if it is incomplete or malformed.
+fn parse_members(text: &str) -> Option<BTreeMap<usize, String>> {
     let lines = text.strip_suffix("eof\n")?.lines();
-    let line = |line: &str| {
+    let member = |line: &str| {
         let words: Vec<&str> = line.split(' ').collect();
         Some((words.get(1)?.parse().ok()?, (*words.get(3)?).to_owned()))
     };
-    lines.map(line).collect()
+    lines.map(member).collect()
 }
 
-/// Operators' words as a door tells them, without how long ago they were said.
-fn spoken(text: &str) -> Option<Vec<String>> {
+/// Parses the answer to `notices`, and leaves out the age of each; `None` if it is incomplete or malformed.
+fn parse_notices(text: &str) -> Option<Vec<String>> {
     let lines = text.strip_suffix("eof\n")?.lines();
-    let line = |line: &str| {
+    let notice = |line: &str| {
         let words: Vec<&str> = line.split(' ').collect();
         Some(format!("{} {} {} by {}", words.first()?, words.get(1)?, words.get(2)?, words.last()?))
     };
-    lines.map(line).collect()
+    lines.map(notice).collect()
 }
 
-/// How far an ingress has come back, as its door tells it, and how long that took at first.
-fn returned(text: &str) -> Option<(String, Option<u64>)> {
-    let word = |key: &str| text.lines().find_map(|line| line.strip_prefix(key)?.split(' ').nth(1));
-    Some((word("stage")?.to_owned(), word("whole_after").and_then(|span| span.parse().ok())))
+/// Parses the answer to `recovery` to the stage and the milliseconds from the start until it was first whole; `None` if
+/// there is no stage.
+fn parse_recovery(text: &str) -> Option<(String, Option<u64>)> {
+    let value = |key: &str| text.lines().find_map(|line| line.strip_prefix(key)?.split(' ').nth(1));
+    Some((value("stage")?.to_owned(), value("whole_after").and_then(|span| span.parse().ok())))
 }
 
-/// What an ingress of this number is told, but for its sockets.
-fn settings(script: &Script, n: usize) -> Value {
+/// Returns the settings of the ingress of this number.
+fn settings(script: &Script, number: usize) -> Value {
     let class = |name: &str, give_up: f64, effect: &str| json!({"name": name, "aim": 600.0, "giveUp": give_up, "effect": effect, "group": "cell", "window": 6000.0});
     let plan = &script.plan;
     json!({
-        "balancers": script.ingresses, "myNumber": n, "zone": 0, "zones": ["a"], "flavors": ["m"],
+        "balancers": script.ingresses, "myNumber": number, "zone": 0, "zones": ["a"], "flavors": ["m"],
         "membershipMode": "pushed",
         "limits": {"maxAttempts": 3, "cancelling": true, "retryAfter": true, "maxRetryAfter": 1000.0,
             "mayTell": script.quota_sharing == QuotaSharing::Peers},
@@ -166,104 +175,117 @@
             "hasCounter": script.quota_sharing == QuotaSharing::Counter},
         "rules": {"coldFrom": 0.25, "cold": 18000.0, "fallMultiple": 2.0, "overloadFor": 3000.0},
         "classes": [class("board-state", 1500.0, "read_like"), class("move-submit", 3000.0, "idempotency_key")],
-        "tariffs": [{"name": PLAN, "perSecond": plan.rate, "storeSize": plan.burst, "atOnce": 0,
+        "tariffs": [{"name": PLAN_NAME, "perSecond": plan.rate, "storeSize": plan.burst, "atOnce": 0,
             "ceilingRate": plan.ceiling, "neverOverDepth": plan.ceiling_burst}],
     })
 }
 
 impl Rig {
-    /// Starts stand-ins, the relays and all ingresses of the program at this path; within a local task set. They are
-    /// ready when this returns.
+    /// Starts the stand-ins, the relays and all ingresses, which run the program at this path, and returns once they are
+    /// ready. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// What could not be started, or was not ready in time.
+    /// A message that says what could not be started, or which ingress was not ready in time.
     pub async fn start(program: &Path, script: &Script) -> Result<Self, String> {
-        let said = |what: &str, e: io::Error| format!("{what}: {e}");
-        let (count, home) = (script.ingresses, home());
-        let ports = |e| said("no free ports", e);
-        let all = free(home, 2 * count).map_err(ports)?;
-        let (clients, doors) = (all[..count].to_vec(), all[count..].to_vec());
-        let real = free_udp(home, 2 * count).map_err(ports)?;
-        let (real, mail) = (real[..count].to_vec(), real[count..].to_vec());
+        let context = |what: &str, e: io::Error| format!("{what}: {e}");
+        let (count, loopback_ip) = (script.ingresses, own_loopback_ip());
+        let ports = |e| context("no free ports", e);
+        let tcp = free_tcp_addresses(loopback_ip, 2 * count).map_err(ports)?;
+        let (client_addresses, admin_addresses) = (tcp[..count].to_vec(), tcp[count..].to_vec());
+        let udp = free_udp_addresses(loopback_ip, 2 * count).map_err(ports)?;
+        let (cluster_addresses, peer_addresses) = (udp[..count].to_vec(), udp[count..].to_vec());
         let network = Rc::new(RefCell::new(Network::new(script.seed)));
-        let relay = Relay::start(real.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
-        let post = Relay::start(mail.clone(), network.clone()).await.map_err(|e| said("the relay", e))?;
+        let membership_relay = Relay::start(cluster_addresses.clone(), network.clone())
+            .await
+            .map_err(|e| context("cannot start the membership relay", e))?;
+        let peer_relay = Relay::start(peer_addresses.clone(), network.clone())
+            .await
+            .map_err(|e| context("cannot start the relay of peer messages", e))?;
         let stand_ins = StandIns::start(count, script.backends, script.service_time).await;
-        let stand_ins = stand_ins.map_err(|e| said("the stand-ins", e))?;
-        let folder =
-            std::env::temp_dir().join(format!("weldhub-trial-{}-{}", std::process::id(), clients[0].port()));
-        std::fs::create_dir_all(&folder).map_err(|e| said("a folder", e))?;
-        let told = (0..count)
+        let stand_ins = stand_ins.map_err(|e| context("cannot start the stand-ins", e))?;
+        let folder = std::env::temp_dir().join(format!(
+            "weldhub-trial-{}-{}",
+            std::process::id(),
+            client_addresses[0].port()
+        ));
+        std::fs::create_dir_all(&folder)
+            .map_err(|e| context(&format!("cannot create {}", folder.display()), e))?;
+        let configs = (0..count)
             .map(|n| {
-                let seeds = [0, (n + 1) % count].map(|i| relay.advertised[i].to_string());
+                let seeds = [0, (n + 1) % count].map(|i| membership_relay.advertised[i].to_string());
                 let fleet = if n < script.fleet_size() { "trial" } else { "stranger" };
                 let addresses = stand_ins.addresses(n);
-                let mut told = json!({
-                    "name": format!("n{n}"), "listen": clients[n].to_string(), "management": doors[n].to_string(),
+                let mut config = json!({
+                    "name": format!("n{n}"), "listen": client_addresses[n].to_string(),
+                    "management": admin_addresses[n].to_string(),
                     "discovery": addresses.discovery.to_string(),
                     "known": {"generation": 1, "reset": true, "instances": stand_ins.list_entries(n)},
-                    "cluster": {"listen": real[n].to_string(), "advertise": relay.advertised[n].to_string(),
+                    "cluster": {"listen": cluster_addresses[n].to_string(),
+                        "advertise": membership_relay.advertised[n].to_string(),
                         "fleet": fleet, "seeds": if count > 1 { &seeds[..] } else { &[] }},
                     "settings": settings(script, n),
                 });
                 if let Some(size) = script.subset {
-                    told["subset"] = json!({ "size": size });
+                    config["subset"] = json!({ "size": size });
                 }
                 if !script.membership {
-                    told.as_object_mut().and_then(|told| told.remove("cluster"));
+                    config.as_object_mut().and_then(|config| config.remove("cluster"));
                 }
                 match script.quota_sharing {
                     QuotaSharing::None => {}
-                    QuotaSharing::Counter => told["counter"] = json!(addresses.counter.to_string()),
+                    QuotaSharing::Counter => config["counter"] = json!(addresses.counter.to_string()),
                     QuotaSharing::Peers => {
-                        let peers: Vec<String> = post.advertised.iter().map(SocketAddr::to_string).collect();
-                        (told["peer_listen"], told["peers"]) = (json!(mail[n].to_string()), json!(peers));
+                        let peers: Vec<String> =
+                            peer_relay.advertised.iter().map(SocketAddr::to_string).collect();
+                        (config["peer_listen"], config["peers"]) =
+                            (json!(peer_addresses[n].to_string()), json!(peers));
                     }
                 }
-                told
+                config
             })
             .collect();
-        let processes =
-            (0..count).map(|n| Process { child: None, file: folder.join(format!("n{n}.json")) }).collect();
+        let processes = (0..count)
+            .map(|n| Process { child: None, config_path: folder.join(format!("n{n}.json")) })
+            .collect();
         let mut this = Self {
             program: program.to_owned(),
             folder,
-            clients,
-            doors: Rc::new(RefCell::new(doors)),
-            told,
+            client_addresses,
+            admin_addresses: Rc::new(RefCell::new(admin_addresses)),
+            configs,
             processes,
             network,
-            relay,
+            membership_relay,
             stand_ins,
-            home,
-            strangers: script.foreign_ingresses,
+            loopback_ip,
+            foreign_ingresses: script.foreign_ingresses,
             backend_commands: Vec::new(),
         };
         for n in 0..count {
-            this.spawn(n).map_err(|e| said(&format!("{}", program.display()), e))?;
+            this.spawn(n).map_err(|e| context(&format!("{}", program.display()), e))?;
         }
         for n in 0..count {
-            this.ready(n).await?;
+            this.wait_ready(n).await?;
         }
         this.network.borrow_mut().conditions = script.net;
         Ok(this)
     }
 
-    fn door(&self, n: usize) -> SocketAddr {
-        self.doors.borrow()[n]
+    fn admin_address(&self, n: usize) -> SocketAddr {
+        self.admin_addresses.borrow()[n]
     }
 
-    /// Starts a process; the one before it, if any, goes on.
+    /// Starts a process for an ingress, and returns the one before it, if any, which keeps running.
     fn spawn(&mut self, n: usize) -> io::Result<Option<Child>> {
         let process = &mut self.processes[n];
-        std::fs::write(&process.file, self.told[n].to_string())?;
+        std::fs::write(&process.config_path, self.configs[n].to_string())?;
         let log =
             std::fs::File::options().create(true).append(true).open(self.folder.join(format!("n{n}.log")))?;
-        // It ends when this process does, also by SIGKILL.
+        // `guard` makes the kernel kill the program when this process ends, also by SIGKILL.
         let child = Command::new(std::env::current_exe()?)
             .arg("guard")
             .arg(&self.program)
-            .env("RELAY_CONFIG", &process.file)
+            .env("RELAY_CONFIG", &process.config_path)
             .env("TMPDIR", &self.folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -272,11 +294,12 @@
         Ok(process.child.replace(child))
     }
 
-    /// Waits until an ingress can serve.
-    async fn ready(&self, n: usize) -> Result<(), String> {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until an ingress reports that it is ready to serve.
+    async fn wait_ready(&self, n: usize) -> Result<(), String> {
+        let end = Instant::now() + PROCESS_TIMEOUT;
         loop {
-            if call(self.door(n), "ready\n").await.is_some_and(|text| text.starts_with("ok")) {
+            let answer = admin_call(self.admin_address(n), "ready\n").await;
+            if answer.is_some_and(|text| text.starts_with("ok")) {
                 return Ok(());
             }
             if Instant::now() > end {
@@ -286,86 +309,95 @@
         }
     }
 
-    /// Waits until every ingress sees every other of its fleet.
+    /// Waits until every ingress sees all others of its fleet as alive.
     ///
     /// # Errors
-    /// Where that takes too long.
-    pub async fn joined(&self) -> Result<(), String> {
-        let end = Instant::now() + PATIENCE;
-        let count = self.clients.len();
+    /// A message that names an ingress that does not after 30 seconds.
+    pub async fn wait_joined(&self) -> Result<(), String> {
+        let end = Instant::now() + PROCESS_TIMEOUT;
+        let count = self.client_addresses.len();
         for n in 0..count {
-            let fleet = if n < count - self.strangers { count - self.strangers } else { self.strangers };
+            let fleet_size = if n < count - self.foreign_ingresses {
+                count - self.foreign_ingresses
+            } else {
+                self.foreign_ingresses
+            };
             loop {
-                let seen =
-                    call(self.door(n), "members\n").await.as_deref().and_then(view).unwrap_or_default();
-                if seen.values().filter(|state| *state == "alive").count() + 1 == fleet {
+                let answer = admin_call(self.admin_address(n), "members\n").await;
+                let members = answer.as_deref().and_then(parse_members).unwrap_or_default();
+                if members.values().filter(|state| *state == "alive").count() + 1 == fleet_size {
                     break;
                 }
                 if Instant::now() > end {
-                    return Err(format!("n{n} did not see all others in time: {seen:?}"));
+                    return Err(format!("n{n} did not see all others as alive in time: {members:?}"));
                 }
-                sleep(LOOK).await;
+                sleep(MEMBERS_POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Plays the script, with a word for each fault, and tells what came of it.
+    /// Plays a script and returns what was recorded. `report_step` is called with a line of text for each start and end of
+    /// a fault.
     ///
     /// # Errors
-    /// Where a process cannot be started or signalled, or the load cannot be asked.
-    pub async fn play(&mut self, script: &Script, mut say: impl FnMut(String)) -> Result<Outcome, String> {
+    /// A message if a process cannot be started or signalled, an admin interface rejects a command, or the load cannot
+    /// run.
+    pub async fn play(
+        &mut self,
+        script: &Script,
+        mut report_step: impl FnMut(String),
+    ) -> Result<Outcome, String> {
         if script.membership {
-            self.joined().await?;
+            self.wait_joined().await?;
         }
         let start = Instant::now();
         self.stand_ins.reset_record();
         self.backend_commands.clear();
-        let (length, count) = (Duration::from_millis(script.length), self.clients.len());
-        let looks: Vec<_> =
-            (0..count).map(|n| spawn_local(look(n, self.doors.clone(), start, length))).collect();
-        let (work, own) = (work(script), script.fleet_size());
-        let arrivals = work.as_ref().map(Work::arrivals).unwrap_or_default();
-        let load = work.map(|work| {
-            let at: Vec<String> = self.clients[..own].iter().map(SocketAddr::to_string).collect();
-            spawn_local(async move { run(&work, &at, 8).await })
+        let (length, count) = (Duration::from_millis(script.length), self.client_addresses.len());
+        let polls: Vec<_> = (0..count)
+            .map(|n| spawn_local(poll_members(n, self.admin_addresses.clone(), start, length)))
+            .collect();
+        let (workload, fleet_size) = (workload(script), script.fleet_size());
+        let arrivals = workload.as_ref().map(Work::arrivals).unwrap_or_default();
+        let load = workload.map(|workload| {
+            let addresses: Vec<String> =
+                self.client_addresses[..fleet_size].iter().map(SocketAddr::to_string).collect();
+            spawn_local(async move { run(&workload, &addresses, 8).await })
         });
-        let mut todo: Vec<(u64, Turn)> = Vec::new();
+        let mut steps: Vec<(u64, FaultStep)> = Vec::new();
         for fault in &script.faults {
-            todo.push((fault.at, Turn::Begin(fault.kind.clone())));
+            steps.push((fault.at, FaultStep::Begin(fault.kind.clone())));
             if fault.end() > fault.at {
-                todo.push((fault.end(), Turn::End(fault.kind.clone())));
+                steps.push((fault.end(), FaultStep::End(fault.kind.clone())));
             }
         }
-        todo.sort_by_key(|(at, _)| *at);
-        let mut run = vec![true; count];
-        for (at, step) in todo {
+        steps.sort_by_key(|(at, _)| *at);
+        let mut running = vec![true; count];
+        for (at, step) in steps {
             sleep_until(start + Duration::from_millis(at)).await;
-            say(format!("{at} ms  {step:?}"));
-            self.step(&step, &mut run, script.net).await.map_err(|e| format!("at {at}: {e}"))?;
+            report_step(format!("{at} ms  {step:?}"));
+            self.apply(&step, &mut running, script.net).await.map_err(|e| format!("at {at} ms: {e}"))?;
         }
         sleep_until(start + length).await;
         let datagrams = {
             let network = self.network.borrow();
             [network.received, network.forwarded]
         };
-        let processor = self.processes.iter().map(Process::processor).collect();
-        let mut outcome = Outcome {
-            running: run,
-            datagrams,
-            cpu_time: processor,
-            backend_commands: self.backend_commands.clone(),
-            ..Outcome::default()
-        };
-        for look in looks {
-            let (seen, last) = look.await.map_err(|e| e.to_string())?;
-            outcome.state_changes.extend(seen);
-            outcome.final_views.push(last);
+        let cpu_time = self.processes.iter().map(Process::cpu_time).collect();
+        let backend_commands = self.backend_commands.clone();
+        let mut outcome = Outcome { running, datagrams, cpu_time, backend_commands, ..Outcome::default() };
+        for poll in polls {
+            let (state_changes, final_view) = poll.await.map_err(|e| e.to_string())?;
+            outcome.state_changes.extend(state_changes);
+            outcome.final_views.push(final_view);
         }
-        outcome.state_changes.sort_by_key(|seen| seen.at);
+        outcome.state_changes.sort_by_key(|change| change.at);
         for n in 0..count {
-            outcome.recoveries.push(call(self.door(n), "recovery\n").await.as_deref().and_then(returned));
-            outcome.final_notices.push(call(self.door(n), "notices\n").await.as_deref().and_then(spoken));
+            let recovery = admin_call(self.admin_address(n), "recovery\n").await;
+            outcome.recoveries.push(recovery.as_deref().and_then(parse_recovery));
+            let notices = admin_call(self.admin_address(n), "notices\n").await;
+            outcome.final_notices.push(notices.as_deref().and_then(parse_notices));
         }
         if let Some(load) = load {
             let report = load.await.map_err(|e| e.to_string())??;
@@ -376,195 +408,210 @@
         Ok(outcome)
     }
 
-    async fn step(&mut self, step: &Turn, run: &mut [bool], usual: LinkConditions) -> Result<(), String> {
-        let wrong = |e: io::Error| e.to_string();
-        let on = matches!(step, Turn::Begin(_));
-        let (Turn::Begin(what) | Turn::End(what)) = step;
-        match what {
-            FaultKind::Kill(of) if on => {
-                for n in of {
-                    run[*n] = false;
+    /// Begins or ends a fault. `running` is updated with the ingresses that it stops or starts; `base_conditions` apply
+    /// again when a `Network` fault ends.
+    async fn apply(
+        &mut self,
+        step: &FaultStep,
+        running: &mut [bool],
+        base_conditions: LinkConditions,
+    ) -> Result<(), String> {
+        let message = |e: io::Error| e.to_string();
+        let begins = matches!(step, FaultStep::Begin(_));
+        let (FaultStep::Begin(kind) | FaultStep::End(kind)) = step;
+        match kind {
+            FaultKind::Kill(ingresses) if begins => {
+                for n in ingresses {
+                    running[*n] = false;
                     if let Some(mut child) = self.processes[*n].child.take() {
-                        child.kill().and_then(|()| child.wait()).map_err(wrong)?;
+                        child.kill().and_then(|()| child.wait()).map_err(message)?;
                     }
                 }
             }
-            FaultKind::Term(of) if on => {
-                for n in of {
-                    run[*n] = false;
-                    self.processes[*n].signal(Signal::TERM).map_err(wrong)?;
+            FaultKind::Term(ingresses) if begins => {
+                for n in ingresses {
+                    running[*n] = false;
+                    self.processes[*n].signal(Signal::TERM).map_err(message)?;
                 }
             }
-            FaultKind::Start(of) if on => {
-                for n in of {
+            FaultKind::Start(ingresses) if begins => {
+                for n in ingresses {
                     if let Some(child) = self.processes[*n].child.take() {
-                        end(child).await.map_err(wrong)?;
+                        wait_or_kill(child).await.map_err(message)?;
                     }
-                    self.spawn(*n).map_err(wrong)?;
-                    run[*n] = true;
+                    self.spawn(*n).map_err(message)?;
+                    running[*n] = true;
                 }
             }
-            FaultKind::Upgrade(of) if on => {
-                for n in of {
-                    let door = free(self.home, 1).map_err(wrong)?[0];
-                    self.told[*n]["management"] = json!(door.to_string());
-                    let old = self.spawn(*n).map_err(wrong)?;
-                    self.doors.borrow_mut()[*n] = door;
-                    self.ready(*n).await?;
+            FaultKind::Upgrade(ingresses) if begins => {
+                for n in ingresses {
+                    let admin_address = free_tcp_addresses(self.loopback_ip, 1).map_err(message)?[0];
+                    self.configs[*n]["management"] = json!(admin_address.to_string());
+                    let old = self.spawn(*n).map_err(message)?;
+                    self.admin_addresses.borrow_mut()[*n] = admin_address;
+                    self.wait_ready(*n).await?;
                     if let Some(old) = old {
-                        send(&old, Signal::TERM).map_err(wrong)?;
-                        end(old).await.map_err(wrong)?;
+                        send_signal(&old, Signal::TERM).map_err(message)?;
+                        wait_or_kill(old).await.map_err(message)?;
                     }
                 }
             }
-            FaultKind::Pause { ingresses: of, .. } => {
-                let signal = if on { Signal::STOP } else { Signal::CONT };
-                of.iter().try_for_each(|n| self.processes[*n].signal(signal)).map_err(wrong)?;
+            FaultKind::Pause { ingresses, .. } => {
+                let signal = if begins { Signal::STOP } else { Signal::CONT };
+                ingresses.iter().try_for_each(|n| self.processes[*n].signal(signal)).map_err(message)?;
             }
-            FaultKind::Cut { from, to, one_sided, .. } => self.cut(from, to, *one_sided, on),
+            FaultKind::Cut { from, to, one_sided, .. } => self.set_cut(from, to, *one_sided, begins),
             FaultKind::Network { net, .. } => {
-                self.network.borrow_mut().conditions = if on { *net } else { usual }
+                self.network.borrow_mut().conditions = if begins { *net } else { base_conditions }
             }
-            FaultKind::ClockAhead { ingress, by } if on => self.forge(*ingress, *by).await,
+            FaultKind::ClockAhead { ingress, by } if begins => self.announce_ahead(*ingress, *by).await,
             FaultKind::Discovery { ingresses, fault, .. } => {
-                gates(&self.stand_ins.discovery_proxies, ingresses, *fault, on)
+                set_faults(&self.stand_ins.discovery_proxies, ingresses, *fault, begins)
             }
             FaultKind::Counter { ingresses, fault, .. } => {
-                gates(&self.stand_ins.counter_proxies, ingresses, *fault, on)
+                set_faults(&self.stand_ins.counter_proxies, ingresses, *fault, begins)
             }
             FaultKind::Backends { backends, ingresses, fault, .. } => {
-                backends
-                    .iter()
-                    .for_each(|s| gates(&self.stand_ins.backend_proxies[*s], ingresses, *fault, on));
+                let proxies = &self.stand_ins.backend_proxies;
+                backends.iter().for_each(|b| set_faults(&proxies[*b], ingresses, *fault, begins));
             }
-            FaultKind::EmptyList { .. } => self.stand_ins.set_list_empty(on),
-            FaultKind::ResetCounter if on => self.stand_ins.reset_counter(),
+            FaultKind::EmptyList { .. } => self.stand_ins.set_list_empty(begins),
+            FaultKind::ResetCounter if begins => self.stand_ins.reset_counter(),
             FaultKind::SplitCounter { ingresses, .. } => {
-                self.stand_ins.split_counter(if on { ingresses } else { &[] })
+                self.stand_ins.split_counter(if begins { ingresses } else { &[] })
             }
             FaultKind::DrainBackends { backends, .. } => {
-                backends.iter().for_each(|s| self.stand_ins.set_draining(*s, on))
+                backends.iter().for_each(|b| self.stand_ins.set_draining(*b, begins))
             }
             FaultKind::DisableBackend { backend, by, back_by, .. } => {
-                let word = if on { "disable-server" } else { "enable-server" };
-                let door = if on { *by } else { *back_by };
-                self.operate(door, &format!("{word} s{backend}"), Some((*backend, on))).await?;
+                let command = if begins { "disable-server" } else { "enable-server" };
+                let at = if begins { *by } else { *back_by };
+                self.operate(at, &format!("{command} s{backend}"), Some((*backend, begins))).await?;
             }
             FaultKind::DrainIngress { ingress, by, back_by, .. } => {
-                let word = if on { "drain" } else { "resume" };
-                let door = if on { *by } else { *back_by };
-                self.operate(door, &format!("{word} n{ingress}"), None).await?;
+                let command = if begins { "drain" } else { "resume" };
+                let at = if begins { *by } else { *back_by };
+                self.operate(at, &format!("{command} n{ingress}"), None).await?;
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// An operator's call at a door, and when it was answered.
-    async fn operate(&mut self, by: usize, line: &str, of: Option<(usize, bool)>) -> Result<(), String> {
-        let asked = self.stand_ins.now();
-        let answer = call(self.door(by), &format!("{line}\n")).await.unwrap_or_default();
+    /// Sends an operator's command to the admin interface of an ingress. A command on a backend, given with whether it
+    /// disables it, is recorded.
+    async fn operate(
+        &mut self,
+        ingress: usize,
+        line: &str,
+        backend_command: Option<(usize, bool)>,
+    ) -> Result<(), String> {
+        let sent_at = self.stand_ins.now();
+        let answer = admin_call(self.admin_address(ingress), &format!("{line}\n")).await.unwrap_or_default();
         if !answer.starts_with("ok") {
-            return Err(format!("the door of n{by} says {answer:?} to {line}"));
+            return Err(format!("the admin interface of n{ingress} answers {answer:?} to {line}"));
         }
-        if let Some((server, out)) = of {
-            let at = if out { self.stand_ins.now() } else { asked };
-            self.backend_commands.push(BackendCommand { at, ingress: by, backend: server, disabled: out });
+        if let Some((backend, disabled)) = backend_command {
+            let at = if disabled { self.stand_ins.now() } else { sent_at };
+            self.backend_commands.push(BackendCommand { at, ingress, backend, disabled });
         }
         Ok(())
     }
 
-    /// All hear of a process of this ingress whose clock was ahead.
-    async fn forge(&self, of: usize, by: u64) {
+    /// Announces a process of this ingress to all others whose start, by its clock, is this many milliseconds ahead.
+    async fn announce_ahead(&self, ingress: usize, ahead: u64) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let from = Identity {
-            name: format!("n{of}"),
-            number: u16::try_from(of).unwrap_or_default(),
-            at: self.relay.advertised[of],
-            born: now + by,
+            name: format!("n{ingress}"),
+            number: u16::try_from(ingress).unwrap_or_default(),
+            at: self.membership_relay.advertised[ingress],
+            born: now + ahead,
         };
         let (claims, notices) = (Vec::new(), Vec::new());
         let packet = Packet { from, incarnation: 0, body: Body::News, claims, notices, digest: 0 };
         if let Some(bytes) = packet.write(fleet_key("trial")) {
-            self.relay.send_forged(of, &bytes).await;
+            self.membership_relay.send_forged(ingress, &bytes).await;
         }
     }
 
-    fn cut(&self, from: &[usize], to: &[usize], one_sided: bool, on: bool) {
+    /// Adds or removes cuts from each ingress of the first group to each of the second, and back unless `one_sided`.
+    fn set_cut(&self, from: &[usize], to: &[usize], one_sided: bool, active: bool) {
         let mut network = self.network.borrow_mut();
         for a in from {
             for b in to {
-                network.set_cut(*a, *b, on);
+                network.set_cut(*a, *b, active);
                 if !one_sided {
-                    network.set_cut(*b, *a, on);
+                    network.set_cut(*b, *a, active);
                 }
             }
         }
     }
 }
 
-fn gates(all: &[FaultProxy], of: &[usize], fault: ConnectionFault, on: bool) {
-    let line = match fault {
+/// Adds or removes a fault at the proxies of these ingresses.
+fn set_faults(proxies: &[FaultProxy], ingresses: &[usize], fault: ConnectionFault, active: bool) {
+    let impairment = match fault {
         ConnectionFault::Silent => Impairment { silent: true, ..Impairment::default() },
         ConnectionFault::Refused => Impairment { refused: true, ..Impairment::default() },
-        ConnectionFault::Slow => Impairment { delay_ms: SLOW, ..Impairment::default() },
+        ConnectionFault::Slow => Impairment { delay_ms: SLOW_DELAY_MS, ..Impairment::default() },
     };
-    of.iter().for_each(|n| all[*n].set_fault(line, on));
+    ingresses.iter().for_each(|n| proxies[*n].set_fault(impairment, active));
 }
 
-/// One that was told to stop is given its time, and then killed.
-async fn end(mut child: Child) -> io::Result<()> {
-    let last = Instant::now() + PATIENCE;
-    while child.try_wait()?.is_none() && Instant::now() < last {
+/// Waits for a process that was asked to end, and kills it after `PROCESS_TIMEOUT`.
+async fn wait_or_kill(mut child: Child) -> io::Result<()> {
+    let end = Instant::now() + PROCESS_TIMEOUT;
+    while child.try_wait()?.is_none() && Instant::now() < end {
         sleep(Duration::from_millis(20)).await;
     }
     let _ = child.kill();
     child.wait().map(drop)
 }
 
-/// What is asked in a trial; none where nothing is.
-fn work(script: &Script) -> Option<Work> {
-    let own = script.fleet_size();
+/// Returns the load of a script, which ends two seconds before the trial; `None` if its rate is 0.
+fn workload(script: &Script) -> Option<Work> {
+    let fleet_size = script.fleet_size();
     (script.rate > 0.0).then(|| Work {
         seed: script.seed,
         steps: vec![Step { seconds: script.length as f64 / 1000.0 - 2.0, rate: script.rate }],
-        classes: CLASSES.iter().filter_map(|class| class.parse().ok()).collect(),
+        classes: LOAD_CLASSES.iter().filter_map(|class| class.parse().ok()).collect(),
         customers: script.plan.customers,
-        plan: PLAN.into(),
-        spread: if script.plan.spread == 0 { own } else { script.plan.spread.min(own) },
+        plan: PLAN_NAME.into(),
+        spread: if script.plan.spread == 0 { fleet_size } else { script.plan.spread.min(fleet_size) },
         units: script.plan.units,
     })
 }
 
-/// A step of a script: a fault begins, or ends.
+/// The start or the end of a fault.
 #[derive(Debug)]
-enum Turn {
+enum FaultStep {
     Begin(FaultKind),
     End(FaultKind),
 }
 
-/// Reads a door again and again; tells each change, and the last view.
-async fn look(
-    by: usize,
-    doors: Rc<RefCell<Vec<SocketAddr>>>,
+/// Reads the members at the admin interface of an ingress until the trial ends; returns the state changes, and the last
+/// view, which is `None` if the last call was not answered.
+async fn poll_members(
+    observer: usize,
+    admin_addresses: Rc<RefCell<Vec<SocketAddr>>>,
     start: Instant,
     length: Duration,
 ) -> (Vec<StateChange>, Option<BTreeMap<usize, String>>) {
-    let (mut seen, mut before, mut last) = (Vec::new(), BTreeMap::new(), None);
-    let pause = LOOK + Duration::from_millis(10 * doors.borrow().len() as u64);
+    let (mut changes, mut before, mut last) = (Vec::new(), BTreeMap::new(), None);
+    let pause = MEMBERS_POLL_INTERVAL + Duration::from_millis(10 * admin_addresses.borrow().len() as u64);
     while start.elapsed() < length {
-        let door = doors.borrow()[by];
-        last = call(door, "members\n").await.as_deref().and_then(view);
-        if let Some(now) = &last {
-            for (of, state) in now.iter().filter(|(of, _)| **of != by) {
-                if before.get(of) != Some(state) {
+        let address = admin_addresses.borrow()[observer];
+        last = admin_call(address, "members\n").await.as_deref().and_then(parse_members);
+        if let Some(view) = &last {
+            for (member, state) in view.iter().filter(|(member, _)| **member != observer) {
+                if before.get(member) != Some(state) {
                     let at = start.elapsed().as_millis() as u64;
-                    seen.push(StateChange { at, observer: by, member: *of, state: state.clone() });
+                    changes.push(StateChange { at, observer, member: *member, state: state.clone() });
                 }
             }
-            before.clone_from(now);
+            before.clone_from(view);
         }
         sleep(pause).await;
     }
-    (seen, last)
+    (changes, last)
 }
