--- a/trials/src/check.rs
+++ b/trials/src/check.rs
@@ -1,18 +1,19 @@
-//! Checks what a trial recorded. Violations are: an ingress that runs but was declared dead, views that do not agree at the
-//! end, requests without an outcome, requests that were sent to a draining or disabled backend, exceeded ceilings, and
-//! ingresses that did not recover fully.
+//! Checks what a trial recorded. Violations are: an ingress that runs but was declared dead, views that do
+//! not agree at the end, requests without an outcome, requests that were sent to a draining or disabled
+//! backend, exceeded ceilings, and ingresses that did not recover fully.
 
 use crate::script::{Fault, FaultKind, Script};
 use crate::stand_ins::Record;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// How long after it learned that a backend drains an ingress may still send it requests, in milliseconds; a rule of the
-/// platform.
+/// How long after it learned that a backend drains an ingress may still send it requests, in milliseconds; a
+/// rule of the platform.
 const DRAIN_GRACE_MS: i64 = 250;
 /// What is added to time limits because of differences between machines, in milliseconds.
 const TIMING_SLACK_MS: i64 = 500;
-/// The fraction by which a ceiling may be exceeded, unless one request of the largest size exceeds it by more.
+/// The fraction by which a ceiling may be exceeded, unless one request of the largest size exceeds it by
+/// more.
 const CEILING_TOLERANCE: f64 = 0.1;
 /// The time over which a ceiling's rate is added to its burst, in seconds.
 const EXTRA_BURST_SECONDS: f64 = 0.15;
@@ -35,8 +36,8 @@
 /// An operator's successful command that disables or enables a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct BackendCommand {
-    /// When a disabling command was answered, or an enabling command was sent, in milliseconds from the start of the
-    /// trial: between the two the backend is certainly disabled.
+    /// When a disabling command was answered, or an enabling command was sent, in milliseconds from the start
+    /// of the trial: between the two the backend is certainly disabled.
     pub at: i64,
     /// The ingress whose admin interface took the command.
     #[serde(rename = "by")]
@@ -61,7 +62,8 @@
     /// The last view of each ingress: states by member; `None` if its admin interface did not answer.
     #[serde(rename = "last")]
     pub final_views: Vec<Option<BTreeMap<usize, String>>>,
-    /// The operators' notices that each ingress knew at the end; `None` if its admin interface did not answer.
+    /// The operators' notices that each ingress knew at the end; `None` if its admin interface did not
+    /// answer.
     #[serde(rename = "words")]
     pub final_notices: Vec<Option<Vec<String>>>,
     /// The customer and the units of each request of the load.
@@ -75,8 +77,8 @@
     /// The processor time that the process of each ingress has used, in milliseconds; 0 if it cannot be read.
     #[serde(rename = "processor")]
     pub cpu_time: Vec<f64>,
-    /// The recovery stage that each ingress reports at the end, and the time from its last start until it was first whole,
-    /// in milliseconds. `None` if its admin interface did not answer.
+    /// The recovery stage that each ingress reports at the end, and the time from its last start until it was
+    /// first whole, in milliseconds. `None` if its admin interface did not answer.
     #[serde(rename = "back")]
     pub recoveries: Vec<Option<(String, Option<u64>)>>,
     /// The operators' commands on backends, in order.
@@ -89,24 +91,25 @@
 /// The worst values that the checks measured.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Measurements {
-    /// The longest time after which an ingress that had learned that a backend drains still sent it a request, in
-    /// milliseconds.
+    /// The longest time after which an ingress that had learned that a backend drains still sent it a
+    /// request, in milliseconds.
     #[serde(rename = "drain")]
     pub drain_delay: i64,
-    /// The longest time after an operator disabled a backend at which an ingress still sent it a request, in milliseconds.
+    /// The longest time after an operator disabled a backend at which an ingress still sent it a request, in
+    /// milliseconds.
     #[serde(rename = "ban")]
     pub disable_delay: i64,
     /// The highest use of a ceiling's burst by a customer, as a fraction of it.
     #[serde(rename = "ceiling")]
     pub ceiling_use: f64,
-    /// The longest time from the start of killed ingresses until the rate of requests at backends, over one second, is
-    /// back at nine tenths of that in the 4 s before the kill, in milliseconds.
+    /// The longest time from the start of killed ingresses until the rate of requests at backends, over one
+    /// second, is back at nine tenths of that in the 4 s before the kill, in milliseconds.
     #[serde(rename = "back")]
     pub recovery_time: i64,
 }
 
-/// Returns whether an ingress was stopped, paused or cut off at this time, or shortly before: until the suspicion that
-/// follows from that must have been resolved.
+/// Returns whether an ingress was stopped, paused or cut off at this time, or shortly before: until the
+/// suspicion that follows from that must have been resolved.
 fn is_disturbed(script: &Script, ingress: usize, at: i64) -> bool {
     const SUSPICION_SLACK_MS: u64 = 6000;
     script.faults.iter().any(|fault| {
@@ -136,7 +139,8 @@
     })
 }
 
-/// Checks an outcome, and returns the violations and the measured values. No violation means that the trial passed.
+/// Checks an outcome, and returns the violations and the measured values. No violation means that the trial
+/// passed.
 pub fn check(script: &Script, outcome: &Outcome) -> (Vec<String>, Measurements) {
     let mut violations = Vec::new();
     let mut measurements = Measurements::default();
@@ -154,8 +158,8 @@
     (violations, measurements)
 }
 
-/// Checks that no running ingress was declared dead, and that at the end the view of each ingress shows who runs and no
-/// member of another fleet.
+/// Checks that no running ingress was declared dead, and that at the end the view of each ingress shows who
+/// runs and no member of another fleet.
 fn check_views(script: &Script, outcome: &Outcome, violations: &mut Vec<String>) {
     for change in outcome.state_changes.iter().filter(|change| change.state == "dead") {
         let StateChange { at, observer, member, .. } = change;
@@ -189,8 +193,8 @@
     }
 }
 
-/// Checks that an ingress sends nothing to a backend once it has received that the backend drains. A paused ingress
-/// receives that only when it resumes, so times of disturbance do not count.
+/// Checks that an ingress sends nothing to a backend once it has received that the backend drains. A paused
+/// ingress receives that only when it resumes, so times of disturbance do not count.
 fn check_drains(
     script: &Script,
     outcome: &Outcome,
@@ -223,8 +227,8 @@
     }
 }
 
-/// Checks that every ingress of a fleet applies an operator's notice in time, and that at the end all know the same
-/// notices, none of which is active.
+/// Checks that every ingress of a fleet applies an operator's notice in time, and that at the end all know
+/// the same notices, none of which is active.
 fn check_notices(
     script: &Script,
     outcome: &Outcome,
@@ -273,8 +277,8 @@
     }
 }
 
-/// Checks that all ingresses that run at the end report that they are whole, and measures how long the fleet took to get
-/// back to the request rate that it had before a kill.
+/// Checks that all ingresses that run at the end report that they are whole, and measures how long the fleet
+/// took to get back to the request rate that it had before a kill.
 fn check_recovery(
     script: &Script,
     outcome: &Outcome,
@@ -305,8 +309,8 @@
     }
 }
 
-/// Checks that the requests of each customer that reached backends stay within its ceiling, a token bucket that fills at
-/// the ceiling's rate. Repeats of a request count once.
+/// Checks that the requests of each customer that reached backends stay within its ceiling, a token bucket
+/// that fills at the ceiling's rate. Repeats of a request count once.
 fn check_ceilings(
     script: &Script,
     outcome: &Outcome,
@@ -325,7 +329,8 @@
         }
     }
     let depth = plan.ceiling_burst + plan.ceiling * EXTRA_BURST_SECONDS;
-    // A ceiling is violated only if it is exceeded both by the tolerance and by one request of the largest size.
+    // A ceiling is violated only if it is exceeded both by the tolerance and by one request of the largest
+    // size.
     let [with_tolerance, with_one_request] = [
         (plan.ceiling * (1.0 + CEILING_TOLERANCE), depth * (1.0 + CEILING_TOLERANCE)),
         (plan.ceiling, depth + f64::from(plan.units)),
@@ -423,7 +428,8 @@
             })),
             1
         );
-        // An unnoticed death, an unknown member, an admin interface that does not answer, a request without an outcome.
+        // An unnoticed death, an unknown member, an admin interface that does not answer, a request without
+        // an outcome.
         assert_eq!(
             violations(|o| o.final_views[0] = Some([(1, "alive".into()), (2, "alive".into())].into())),
             1
@@ -433,7 +439,8 @@
         assert_eq!(violations(|o| o.request_outcomes[0] = 7), 1);
         // A member of another fleet is known.
         assert_eq!(violations(|o| o.final_views[3] = Some([(0, "dead".into())].into())), 1);
-        // Requests to a draining backend, to one disabled at the same ingress, and to one disabled long ago at another.
+        // Requests to a draining backend, to one disabled at the same ingress, and to one disabled long ago
+        // at another.
         assert_eq!(violations(|o| o.record.arrivals[1].at = 2900), 1);
         assert_eq!(violations(|o| o.record.arrivals[0].at = 1900), 1);
         assert_eq!(violations(|o| o.record.arrivals[3].at = 6900), 1);
@@ -442,7 +449,8 @@
         // A notice that did not reach an ingress, and one that is still active.
         assert_eq!(violations(|o| o.final_notices[1] = Some(Vec::new())), 1);
         assert_eq!(violations(|o| o.final_notices.fill(Some(vec!["s0 server out by 1".into()]))), 1);
-        // Five more requests of two units at once: 14 units, where 6.5 are allowed, or 8.5 with one request in excess.
+        // Five more requests of two units at once: 14 units, where 6.5 are allowed, or 8.5 with one request
+        // in excess.
         assert_eq!(violations(|o| o.record.arrivals.extend((4..9).map(|n| arrival(4600, 1, 1, n)))), 1);
         // Repeats of a request count once.
         assert_eq!(violations(|o| o.record.arrivals.extend((0..9).map(|_| arrival(4600, 1, 1, 3)))), 0);
--- a/trials/src/fault_proxy.rs
+++ b/trials/src/fault_proxy.rs
@@ -1,5 +1,5 @@
-//! TCP proxies in front of the stand-ins. Each ingress reaches each stand-in at an address of its own, so that connections
-//! of one ingress can be stalled, delayed or reset without touching those of the others.
+//! TCP proxies in front of the stand-ins. Each ingress reaches each stand-in at an address of its own, so
+//! that connections of one ingress can be stalled, delayed or reset without touching those of the others.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -43,7 +43,8 @@
 }
 
 impl FaultProxy {
-    /// Adds a fault, or removes one that equals it. A fault that was added twice lasts until it is removed twice.
+    /// Adds a fault, or removes one that equals it. A fault that was added twice lasts until it is removed
+    /// twice.
     pub fn set_fault(&self, fault: Impairment, active: bool) {
         let mut faults = self.active_faults.borrow_mut();
         match faults.iter().position(|f| *f == fault).filter(|_| !active) {
@@ -70,8 +71,8 @@
         let _ = self.impairment.subscribe().wait_for(|now| now.refused).await;
     }
 
-    /// Listens on a free port of 127.0.0.1 and returns its address. `serve` is called for each connection, with the
-    /// stand-in's end of the proxied stream.
+    /// Listens on a free port of 127.0.0.1 and returns its address. `serve` is called for each connection,
+    /// with the stand-in's end of the proxied stream.
     ///
     /// # Errors
     /// The operating system's error if no port can be bound.
@@ -111,8 +112,8 @@
     );
 }
 
-/// Passes bytes in one direction until end of file or a failed write. Every chunk is due a fixed delay after it was read,
-/// so delays of successive chunks do not add up.
+/// Passes bytes in one direction until end of file or a failed write. Every chunk is due a fixed delay after
+/// it was read, so delays of successive chunks do not add up.
 async fn pass_one_way(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
--- a/trials/src/lib.rs
+++ b/trials/src/lib.rs
@@ -1,5 +1,7 @@
-//! A rig of processes: several of the shipped program on loopback, stand-ins for what is round them, a relay between
-//! every pair, and a script that breaks things. What the doors show is recorded on one clock and checked.
+//! Trials of the shipped program. A rig starts several processes of it on loopback, with stand-ins for the
+//! systems around them and relays between them, and injects the faults of a script. What the admin interfaces
+//! and the stand-ins report is recorded on one clock and checked. `scale` measures the cost of an ingress at
+//! sizes that processes do not reach.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: `weldhub-trials play SCRIPT...` and `weldhub-trials fleet`.
+//! The command line: `weldhub-trials play SCRIPT...`, `weldhub-trials scale` and `weldhub-trials fleet`.
 
 use clap::{Parser, Subcommand};
 use std::os::unix::process::CommandExt;
@@ -12,64 +12,66 @@
 use weldhub_trials::script::Script;
 use weldhub_trials::timeline;
 
-/// Starts several processes of weldhub on loopback, breaks things between them, and checks what follows.
+/// Starts several processes of weldhub on loopback, injects faults, and checks the outcome.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The program.
+    /// The path of the weldhub binary.
     #[arg(long, global = true, default_value = "target/release/weldhub")]
     program: PathBuf,
     #[command(subcommand)]
-    command: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Play scripts one after the other.
+enum Command {
+    /// Play scripts one after the other. Fails if a check does.
     Play {
-        /// The scripts.
+        /// The paths of the scripts.
         #[arg(required = true)]
         scripts: Vec<PathBuf>,
-        /// Where all that was seen is written, as JSON, a line a script.
+        /// Write the outcome of each script to this file, as one line of JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Where a time line of each is drawn, as SVG, and its changes written, as CSV.
+        /// Write the timeline of each script to this folder, as SVG, and its state changes, as CSV.
         #[arg(long)]
         folder: Option<PathBuf>,
     },
-    /// Measure what an ingress costs at several sizes, up to those of docs/CAPACITY.md.
+    /// Measure the cost of an ingress at several sizes, up to those of docs/CAPACITY.md.
     Scale {
-        /// What is measured.
+        /// The parts to measure.
         #[arg(long, value_delimiter = ',', default_value = "list,fleet,peers,counter,real")]
         parts: Vec<Part>,
-        /// Each ingress sends to so many backends; all where this is not given.
+        /// The number of backends that each ingress sends to; all if not given.
         #[arg(long)]
         subset: Option<usize>,
-        /// Where slopes are written, as JSON, CSV and SVG.
+        /// Write the slopes to this folder, as JSON, CSV and SVG.
         #[arg(long, default_value = "target/scale")]
         folder: PathBuf,
     },
-    /// Become the program, and end with the process that has started this one.
+    /// Execute the program, which is killed when the process that started this one ends.
     #[command(hide = true)]
     Guard,
-    /// Run a small fleet until it is ended.
+    /// Run a small fleet until this process is told to end.
     Fleet {
-        /// How many ingresses.
+        /// The number of ingresses.
         #[arg(long, default_value_t = 3)]
         ingresses: usize,
-        /// How many stand-in real servers.
+        /// The number of stand-in backends.
         #[arg(long, default_value_t = 5)]
         servers: usize,
     },
 }
 
+/// Plays the scripts, prints a summary of each and writes the requested files; returns whether all checks
+/// passed.
 async fn play(
     program: PathBuf,
     scripts: Vec<PathBuf>,
     json: Option<PathBuf>,
     folder: Option<PathBuf>,
 ) -> Result<bool, String> {
-    let (mut whole, mut lines) = (true, String::new());
+    let (mut passed, mut lines) = (true, String::new());
     let count = scripts.len();
     for (i, path) in scripts.into_iter().enumerate() {
         let name = path.display().to_string();
@@ -78,55 +80,55 @@
         println!("{} of {count}, {name}: {} ingresses, {} ms", i + 1, script.ingresses, script.length);
         let mut rig = Rig::start(&program, &script).await?;
         let outcome = rig.play(&script, |step| println!("  {step}")).await?;
-        let (broken, figures) = check(&script, &outcome);
-        let [served, refused, failed] = outcome.request_outcomes;
-        let [came, passed] = outcome.datagrams;
+        let (violations, measurements) = check(&script, &outcome);
+        let [served, rejected, failed] = outcome.request_outcomes;
+        let [received, forwarded] = outcome.datagrams;
         println!(
-            "  {} changes seen; {} asked: {served} served, {refused} refused, {failed} failed; {came} datagrams, {passed} passed on",
+            "  {} state changes; {} requests: {served} served, {rejected} rejected, {failed} failed; datagrams: {received} received, {forwarded} forwarded",
             outcome.state_changes.len(),
             outcome.requests.len()
         );
-        let most = figures.ceiling_use;
         println!(
-            "  latest after a drain's word {} ms, after an operator's {} ms; most of a ceiling {most:.2}",
-            figures.drain_delay, figures.disable_delay
+            "  latest request after a drain {} ms, after an operator's notice {} ms; highest use of a ceiling {:.2}",
+            measurements.drain_delay, measurements.disable_delay, measurements.ceiling_use
         );
-        let mut after: Vec<u64> =
+        let mut whole_after: Vec<u64> =
             outcome.recoveries.iter().flatten().filter_map(|(_, after)| *after).collect();
-        after.sort_unstable();
+        whole_after.sort_unstable();
         println!(
-            "  whole after {} ms (median), {} ms (last); nine of ten served again {} ms after a start",
-            after.get(after.len() / 2).unwrap_or(&0),
-            after.last().unwrap_or(&0),
-            figures.recovery_time
+            "  whole after {} ms (median), {} ms (last); 90 % of requests served again {} ms after a start",
+            whole_after.get(whole_after.len() / 2).unwrap_or(&0),
+            whole_after.last().unwrap_or(&0),
+            measurements.recovery_time
         );
-        let used: f64 = outcome.cpu_time.iter().sum();
+        let cpu_time: f64 = outcome.cpu_time.iter().sum();
         println!(
-            "  {used:.0} ms of processor time, {:.3} ms a request",
-            used / outcome.requests.len().max(1) as f64
+            "  {cpu_time:.0} ms of processor time, {:.3} ms per request",
+            cpu_time / outcome.requests.len().max(1) as f64
         );
-        broken.iter().for_each(|what| println!("  BROKEN {what}"));
-        println!("  {}", if broken.is_empty() { "holds" } else { "does not hold" });
-        whole &= broken.is_empty();
+        violations.iter().for_each(|violation| println!("  BROKEN {violation}"));
+        println!("  {}", if violations.is_empty() { "holds" } else { "does not hold" });
+        passed &= violations.is_empty();
         if let Some(folder) = &folder {
             timeline::write(folder, &path, &script, &outcome)?;
         }
         lines +=
-            &serde_json::json!({"script": name, "broken": broken, "figures": figures, "outcome": outcome})
+            &serde_json::json!({"script": name, "broken": violations, "figures": measurements, "outcome": outcome})
                 .to_string();
         lines.push('\n');
     }
     if let Some(path) = json {
         std::fs::write(&path, lines).map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    Ok(whole)
+    Ok(passed)
 }
 
-async fn fleet(program: PathBuf, ingresses: usize, servers: usize) -> Result<bool, String> {
-    let script = Script::parse(&format!("ingresses = {ingresses}\nservers = {servers}\nlength = 1"))?;
+/// Runs a fleet, prints how to reach it, and never returns but for an error at the start.
+async fn fleet(program: PathBuf, ingresses: usize, backends: usize) -> Result<bool, String> {
+    let script = Script::parse(&format!("ingresses = {ingresses}\nservers = {backends}\nlength = 1"))?;
     let rig = Rig::start(&program, &script).await?;
     rig.wait_joined().await?;
-    println!("{ingresses} ingresses before {servers} stand-in real servers; Ctrl-C ends them. Try:\n");
+    println!("{ingresses} ingresses and {backends} stand-in backends; Ctrl-C ends them. Try:\n");
     let fields = ["Request-Id: a1", "X-Tier: club", "Request-Timeout-Ms: 1000"];
     let fields: Vec<String> = fields.iter().map(|field| format!("-H '{field}'")).collect();
     println!(
@@ -134,26 +136,27 @@
         fields.join(" "),
         rig.client_addresses[0]
     );
-    for (n, door) in rig.admin_addresses.borrow().iter().enumerate() {
+    for (n, address) in rig.admin_addresses.borrow().iter().enumerate() {
         println!(
-            "  the door of n{n}: {door}, as in: printf 'members\\n' | nc -N {} {}",
-            door.ip(),
-            door.port()
+            "  admin interface of n{n}: {address}, for example: printf 'members\\n' | nc -N {} {}",
+            address.ip(),
+            address.port()
         );
     }
     std::future::pending().await
 }
 
-/// Becomes the program, which is killed when the rig ends, whatever ends it.
+/// Executes the program in place of this process, after asking the kernel to kill it when its parent, the
+/// rig, ends in any way.
 fn guard() -> ExitCode {
     let kill = rustix::process::Signal::KILL;
-    let set = rustix::process::set_parent_process_death_signal(Some(kill)).map_err(std::io::Error::from);
-    let why = match (set, std::env::args_os().nth(2)) {
+    let result = rustix::process::set_parent_process_death_signal(Some(kill)).map_err(std::io::Error::from);
+    let error = match (result, std::env::args_os().nth(2)) {
         (Ok(()), Some(program)) => std::process::Command::new(program).exec(),
         (Err(e), _) => e,
-        (_, None) => std::io::Error::other("no program"),
+        (_, None) => std::io::Error::other("guard: no program is given"),
     };
-    eprintln!("weldhub-trials: {why}");
+    eprintln!("weldhub-trials: {error}");
     ExitCode::FAILURE
 }
 
@@ -165,33 +168,33 @@
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
         return ExitCode::FAILURE;
     };
-    // Whatever ends it, what it started is dropped, and so ended, before it goes.
-    let done = LocalSet::new().block_on(&runtime, async {
+    // On an error or a signal the rig is dropped, and so its processes are ended, before this process exits.
+    let result = LocalSet::new().block_on(&runtime, async {
         let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
         else {
-            return Err("no signals".to_owned());
+            return Err("cannot install signal handlers".to_owned());
         };
         let work = async {
             match cli.command {
-                What::Play { scripts, json, folder } => play(cli.program, scripts, json, folder).await,
-                What::Scale { parts, subset, folder } => {
+                Command::Play { scripts, json, folder } => play(cli.program, scripts, json, folder).await,
+                Command::Scale { parts, subset, folder } => {
                     scale::command(&cli.program, &parts, subset, &folder).map(|()| true)
                 }
-                What::Guard => Ok(true),
-                What::Fleet { ingresses, servers } => fleet(cli.program, ingresses, servers).await,
+                Command::Guard => Ok(true),
+                Command::Fleet { ingresses, servers } => fleet(cli.program, ingresses, servers).await,
             }
         };
         tokio::select! {
-            done = work => done,
+            result = work => result,
             _ = term.recv() => Ok(true),
             _ = int.recv() => Ok(true),
         }
     });
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("weldhub-trials: {why}");
+        Err(message) => {
+            eprintln!("weldhub-trials: {message}");
             ExitCode::FAILURE
         }
     }
--- a/trials/src/relay.rs
+++ b/trials/src/relay.rs
@@ -1,6 +1,6 @@
-//! The UDP relay between ingresses. It has one socket for each ingress, whose address is advertised to the others. A
-//! datagram that arrives at such a socket is forwarded from the socket of its sender, so that the relay can drop, delay,
-//! duplicate or cut off datagrams by direction.
+//! The UDP relay between ingresses. It has one socket for each ingress, whose address is advertised to the
+//! others. A datagram that arrives at such a socket is forwarded from the socket of its sender, so that the
+//! relay can drop, delay, duplicate or cut off datagrams by direction.
 
 use crate::script::LinkConditions;
 use std::cell::RefCell;
@@ -33,7 +33,8 @@
         Self { conditions: LinkConditions::default(), cuts: HashMap::new(), rng, received: 0, forwarded: 0 }
     }
 
-    /// Adds a cut of one direction, or removes one. Datagrams pass again once every cut of the direction is removed.
+    /// Adds a cut of one direction, or removes one. Datagrams pass again once every cut of the direction is
+    /// removed.
     pub fn set_cut(&mut self, from: usize, to: usize, active: bool) {
         let count = self.cuts.entry((from, to)).or_default();
         *count = if active { *count + 1 } else { count.saturating_sub(1) };
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -1,6 +1,7 @@
-//! Starts the processes, relays and stand-ins of a trial, applies the faults of its script, and records what the admin
-//! interfaces and the stand-ins report. Everything that a rig started ends with it: processes are killed when the rig is
-//! dropped, or when its own process ends in any way. A rig waits for no process that it did not start.
+//! Starts the processes, relays and stand-ins of a trial, applies the faults of its script, and records what
+//! the admin interfaces and the stand-ins report. Everything that a rig started ends with it: processes are
+//! killed when the rig is dropped, or when its own process ends in any way. A rig waits for no process that
+//! it did not start.
 
 use crate::check::{BackendCommand, Outcome, StateChange};
 use crate::fault_proxy::{FaultProxy, Impairment};
@@ -26,7 +27,8 @@
 use weldhub_load::run::run;
 use weldhub_load::work::{Step, Work};
 
-/// The pause between two reads of the members at one admin interface; `poll_members` adds 10 ms for each ingress.
+/// The pause between two reads of the members at one admin interface; `poll_members` adds 10 ms for each
+/// ingress.
 const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The time within which a process must be ready, have joined, or have exited; long, because machines differ.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
@@ -64,7 +66,8 @@
     fn cpu_time(&self) -> f64 {
         let stat = |child: &Child| std::fs::read_to_string(format!("/proc/{}/stat", child.id())).ok();
         let text = self.child.as_ref().and_then(stat).unwrap_or_default();
-        // utime and stime are the 12th and 13th fields after the command's name in brackets, in ticks of 10 ms.
+        // utime and stime are the 12th and 13th fields after the command's name in brackets, in ticks of 10
+        // ms.
         let fields = text.rsplit(')').next().unwrap_or_default().split_ascii_whitespace();
         fields.skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() * 10.0
     }
@@ -103,8 +106,8 @@
     }
 }
 
-/// Returns a loopback address of this rig's own, derived from the process id. On a shared address an outgoing connection of
-/// another process could take the port of an ingress while that is down.
+/// Returns a loopback address of this rig's own, derived from the process id. On a shared address an outgoing
+/// connection of another process could take the port of an ingress while that is down.
 fn own_loopback_ip() -> IpAddr {
     let [a, b, ..] = std::process::id().to_le_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 64 | (a & 63), b, 1 | a >> 6))
@@ -135,7 +138,8 @@
     timeout(Duration::from_secs(2), exchange).await.ok().flatten()
 }
 
-/// Parses the answer to `members` to the state of each member by its number; `None` if it is incomplete or malformed.
+/// Parses the answer to `members` to the state of each member by its number; `None` if it is incomplete or
+/// malformed.
 fn parse_members(text: &str) -> Option<BTreeMap<usize, String>> {
     let lines = text.strip_suffix("eof\n")?.lines();
     let member = |line: &str| {
@@ -155,8 +159,8 @@
     lines.map(notice).collect()
 }
 
-/// Parses the answer to `recovery` to the stage and the milliseconds from the start until it was first whole; `None` if
-/// there is no stage.
+/// Parses the answer to `recovery` to the stage and the milliseconds from the start until it was first whole;
+/// `None` if there is no stage.
 fn parse_recovery(text: &str) -> Option<(String, Option<u64>)> {
     let value = |key: &str| text.lines().find_map(|line| line.strip_prefix(key)?.split(' ').nth(1));
     Some((value("stage")?.to_owned(), value("whole_after").and_then(|span| span.parse().ok())))
@@ -181,8 +185,8 @@
 }
 
 impl Rig {
-    /// Starts the stand-ins, the relays and all ingresses, which run the program at this path, and returns once they are
-    /// ready. Must be called within a `LocalSet`.
+    /// Starts the stand-ins, the relays and all ingresses, which run the program at this path, and returns
+    /// once they are ready. Must be called within a `LocalSet`.
     ///
     /// # Errors
     /// A message that says what could not be started, or which ingress was not ready in time.
@@ -337,12 +341,12 @@
         Ok(())
     }
 
-    /// Plays a script and returns what was recorded. `report_step` is called with a line of text for each start and end of
-    /// a fault.
+    /// Plays a script and returns what was recorded. `report_step` is called with a line of text for each
+    /// start and end of a fault.
     ///
     /// # Errors
-    /// A message if a process cannot be started or signalled, an admin interface rejects a command, or the load cannot
-    /// run.
+    /// A message if a process cannot be started or signalled, an admin interface rejects a command, or the
+    /// load cannot run.
     pub async fn play(
         &mut self,
         script: &Script,
@@ -408,8 +412,8 @@
         Ok(outcome)
     }
 
-    /// Begins or ends a fault. `running` is updated with the ingresses that it stops or starts; `base_conditions` apply
-    /// again when a `Network` fault ends.
+    /// Begins or ends a fault. `running` is updated with the ingresses that it stops or starts;
+    /// `base_conditions` apply again when a `Network` fault ends.
     async fn apply(
         &mut self,
         step: &FaultStep,
@@ -498,8 +502,8 @@
         Ok(())
     }
 
-    /// Sends an operator's command to the admin interface of an ingress. A command on a backend, given with whether it
-    /// disables it, is recorded.
+    /// Sends an operator's command to the admin interface of an ingress. A command on a backend, given with
+    /// whether it disables it, is recorded.
     async fn operate(
         &mut self,
         ingress: usize,
@@ -518,7 +522,8 @@
         Ok(())
     }
 
-    /// Announces a process of this ingress to all others whose start, by its clock, is this many milliseconds ahead.
+    /// Announces a process of this ingress to all others whose start, by its clock, is this many milliseconds
+    /// ahead.
     async fn announce_ahead(&self, ingress: usize, ahead: u64) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let from = Identity {
@@ -534,7 +539,8 @@
         }
     }
 
-    /// Adds or removes cuts from each ingress of the first group to each of the second, and back unless `one_sided`.
+    /// Adds or removes cuts from each ingress of the first group to each of the second, and back unless
+    /// `one_sided`.
     fn set_cut(&self, from: &[usize], to: &[usize], one_sided: bool, active: bool) {
         let mut network = self.network.borrow_mut();
         for a in from {
@@ -589,8 +595,8 @@
     End(FaultKind),
 }
 
-/// Reads the members at the admin interface of an ingress until the trial ends; returns the state changes, and the last
-/// view, which is `None` if the last call was not answered.
+/// Reads the members at the admin interface of an ingress until the trial ends; returns the state changes,
+/// and the last view, which is `None` if the last call was not answered.
 async fn poll_members(
     observer: usize,
     admin_addresses: Rc<RefCell<Vec<SocketAddr>>>,
--- a/trials/src/script.rs
+++ b/trials/src/script.rs
@@ -14,8 +14,8 @@
     pub seed: u64,
     /// The number of ingresses, foreign ones included.
     pub ingresses: usize,
-    /// How many of the ingresses, the last ones, belong to another fleet but use the same seeds to join. Clients send them
-    /// no requests.
+    /// How many of the ingresses, the last ones, belong to another fleet but use the same seeds to join.
+    /// Clients send them no requests.
     #[serde(default, rename = "strangers")]
     pub foreign_ingresses: usize,
     /// Whether ingresses run the membership protocol; without it, a trial serves as a baseline.
@@ -123,8 +123,8 @@
     /// The fraction of datagrams that are lost.
     #[serde(default)]
     pub loss: f64,
-    /// The longest delay of a datagram, in milliseconds. Each is delayed by a random time up to this, so datagrams may
-    /// overtake each other.
+    /// The longest delay of a datagram, in milliseconds. Each is delayed by a random time up to this, so
+    /// datagrams may overtake each other.
     #[serde(default, rename = "delay")]
     pub max_delay: u64,
     /// The fraction of datagrams that are duplicated.
@@ -174,7 +174,8 @@
         #[serde(rename = "lasting")]
         duration: u64,
     },
-    /// Drops all datagrams from the first to the second group of ingresses, and back unless the cut is one-sided.
+    /// Drops all datagrams from the first to the second group of ingresses, and back unless the cut is
+    /// one-sided.
     Cut {
         /// The first group of ingresses.
         from: Vec<usize>,
--- a/trials/src/stand_ins.rs
+++ b/trials/src/stand_ins.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the systems around the ingresses of a trial: backends, discovery and the counter, which speak the
-//! platform's protocols. They record on one clock which requests arrived and which list changes were sent to whom.
+//! Stand-ins for the systems around the ingresses of a trial: backends, discovery and the counter, which
+//! speak the platform's protocols. They record on one clock which requests arrived and which list changes
+//! were sent to whom.
 
 use crate::fault_proxy::FaultProxy;
 use http_body_util::Full;
@@ -117,8 +118,8 @@
 }
 
 impl StandIns {
-    /// Starts all stand-ins and their proxies. Must be called within a `LocalSet`. A backend takes `service_time`
-    /// milliseconds to answer.
+    /// Starts all stand-ins and their proxies. Must be called within a `LocalSet`. A backend takes
+    /// `service_time` milliseconds to answer.
     ///
     /// # Errors
     /// The operating system's error if no port can be bound.
@@ -201,7 +202,8 @@
         self.totals.borrow_mut().iter_mut().for_each(HashMap::clear);
     }
 
-    /// Sends the calls of these ingresses to a second counter, which starts empty. An empty slice ends the split.
+    /// Sends the calls of these ingresses to a second counter, which starts empty. An empty slice ends the
+    /// split.
     pub fn split_counter(&self, ingresses: &[usize]) {
         self.totals.borrow_mut()[1].clear();
         ingresses.clone_into(&mut self.split_ingresses.borrow_mut());
@@ -243,7 +245,8 @@
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
     }
 
-    /// Serves one discovery call of an ingress: answers with the list, or for a watch streams the list and every change.
+    /// Serves one discovery call of an ingress: answers with the list, or for a watch streams the list and
+    /// every change.
     async fn serve_discovery(self, mut stream: DuplexStream, ingress: usize) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") && head.len() < 8192 {
@@ -298,8 +301,8 @@
         json!({"generation": generation, "reset": true, "instances": entries}).to_string()
     }
 
-    /// Serves a connection of an ingress to the counter: `ping`, and `bump NAME AMOUNT LIFETIME`, which adds an amount and
-    /// answers with the new total.
+    /// Serves a connection of an ingress to the counter: `ping`, and `bump NAME AMOUNT LIFETIME`, which adds
+    /// an amount and answers with the new total.
     async fn serve_counter(self, stream: DuplexStream, ingress: usize) {
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
--- a/trials/tests/processes.rs
+++ b/trials/tests/processes.rs
@@ -1,9 +1,11 @@
-//! The short trial, with the program as it is built here, and proof that the rig ends what it started.
+//! Plays the short trial with the program as built from this tree, and checks that the rig ends the processes
+//! it started.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The program beside this test; it is built where it is not there yet.
+/// Returns the path of the program in this test's target folder, after building it there if it is missing or
+/// outdated.
 fn program() -> PathBuf {
     let exe = std::env::current_exe().unwrap();
     let folder = exe.parent().and_then(Path::parent).unwrap().to_owned();
@@ -18,25 +20,27 @@
 }
 
 #[test]
-fn the_short_trial_holds_and_leaves_nothing_behind() {
+fn short_trial_passes_and_a_missing_script_is_reported() {
     let rig = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_weldhub-trials"));
         command.arg("--program").arg(program()).args(args).output().unwrap()
     };
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/scripts/short.toml");
-    let done = rig(&["play", script]);
-    let said = String::from_utf8_lossy(&done.stdout);
+    let output = rig(&["play", script]);
+    let stdout = String::from_utf8_lossy(&output.stdout);
     assert!(
-        done.status.success() && said.contains("  holds"),
-        "{said}{}",
-        String::from_utf8_lossy(&done.stderr)
+        output.status.success() && stdout.contains("  holds"),
+        "{stdout}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let missing = rig(&["play", "/no/such/script"]);
+    assert!(
+        !missing.status.success() && String::from_utf8_lossy(&missing.stderr).contains("/no/such/script")
     );
-    let odd = rig(&["play", "/no/such/script"]);
-    assert!(!odd.status.success() && String::from_utf8_lossy(&odd.stderr).contains("/no/such/script"));
 }
 
 #[test]
-fn a_rig_that_is_told_to_end_ends_its_processes() {
+fn terminated_rig_ends_its_processes() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_weldhub-trials"))
         .arg("--program")
         .arg(program())
@@ -44,18 +48,18 @@
         .stdout(std::process::Stdio::piped())
         .spawn()
         .unwrap();
-    let mut said = std::io::BufReader::new(child.stdout.take().unwrap());
-    let (mut text, mut door) = (String::new(), None);
-    while door.is_none() {
-        text.clear();
-        assert!(std::io::BufRead::read_line(&mut said, &mut text).unwrap() > 0, "it ended");
-        let at = text.split("the door of n1: ").nth(1).and_then(|rest| rest.split(',').next());
-        door = at.map(|at| at.parse::<std::net::SocketAddr>().unwrap());
+    let mut stdout = std::io::BufReader::new(child.stdout.take().unwrap());
+    let (mut line, mut admin_address) = (String::new(), None);
+    while admin_address.is_none() {
+        line.clear();
+        assert!(std::io::BufRead::read_line(&mut stdout, &mut line).unwrap() > 0, "the rig ended");
+        let at = line.split("admin interface of n1: ").nth(1).and_then(|rest| rest.split(',').next());
+        admin_address = at.map(|at| at.parse::<std::net::SocketAddr>().unwrap());
     }
-    let door = door.unwrap();
-    assert!(std::net::TcpStream::connect(door).is_ok());
+    let admin_address = admin_address.unwrap();
+    assert!(std::net::TcpStream::connect(admin_address).is_ok());
     let kill = format!("kill -TERM {}", child.id());
     assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
     assert!(child.wait().unwrap().success());
-    assert!(std::net::TcpStream::connect(door).is_err(), "the process still listens");
+    assert!(std::net::TcpStream::connect(admin_address).is_err(), "the process still listens");
 }
