--- a/trials/src/scale/list.rs
+++ b/trials/src/scale/backend_list.rs
@@ -1,8 +1,8 @@
 //! What the list of backends costs an ingress: bytes on the wire, time to take it in, memory by part, one change.
 
 use super::fixture::{self, QuotaSource, chunk_bytes, one_change, read, settings, whole_list};
-use super::layers::{Layers, SubsetSize};
 use super::meter::{least_micros, measure};
+use super::pipeline::{DecisionPipeline, SubsetSize};
 use super::slope::{Over, Slope};
 use weldhub::interface::Event;
 
@@ -42,12 +42,12 @@
         let list = list?;
         let micros = least_micros(TIMES, || drop(read(&line, None)));
         reading.add(size, micros);
-        let mut layers = Layers::new(settings(0, INGRESSES, QuotaSource::Peers), subset)?;
-        layers.feed(0.0, Event::Start);
-        let (parts, cost) = measure(|| layers.listed(1.0, list));
+        let mut pipeline = DecisionPipeline::new(settings(0, INGRESSES, QuotaSource::Peers), subset)?;
+        pipeline.handle(0.0, Event::Start);
+        let (parts, cost) = measure(|| pipeline.apply_list(1.0, list));
         taking.add(size, cost.micros);
-        held.add(size, parts.list);
-        decided.add(size, parts.decisions);
+        held.add(size, parts.list_bytes);
+        decided.add(size, parts.limiter_bytes);
         let mut times = 0;
         let mut failed = None;
         let micros = least_micros(TIMES, || {
@@ -55,7 +55,7 @@
             let word = if times % 2 == 1 { "terminating" } else { "in_service" };
             let line = one_change(1 + times, size / 2, word);
             match fixture::read(&line, Some(times)) {
-                Ok(list) => drop(layers.listed(1.0 + times as f64, list)),
+                Ok(list) => drop(pipeline.apply_list(1.0 + times as f64, list)),
                 Err(why) => failed = Some(why),
             }
         });
@@ -66,10 +66,10 @@
         let mut now = 100.0;
         let micros = least_micros(TIMES, || {
             now += 1000.0 / TICKS_A_SECOND;
-            layers.tick(now);
+            pipeline.tick(now);
         });
         tick.add(size, micros * TICKS_A_SECOND / 1e6);
-        handed.add(size, layers.hand_over() as f64);
+        handed.add(size, pipeline.handover_bytes() as f64);
     }
     Ok(vec![wire, reading, reading_peak, taking, held, decided, change, tick, handed])
 }
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -6,8 +6,8 @@
 //! same kind, and asks of others come in as often as this ingress asks.
 
 use super::fixture::{QuotaSource, one_change, read, request, settings, whole_list};
-use super::layers::{Layers, SubsetSize};
 use super::meter::{heap_bytes, thread_time};
+use super::pipeline::{DecisionPipeline, SubsetSize};
 use hdrhistogram::Histogram;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -98,9 +98,9 @@
 
 struct Play {
     setup: Setup,
-    ingress: Layers,
+    ingress: DecisionPipeline,
     /// Decisions that answer for every other ingress.
-    others: Layers,
+    others: DecisionPipeline,
     queue: Queue,
     rng: fastrand::Rng,
     reached: BTreeSet<ServerId>,
@@ -131,7 +131,7 @@
         reached: 0,
         kept: 0.0,
     };
-    let one = |me| Layers::new(settings(me, setup.ingresses, setup.source), setup.subset);
+    let one = |me| DecisionPipeline::new(settings(me, setup.ingresses, setup.source), setup.subset);
     let mut play = Play {
         setup,
         ingress: one(0)?,
@@ -159,10 +159,10 @@
 impl Play {
     fn start(&mut self) -> Result<(), String> {
         let list = read(&whole_list(self.setup.backends), None)?;
-        let actions = self.ingress.feed(0.0, Event::Start);
+        let actions = self.ingress.handle(0.0, Event::Start);
         self.carry_out(0, actions);
-        self.others.feed(0.0, Event::Start);
-        self.ingress.listed(0.0, list);
+        self.others.handle(0.0, Event::Start);
+        self.ingress.apply_list(0.0, list);
         self.outcome.kept = heap_bytes();
         self.queue.push(1000, Due::Arrival);
         if self.setup.changes > 0.0 {
@@ -180,14 +180,14 @@
             match due {
                 Due::Arrival => self.arrive(at),
                 Due::Change => self.change(at)?,
-                Due::Feed(event) => drop(self.work(at, |ingress, now| ingress.feed(now, event))),
+                Due::Feed(event) => drop(self.work(at, |ingress, now| ingress.handle(now, event))),
             }
         }
         Ok(())
     }
 
     /// Has the ingress's thread do something as soon as it is free; tells when it is done, in microseconds.
-    fn work(&mut self, at: u64, work: impl FnOnce(&mut Layers, f64) -> Vec<Action>) -> f64 {
+    fn work(&mut self, at: u64, work: impl FnOnce(&mut DecisionPipeline, f64) -> Vec<Action>) -> f64 {
         let before = thread_time();
         let actions = work(&mut self.ingress, millis(at));
         let micros = (thread_time() - before).as_secs_f64() * 1e6;
@@ -205,7 +205,7 @@
         let tenant = self.rng.usize(..self.setup.tenants);
         let all = settings(0, self.setup.ingresses, self.setup.source);
         let request = request(self.outcome.requests, tenant, &all);
-        let done = self.work(at, |ingress, now| ingress.feed(now, Event::Request(request)));
+        let done = self.work(at, |ingress, now| ingress.handle(now, Event::Request(request)));
         let nanos = ((done - at as f64) * 1000.0).max(1.0) as u64;
         self.outcome.added.saturating_record(nanos);
     }
@@ -219,7 +219,7 @@
         let known = self.generation - 1;
         self.work(at, |ingress, now| {
             match read(&line, Some(known)) {
-                Ok(list) => drop(ingress.listed(now, list)),
+                Ok(list) => drop(ingress.apply_list(now, list)),
                 Err(why) => failed = Some(why),
             }
             Vec::new()
@@ -271,7 +271,7 @@
         }
         self.outcome.asked += u64::from(bytes[0] == TO_HOME[0]);
         let answers =
-            self.others.feed(millis(at + PEER_WAY), Event::PeerMessage(GatewayId(0), bytes.clone()));
+            self.others.handle(millis(at + PEER_WAY), Event::PeerMessage(GatewayId(0), bytes.clone()));
         for answer in answers {
             if let Action::Tell(_, bytes) = answer {
                 self.queue.push(at + 2 * PEER_WAY, Due::Feed(Event::PeerMessage(to, bytes)));
--- a/trials/src/scale/mod.rs
+++ b/trials/src/scale/mod.rs
@@ -1,18 +1,18 @@
 //! What an ingress costs at sizes that processes do not reach: slopes over several sizes, measured on the program's own
 //! decisions, readers, membership and datagrams, many ingresses in one process.
 
+pub mod backend_list;
 pub mod fixture;
 pub mod fleet;
-pub mod layers;
-pub mod list;
 pub mod load;
 pub mod meter;
-pub mod real;
+pub mod pipeline;
+pub mod process;
 pub mod slope;
-pub mod spread;
+pub mod subsets;
 
 use fixture::QuotaSource;
-use layers::SubsetSize;
+use pipeline::SubsetSize;
 use serde::Serialize;
 use slope::{Fit, Over, Slope};
 use std::path::Path;
@@ -63,7 +63,7 @@
     subset: SubsetSize,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
-    list::slopes(&sizes.backends, subset, suffix(subset), progress)
+    backend_list::slopes(&sizes.backends, subset, suffix(subset), progress)
 }
 
 fn suffix(subset: SubsetSize) -> &'static str {
@@ -234,9 +234,9 @@
             Part::Subsets => {
                 let backends = sizes.backends.last().copied().unwrap_or_default();
                 let size = subset.unwrap_or(DEPLOYED_SUBSET);
-                spread::slopes(&sizes.ingresses, backends, size, &mut progress)?
+                subsets::slopes(&sizes.ingresses, backends, size, &mut progress)?
             }
-            Part::Real => real::slopes(program, &sizes.backends, subset, suffix(subset), &mut progress)?,
+            Part::Real => process::slopes(program, &sizes.backends, subset, suffix(subset), &mut progress)?,
             Part::Peers | Part::Counter => {
                 let source = if *part == Part::Peers { QuotaSource::Peers } else { QuotaSource::Counter };
                 let usual = LoadOf { rate: RATE, source, subset };
--- a/trials/src/scale/real.rs
+++ b/trials/src/scale/process.rs
@@ -2,7 +2,7 @@
 //! ingresses leave out, and what they are checked against.
 
 use super::fixture::whole_list;
-use super::layers::SubsetSize;
+use super::pipeline::SubsetSize;
 use super::slope::{Over, Slope};
 use serde_json::json;
 use std::io::{self, Read, Write};
