--- a/trials/src/scale/backend_list.rs
+++ b/trials/src/scale/backend_list.rs
@@ -1,7 +1,7 @@
 //! What the list of backends costs an ingress: bytes on the wire, time to take it in, memory by part, one change.
 
 use super::fixture::{self, QuotaSource, chunk_bytes, one_change, read, settings, whole_list};
-use super::meter::{least_micros, measure};
+use super::meter::{measure, min_cpu_micros};
 use super::pipeline::{DecisionPipeline, SubsetSize};
 use super::slope::{Over, Slope};
 use weldhub::interface::Event;
@@ -38,19 +38,19 @@
         let line = whole_list(size);
         wire.add(size, chunk_bytes(&line) as f64);
         let (list, cost) = measure(|| read(&line, None));
-        reading_peak.add(size, cost.peak);
+        reading_peak.add(size, cost.heap_peak);
         let list = list?;
-        let micros = least_micros(TIMES, || drop(read(&line, None)));
+        let micros = min_cpu_micros(TIMES, || drop(read(&line, None)));
         reading.add(size, micros);
         let mut pipeline = DecisionPipeline::new(settings(0, INGRESSES, QuotaSource::Peers), subset)?;
         pipeline.handle(0.0, Event::Start);
         let (parts, cost) = measure(|| pipeline.apply_list(1.0, list));
-        taking.add(size, cost.micros);
+        taking.add(size, cost.cpu_micros);
         held.add(size, parts.list_bytes);
         decided.add(size, parts.limiter_bytes);
         let mut times = 0;
         let mut failed = None;
-        let micros = least_micros(TIMES, || {
+        let micros = min_cpu_micros(TIMES, || {
             times += 1;
             let word = if times % 2 == 1 { "terminating" } else { "in_service" };
             let line = one_change(1 + times, size / 2, word);
@@ -64,7 +64,7 @@
         }
         change.add(size, micros);
         let mut now = 100.0;
-        let micros = least_micros(TIMES, || {
+        let micros = min_cpu_micros(TIMES, || {
             now += 1000.0 / TICKS_A_SECOND;
             pipeline.tick(now);
         });
--- a/trials/src/scale/fleet.rs
+++ b/trials/src/scale/fleet.rs
@@ -1,7 +1,7 @@
 //! Membership and operators' notices of a whole fleet in one process: the program's module and datagrams for each
 //! ingress, in simulated time, with what they cost in bytes, memory and processor time.
 
-use super::meter::{heap_bytes, thread_time};
+use super::meter::{heap_bytes, thread_cpu_time};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -152,7 +152,7 @@
                 continue;
             }
             let mut actions = Vec::new();
-            let before = thread_time();
+            let before = thread_cpu_time();
             match what {
                 Some((from, bytes)) => {
                     self.nodes[to].receive(clock(self.now), address(from), &bytes, &mut actions)
@@ -162,7 +162,7 @@
             // The socket's loop asks for both after each datagram and each timer.
             let due = self.nodes[to].due();
             drop(self.nodes[to].living());
-            self.micros += (thread_time() - before).as_secs_f64() * 1e6;
+            self.micros += (thread_cpu_time() - before).as_secs_f64() * 1e6;
             // A microsecond later: a time in milliseconds is not exact to one.
             let due = ((due - START) * 1000.0).ceil() as u64 + 1;
             if due != self.due[to] || ticked {
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -6,7 +6,7 @@
 //! same kind, and asks of others come in as often as this ingress asks.
 
 use super::fixture::{QuotaSource, one_change, read, request, settings, whole_list};
-use super::meter::{heap_bytes, thread_time};
+use super::meter::{heap_bytes, thread_cpu_time};
 use super::pipeline::{DecisionPipeline, SubsetSize};
 use hdrhistogram::Histogram;
 use std::cmp::Reverse;
@@ -188,9 +188,9 @@
 
     /// Has the ingress's thread do something as soon as it is free; tells when it is done, in microseconds.
     fn work(&mut self, at: u64, work: impl FnOnce(&mut DecisionPipeline, f64) -> Vec<Action>) -> f64 {
-        let before = thread_time();
+        let before = thread_cpu_time();
         let actions = work(&mut self.ingress, millis(at));
-        let micros = (thread_time() - before).as_secs_f64() * 1e6;
+        let micros = (thread_cpu_time() - before).as_secs_f64() * 1e6;
         self.used += micros;
         self.free = self.free.max(at as f64) + micros;
         let done = self.free;
--- a/trials/src/scale/pipeline.rs
+++ b/trials/src/scale/pipeline.rs
@@ -61,7 +61,7 @@
         });
         let entries = list.entries.iter().map(|entry| entry.entry).collect();
         let (_, below) = measure(|| self.handle(now, Event::Servers(kind, entries)));
-        HeapGrowth { list_bytes: above.kept, limiter_bytes: below.kept }
+        HeapGrowth { list_bytes: above.heap_growth, limiter_bytes: below.heap_growth }
     }
 
     /// Runs the limiter's periodic timer.
