--- a/trials/src/scale/backend_list.rs
+++ b/trials/src/scale/backend_list.rs
@@ -3,7 +3,7 @@
 use super::fixture::{self, QuotaSource, chunk_bytes, one_change, read, settings, whole_list};
 use super::meter::{measure, min_cpu_micros};
 use super::pipeline::{DecisionPipeline, SubsetSize};
-use super::slope::{Over, Slope};
+use super::slope::{Dimension, Slope};
 use weldhub::interface::Event;
 
 /// The ingresses of the fleet in which one ingress is measured.
@@ -23,7 +23,7 @@
     suffix: &str,
     mut progress: impl FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
-    let slope = |name: &str, unit| Slope::new(&format!("{name}{suffix}"), unit, Over::Backends);
+    let slope = |name: &str, unit| Slope::new(&format!("{name}{suffix}"), unit, Dimension::Backends);
     let mut wire = slope("list-wire", "bytes of a whole list");
     let mut reading = slope("list-read", "us of processor time to read a whole list");
     let mut reading_peak = slope("list-read-peak", "bytes on the heap while it is read");
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -35,7 +35,7 @@
     /// Backends on the list.
     pub backends: usize,
     /// Tenants whose requests come here, each as often.
-    pub tenants: usize,
+    pub customers: usize,
     /// Requests a second.
     pub rate: f64,
     /// Changes of the list a second.
@@ -202,7 +202,7 @@
         let gap = -(1.0 - self.rng.f64()).ln() * 1e6 / self.setup.rate;
         self.queue.push(at + gap as u64 + 1, Due::Arrival);
         self.outcome.requests += 1;
-        let tenant = self.rng.usize(..self.setup.tenants);
+        let tenant = self.rng.usize(..self.setup.customers);
         let all = settings(0, self.setup.ingresses, self.setup.source);
         let request = request(self.outcome.requests, tenant, &all);
         let done = self.work(at, |ingress, now| ingress.handle(now, Event::Request(request)));
--- a/trials/src/scale/mod.rs
+++ b/trials/src/scale/mod.rs
@@ -14,7 +14,7 @@
 use fixture::QuotaSource;
 use pipeline::SubsetSize;
 use serde::Serialize;
-use slope::{Fit, Over, Slope};
+use slope::{Dimension, Fit, Slope};
 use std::path::Path;
 
 /// The sizes that are measured.
@@ -25,7 +25,7 @@
     /// Backends on the list.
     pub backends: Vec<usize>,
     /// Tenants.
-    pub tenants: Vec<usize>,
+    pub customers: Vec<usize>,
     /// Seconds of load, of simulated time.
     pub seconds: f64,
     /// Seconds of a fleet at rest.
@@ -38,7 +38,7 @@
         Self {
             ingresses: vec![30, 100, 300, 930],
             backends: vec![200, 1000, 5000, 14_000],
-            tenants: vec![1000, 3000, 9000, 19_000],
+            customers: vec![1000, 3000, 9000, 19_000],
             seconds: 120.0,
             rest: 30,
         }
@@ -82,11 +82,11 @@
 }
 
 /// Which of the sizes a slope of load varies.
-fn varied(sizes: &Sizes, over: Over) -> &[usize] {
+fn varied(sizes: &Sizes, over: Dimension) -> &[usize] {
     match over {
-        Over::Ingresses => &sizes.ingresses,
-        Over::Backends => &sizes.backends,
-        Over::Tenants => &sizes.tenants,
+        Dimension::Ingresses => &sizes.ingresses,
+        Dimension::Backends => &sizes.backends,
+        Dimension::Customers => &sizes.customers,
     }
 }
 
@@ -96,7 +96,7 @@
 /// Where a list cannot be read.
 pub fn load_slopes(
     sizes: &Sizes,
-    over: Over,
+    over: Dimension,
     load: LoadOf,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
@@ -123,7 +123,7 @@
         let mut setup = load::Setup {
             ingresses: last(&sizes.ingresses),
             backends: last(&sizes.backends),
-            tenants: last(&sizes.tenants),
+            customers: last(&sizes.customers),
             rate,
             changes: BURST,
             seconds: sizes.seconds,
@@ -131,9 +131,9 @@
             subset,
         };
         match over {
-            Over::Ingresses => setup.ingresses = size,
-            Over::Backends => setup.backends = size,
-            Over::Tenants => setup.tenants = size,
+            Dimension::Ingresses => setup.ingresses = size,
+            Dimension::Backends => setup.backends = size,
+            Dimension::Customers => setup.customers = size,
         }
         let played = load::run(setup)?;
         for (slope, part) in &mut added {
@@ -156,7 +156,7 @@
 
 /// The slopes of membership and notices.
 pub fn fleet_slopes(sizes: &Sizes, progress: &mut dyn FnMut(&str)) -> Vec<Slope> {
-    let slope = |name: &str, unit| Slope::new(name, unit, Over::Ingresses);
+    let slope = |name: &str, unit| Slope::new(name, unit, Dimension::Ingresses);
     let mut memory = slope("membership-memory", "bytes on the heap of one ingress");
     let mut datagrams = slope("membership-messages", "messages a second of one ingress at rest");
     let mut bytes = slope("membership-bytes", "bytes a second of one ingress at rest");
@@ -241,8 +241,8 @@
                 let source = if *part == Part::Peers { QuotaSource::Peers } else { QuotaSource::Counter };
                 let usual = LoadOf { rate: RATE, source, subset };
                 let busiest = LoadOf { rate: BUSIEST, ..usual };
-                let mut all = load_slopes(&sizes, Over::Backends, busiest, &mut progress)?;
-                for over in [Over::Backends, Over::Tenants, Over::Ingresses] {
+                let mut all = load_slopes(&sizes, Dimension::Backends, busiest, &mut progress)?;
+                for over in [Dimension::Backends, Dimension::Customers, Dimension::Ingresses] {
                     all.extend(load_slopes(&sizes, over, usual, &mut progress)?);
                 }
                 all
--- a/trials/src/scale/process.rs
+++ b/trials/src/scale/process.rs
@@ -3,7 +3,7 @@
 
 use super::fixture::whole_list;
 use super::pipeline::SubsetSize;
-use super::slope::{Over, Slope};
+use super::slope::{Dimension, Slope};
 use serde_json::json;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -55,7 +55,7 @@
     suffix: &str,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
-    let slope = |name: &str, unit| Slope::new(&format!("real-{name}{suffix}"), unit, Over::Backends);
+    let slope = |name: &str, unit| Slope::new(&format!("real-{name}{suffix}"), unit, Dimension::Backends);
     let mut ready = slope("ready", "ms from start to ready");
     let mut resident = slope("resident", "bytes resident");
     let mut rest = slope("rest", "share of a core at rest");
--- a/trials/src/scale/slope.rs
+++ b/trials/src/scale/slope.rs
@@ -1,132 +1,138 @@
-//! A figure measured at several sizes, its shape, and what it comes to at the target's size.
+//! A quantity measured at several sizes of an installation, its growth as a power of the size, and its value at the
+//! size of the capacity target.
 
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt;
 use std::path::Path;
 
-/// A figure at one size.
+/// One measurement of a slope.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Point {
-    /// How many there were.
+    /// The size: a count of what [`Slope::over`] names.
     pub size: f64,
-    /// What was measured.
+    /// The value, in the slope's unit.
     pub value: f64,
 }
 
-/// What the sizes of a slope count.
+/// The dimension of an installation that a slope varies. Reports and file names use the names that [`Display`] writes.
+///
+/// [`Display`]: fmt::Display
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Over {
-    /// Ingresses of the fleet.
+pub enum Dimension {
+    /// The number of ingresses in the fleet.
     Ingresses,
-    /// Backends on the list.
+    /// The number of backends on the list.
     Backends,
-    /// Tenants.
-    Tenants,
+    /// The number of customers, which reports call tenants.
+    #[serde(rename = "tenants")]
+    Customers,
 }
 
-impl Over {
-    /// How many of them there are to be.
+impl Dimension {
+    /// Returns the size of the capacity target in this dimension.
     pub fn target(self) -> f64 {
         match self {
             Self::Ingresses => 930.0,
             Self::Backends => 14_000.0,
-            Self::Tenants => 19_000.0,
+            Self::Customers => 19_000.0,
         }
     }
 }
 
-impl fmt::Display for Over {
+impl fmt::Display for Dimension {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Ingresses => "ingresses",
             Self::Backends => "backends",
-            Self::Tenants => "tenants",
+            Self::Customers => "tenants",
         })
     }
 }
 
-/// A figure over several sizes.
+/// A quantity measured at several sizes along one dimension.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Slope {
-    /// What was measured; also the name of its files.
+    /// The name of the quantity; the files of the slope have it as their stem.
     pub name: String,
-    /// In which unit.
+    /// What the values count, with their unit.
     pub unit: &'static str,
-    /// What the sizes count.
-    pub over: Over,
-    /// In the order of their sizes.
+    /// The dimension that varies; all others are fixed.
+    pub over: Dimension,
+    /// The measurements, in ascending order of size.
     pub points: Vec<Point>,
 }
 
-/// What a slope comes to.
+/// The power law fitted to a slope.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// The figure grows as this power of the size: 0 is flat, 1 linear, 2 quadratic.
+    /// The exponent of the size in the power law: 0 is constant, 1 linear, 2 quadratic.
     pub exponent: f64,
-    /// The largest relative distance of a point from that power law.
+    /// The largest relative error of the power law at a measured size.
     pub error: f64,
-    /// The figure at the target's size: as measured there, or by the power law.
+    /// The value at the size of the capacity target: the measured one if there is one, else that of the power law.
     pub at_target: f64,
-    /// How far beyond the measured sizes the target is: 1 where it was measured.
+    /// The target size as a multiple of the largest measured size, at least 1.
     pub extrapolated: f64,
 }
 
 impl Slope {
-    /// A slope without points.
-    pub fn new(name: &str, unit: &'static str, over: Over) -> Self {
+    /// Creates a slope without points.
+    pub fn new(name: &str, unit: &'static str, over: Dimension) -> Self {
         Self { name: name.to_owned(), unit, over, points: Vec::new() }
     }
 
-    /// Adds a point.
+    /// Adds the measurement at one size.
     pub fn add(&mut self, size: usize, value: f64) {
         self.points.push(Point { size: size as f64, value });
     }
 
-    /// Fits a power law by least squares of the logarithms.
+    /// Fits a power law by least squares on the logarithms of sizes and values.
     pub fn fit(&self) -> Fit {
         let logs: Vec<(f64, f64)> =
             self.points.iter().map(|point| (point.size.ln(), point.value.max(1e-9).ln())).collect();
         let count = logs.len().max(1) as f64;
         let mean_x = logs.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = logs.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread: f64 = logs.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let together: f64 = logs.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        let exponent = if spread > 0.0 { together / spread } else { 0.0 };
-        let law = |size: f64| (mean_y + exponent * (size.ln() - mean_x)).exp();
-        let error = self.points.iter().map(|point| (law(point.size) / point.value.max(1e-9) - 1.0).abs());
+        let sum_xx: f64 = logs.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let sum_xy: f64 = logs.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let exponent = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
+        let power_law = |size: f64| (mean_y + exponent * (size.ln() - mean_x)).exp();
+        let error =
+            self.points.iter().map(|point| (power_law(point.size) / point.value.max(1e-9) - 1.0).abs());
         let target = self.over.target();
         let measured = self.points.iter().find(|point| point.size == target).map(|point| point.value);
         let largest = self.points.iter().map(|point| point.size).fold(1.0, f64::max);
         Fit {
             exponent,
             error: error.fold(0.0, f64::max),
-            at_target: measured.unwrap_or_else(|| law(target)),
+            at_target: measured.unwrap_or_else(|| power_law(target)),
             extrapolated: (target / largest).max(1.0),
         }
     }
 
-    /// Writes the points as CSV and draws them as SVG.
+    /// Writes the points to `NAME.csv` and a chart of them to `NAME.svg` in a folder.
     ///
     /// # Errors
-    /// Where a file cannot be written.
+    /// Returns why a file could not be written.
     pub fn write(&self, folder: &Path) -> Result<(), String> {
-        let file = |kind: &str| folder.join(format!("{}.{kind}", self.name));
+        let file = |extension: &str| folder.join(format!("{}.{extension}", self.name));
         let mut table = csv::Writer::from_path(file("csv")).map_err(|e| e.to_string())?;
         for point in &self.points {
             table.serialize(point).map_err(|e| e.to_string())?;
         }
         table.flush().map_err(|e| e.to_string())?;
-        let picture = self.svg().map_err(|e| e.to_string())?;
-        std::fs::write(file("svg"), picture).map_err(|e| e.to_string())
+        let chart = self.draw_svg().map_err(|e| e.to_string())?;
+        std::fs::write(file("svg"), chart).map_err(|e| e.to_string())
     }
 
-    fn svg(&self) -> Result<String, Box<dyn std::error::Error>> {
-        let mut text = String::new();
-        let most = |of: fn(&Point) -> f64| self.points.iter().map(of).fold(1e-9, f64::max) * 1.05;
-        let (right, top) = (most(|point| point.size), most(|point| point.value));
-        let area = SVGBackend::with_string(&mut text, (720, 360)).into_drawing_area();
+    /// Draws the points, from the origin up to 5% beyond the largest size and value.
+    fn draw_svg(&self) -> Result<String, Box<dyn std::error::Error>> {
+        let mut svg = String::new();
+        let axis_end = |of: fn(&Point) -> f64| self.points.iter().map(of).fold(1e-9, f64::max) * 1.05;
+        let (right, top) = (axis_end(|point| point.size), axis_end(|point| point.value));
+        let area = SVGBackend::with_string(&mut svg, (720, 360)).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(&self.name, ("sans-serif", 16))
@@ -141,6 +147,6 @@
         area.present()?;
         drop(chart);
         drop(area);
-        Ok(text)
+        Ok(svg)
     }
 }
--- a/trials/src/scale/subsets.rs
+++ b/trials/src/scale/subsets.rs
@@ -1,7 +1,7 @@
 //! The bounded subsets of a whole fleet: how even they are, and what a change moves.
 
 use super::fixture::{ZONES, read, whole_list};
-use super::slope::{Over, Slope};
+use super::slope::{Dimension, Slope};
 use std::collections::{BTreeMap, BTreeSet};
 use weldhub::entries::List;
 use weldhub::interface::{GatewayId, ServerId, ServerState};
@@ -30,7 +30,7 @@
     size: usize,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
-    let slope = |name: &str, unit| Slope::new(&format!("subset-{name}"), unit, Over::Ingresses);
+    let slope = |name: &str, unit| Slope::new(&format!("subset-{name}"), unit, Dimension::Ingresses);
     let mut least = slope("smallest", "backends of the smallest subset");
     let mut most = slope("largest", "backends of the largest subset");
     let mut fewest_holders = slope("holders-fewest", "ingresses that hold the backend that fewest do");
--- a/trials/tests/scale.rs
+++ b/trials/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The shapes of what an ingress costs: a short form of `make scale`, whose figures are compared within one run only.
 
 use weldhub_trials::scale::fixture::QuotaSource;
-use weldhub_trials::scale::slope::{Over, Slope};
+use weldhub_trials::scale::slope::{Dimension, Slope};
 use weldhub_trials::scale::{LoadOf, RATE, Sizes, fleet_slopes, list_slopes, load_slopes};
 
 /// Of four sizes, as small as a debug build bears; a notice goes to sixteen at once, so fleets are larger.
@@ -9,7 +9,7 @@
     Sizes {
         ingresses: vec![20, 40, 80, 160],
         backends: vec![200, 400, 800, 1600],
-        tenants: vec![100, 200, 400, 800],
+        customers: vec![100, 200, 400, 800],
         seconds: 4.0,
         rest: 4,
     }
@@ -49,14 +49,14 @@
     shape(&fleet, "membership-bytes", FLAT);
     shape(&fleet, "notices-median", [0.0, 0.9]);
     let load = LoadOf { rate: RATE, source: QuotaSource::Peers, subset: Some(48) };
-    let load = load_slopes(&sizes, Over::Ingresses, load, &mut quiet).unwrap();
+    let load = load_slopes(&sizes, Dimension::Ingresses, load, &mut quiet).unwrap();
     shape(&load, "quota-messages-peers-over-ingresses-subset", FLAT);
     shape(&load, "quota-bytes-peers-over-ingresses-subset", FLAT);
 }
 
 #[test]
 fn a_fit_tells_the_power_and_how_far_it_was_extrapolated() {
-    let mut slope = Slope::new("squares", "units", Over::Backends);
+    let mut slope = Slope::new("squares", "units", Dimension::Backends);
     [100, 200, 400, 700].into_iter().for_each(|size| slope.add(size, (size * size) as f64));
     let fit = slope.fit();
     assert!((fit.exponent - 2.0).abs() < 1e-9 && fit.error < 1e-9, "{fit:?}");
