--- a/trials/src/scale/backend_list.rs
+++ b/trials/src/scale/backend_list.rs
@@ -1,6 +1,6 @@
 //! What the list of backends costs an ingress: bytes on the wire, time to take it in, memory by part, one change.
 
-use super::fixture::{self, QuotaSource, chunk_bytes, one_change, read, settings, whole_list};
+use super::fixture::{self, QuotaSource, change_line, chunk_bytes, full_list_line, parse_line, settings};
 use super::meter::{measure, min_cpu_micros};
 use super::pipeline::{DecisionPipeline, SubsetSize};
 use super::slope::{Dimension, Slope};
@@ -35,12 +35,12 @@
     let mut handed = slope("handover", "bytes handed to a successor");
     for &size in sizes {
         progress(&format!("list of {size} backends{suffix}"));
-        let line = whole_list(size);
+        let line = full_list_line(size);
         wire.add(size, chunk_bytes(&line) as f64);
-        let (list, cost) = measure(|| read(&line, None));
+        let (list, cost) = measure(|| parse_line(&line, None));
         reading_peak.add(size, cost.heap_peak);
         let list = list?;
-        let micros = min_cpu_micros(TIMES, || drop(read(&line, None)));
+        let micros = min_cpu_micros(TIMES, || drop(parse_line(&line, None)));
         reading.add(size, micros);
         let mut pipeline = DecisionPipeline::new(settings(0, INGRESSES, QuotaSource::Peers), subset)?;
         pipeline.handle(0.0, Event::Start);
@@ -53,8 +53,8 @@
         let micros = min_cpu_micros(TIMES, || {
             times += 1;
             let word = if times % 2 == 1 { "terminating" } else { "in_service" };
-            let line = one_change(1 + times, size / 2, word);
-            match fixture::read(&line, Some(times)) {
+            let line = change_line(1 + times, size / 2, word);
+            match fixture::parse_line(&line, Some(times)) {
                 Ok(list) => drop(pipeline.apply_list(1.0 + times as f64, list)),
                 Err(why) => failed = Some(why),
             }
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -1,4 +1,5 @@
-//! An installation of any size: settings of an ingress, the list of backends as discovery writes it, and requests.
+//! Inputs for an installation of any size: the settings of an ingress, backend lists as discovery sends them, and
+//! requests.
 
 use serde_json::json;
 use std::fmt::Write;
@@ -9,33 +10,33 @@
 };
 use weldhub::net::discovery::read_line;
 
-/// Zones of the two regions together.
+/// The number of zones, over both regions of the installation.
 pub const ZONES: usize = 5;
-/// Messages of peers that an ingress takes in a second.
-const MAIL_PER_SECOND: f64 = 60.0;
-/// How long a client waits, in milliseconds.
-const PATIENCE: f64 = 2000.0;
-/// How many ingresses the requests of one tenant come to.
-const SPREAD: u16 = 8;
+/// The number of messages a second that an ingress accepts from its peers.
+const PEER_MESSAGES_PER_SECOND: f64 = 60.0;
+/// The time for which a client waits for an answer, in milliseconds.
+const CLIENT_TIMEOUT_MS: f64 = 2000.0;
+/// The number of ingresses that receive the requests of one customer.
+const INGRESSES_PER_CUSTOMER: u16 = 8;
 
-/// Where an ingress hears of what others grant.
+/// How the ingresses share the use of customers' quotas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaSource {
-    /// Messages between ingresses.
+    /// By messages between ingresses.
     Peers,
-    /// The shared counter.
+    /// By the fleet's shared counter.
     Counter,
 }
 
-/// The settings of one ingress.
-pub fn settings(me: u16, ingresses: usize, source: QuotaSource) -> Settings {
+/// Returns the settings of the ingress with number `ingress` in a fleet of `ingresses`.
+pub fn settings(ingress: u16, ingresses: usize, source: QuotaSource) -> Settings {
     let class = |aim, effect| Class { aim, worth: 1.0, effect };
     let keyed = Effect::Keyed { group: Group::Zone, window: 6000.0 };
     let plan = Plan { rate: 6.0, burst: 30.0, extra_worth: 0.1, excess_cost: 0.3, ..Plan::default() };
     Settings {
-        me: GatewayId(me),
+        me: GatewayId(ingress),
         gateways: u16::try_from(ingresses).unwrap_or(u16::MAX),
-        zone: ZoneId((usize::from(me) % ZONES) as u8),
+        zone: ZoneId((usize::from(ingress) % ZONES) as u8),
         classes: vec![class(600.0, Effect::Safe), class(750.0, keyed)],
         plans: vec![plan],
         largest: 6.0,
@@ -44,7 +45,7 @@
         counter: source == QuotaSource::Counter,
         counter_timeout: 50.0,
         peers: source == QuotaSource::Peers,
-        mail_per_second: MAIL_PER_SECOND,
+        mail_per_second: PEER_MESSAGES_PER_SECOND,
         max_attempts: 4,
         second_copies: false,
         cancelling: true,
@@ -55,13 +56,14 @@
     }
 }
 
-/// The names of the installation's zones and kinds of machine.
+/// Returns the names of the installation's zones and kinds of machine.
 pub fn places() -> Places {
     let zones = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
     Places { zones, kinds: vec!["gen-a".into(), "gen-b".into()] }
 }
 
-fn instance(number: usize, lifecycle: &str) -> serde_json::Value {
+/// Returns the discovery entry of one backend.
+fn backend_entry(number: usize, lifecycle: &str) -> serde_json::Value {
     json!({
         "instanceId": format!("backend-{number:05}"),
         "hostPort": format!("10.{}.{}.{}:9000", number >> 16, (number >> 8) & 0xff, number & 0xff),
@@ -73,47 +75,50 @@
     })
 }
 
-/// A line of discovery's watch that holds so many backends.
-pub fn whole_list(backends: usize) -> String {
-    let all: Vec<_> = (0..backends).map(|number| instance(number, "in_service")).collect();
-    json!({ "generation": 1, "reset": true, "instances": all }).to_string()
+/// Returns a line of the discovery watch with a full list of `backends` backends.
+pub fn full_list_line(backends: usize) -> String {
+    let entries: Vec<_> = (0..backends).map(|number| backend_entry(number, "in_service")).collect();
+    json!({ "generation": 1, "reset": true, "instances": entries }).to_string()
 }
 
-/// A line of discovery's watch that changes one backend.
-pub fn one_change(generation: u64, number: usize, lifecycle: &str) -> String {
-    json!({ "generation": generation, "reset": false, "instances": [instance(number, lifecycle)] })
+/// Returns a line of the discovery watch that changes one backend.
+pub fn change_line(generation: u64, number: usize, lifecycle: &str) -> String {
+    json!({ "generation": generation, "reset": false, "instances": [backend_entry(number, lifecycle)] })
         .to_string()
 }
 
-/// Reads a line by the reader that the program uses.
+/// Parses a line of the discovery watch with the program's own reader. `known` is the generation of the list that the
+/// line's changes apply to; `None` if there is no list yet.
 ///
 /// # Errors
-/// Why it cannot be read.
-pub fn read(line: &str, known: Option<u64>) -> Result<List, String> {
-    read_line(line.as_bytes(), known, &places())?.ok_or_else(|| "a list is no sign of life".to_owned())
+/// Returns why the line could not be read or is no list.
+pub fn parse_line(line: &str, known: Option<u64>) -> Result<List, String> {
+    read_line(line.as_bytes(), known, &places())?
+        .ok_or_else(|| "the line is a heartbeat, not a list".to_owned())
 }
 
-/// A request of a tenant at an ingress that is among those which the tenant's requests come to.
-pub fn request(id: u64, tenant: usize, at: &Settings) -> Request {
-    let spread = SPREAD.min(at.gateways);
-    let before = (tenant % usize::from(spread.max(1))) as u16;
+/// Returns a request of a customer, received by the ingress that `settings` belong to. The customer's group of
+/// `INGRESSES_PER_CUSTOMER` ingresses is placed so that it contains this ingress.
+pub fn request(id: u64, customer: usize, settings: &Settings) -> Request {
+    let spread = INGRESSES_PER_CUSTOMER.min(settings.gateways);
+    let position = (customer % usize::from(spread.max(1))) as u16;
     Request {
         id: RequestId(id),
         class: ClassId((id % 2) as usize),
         plan: PlanId(0),
-        customer: CustomerId(tenant as u64),
-        left: PATIENCE,
+        customer: CustomerId(customer as u64),
+        left: CLIENT_TIMEOUT_MS,
         units: 1.0,
         spread,
-        first: GatewayId((at.me.0 + at.gateways - before) % at.gateways.max(1)),
+        first: GatewayId((settings.me.0 + settings.gateways - position) % settings.gateways.max(1)),
         repeat: false,
     }
 }
 
-/// What an HTTP/1.1 answer adds to a line that it carries as one chunk.
+/// Returns the bytes on the wire of a line that is sent as one chunk of an HTTP/1.1 answer.
 pub fn chunk_bytes(line: &str) -> usize {
-    let mut head = String::new();
-    // Writing to a string cannot fail.
-    let _ = write!(head, "{:x}\r\n\r\n", line.len());
-    line.len() + head.len() + 1
+    let mut framing = String::new();
+    // Writing to a `String` never fails.
+    let _ = write!(framing, "{:x}\r\n\r\n", line.len());
+    line.len() + framing.len() + 1
 }
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -5,7 +5,7 @@
 //! and what a request waits for and takes is what is added to it. What a home answers comes from decisions of the
 //! same kind, and asks of others come in as often as this ingress asks.
 
-use super::fixture::{QuotaSource, one_change, read, request, settings, whole_list};
+use super::fixture::{QuotaSource, change_line, full_list_line, parse_line, request, settings};
 use super::meter::{heap_bytes, thread_cpu_time};
 use super::pipeline::{DecisionPipeline, SubsetSize};
 use hdrhistogram::Histogram;
@@ -158,7 +158,7 @@
 
 impl Play {
     fn start(&mut self) -> Result<(), String> {
-        let list = read(&whole_list(self.setup.backends), None)?;
+        let list = parse_line(&full_list_line(self.setup.backends), None)?;
         let actions = self.ingress.handle(0.0, Event::Start);
         self.carry_out(0, actions);
         self.others.handle(0.0, Event::Start);
@@ -214,11 +214,11 @@
         let number = (self.generation / 2) as usize % self.setup.backends;
         let word = if self.generation % 2 == 1 { "terminating" } else { "in_service" };
         self.generation += 1;
-        let line = one_change(self.generation, number, word);
+        let line = change_line(self.generation, number, word);
         let mut failed = None;
         let known = self.generation - 1;
         self.work(at, |ingress, now| {
-            match read(&line, Some(known)) {
+            match parse_line(&line, Some(known)) {
                 Ok(list) => drop(ingress.apply_list(now, list)),
                 Err(why) => failed = Some(why),
             }
--- a/trials/src/scale/process.rs
+++ b/trials/src/scale/process.rs
@@ -1,7 +1,7 @@
 //! One real process of the program before a stand-in of discovery that tells a list of any size: what the hollow
 //! ingresses leave out, and what they are checked against.
 
-use super::fixture::whole_list;
+use super::fixture::full_list_line;
 use super::pipeline::SubsetSize;
 use super::slope::{Dimension, Slope};
 use serde_json::json;
@@ -72,7 +72,7 @@
 fn run(program: &Path, backends: usize, subset: SubsetSize) -> io::Result<Seen> {
     let discovery = TcpListener::bind("127.0.0.1:0")?;
     let at = discovery.local_addr()?;
-    let line = Arc::new(format!("{}\n", whole_list(backends)));
+    let line = Arc::new(format!("{}\n", full_list_line(backends)));
     spawn(move || {
         for stream in discovery.incoming().flatten() {
             let line = line.clone();
--- a/trials/src/scale/subsets.rs
+++ b/trials/src/scale/subsets.rs
@@ -1,6 +1,6 @@
 //! The bounded subsets of a whole fleet: how even they are, and what a change moves.
 
-use super::fixture::{ZONES, read, whole_list};
+use super::fixture::{ZONES, full_list_line, parse_line};
 use super::slope::{Dimension, Slope};
 use std::collections::{BTreeMap, BTreeSet};
 use weldhub::entries::List;
@@ -38,7 +38,7 @@
     let mut uneven = slope("uneven", "load of a backend: deviation as a part of the mean");
     let mut by_one = slope("moved-by-one", "ingresses that the end of one backend concerns");
     let mut by_zone = slope("moved-by-zone", "backends new to an ingress where a fifth of ingresses dies");
-    let list = read(&whole_list(backends), None)?;
+    let list = parse_line(&full_list_line(backends), None)?;
     for &ingresses in fleets {
         progress(&format!("subsets of {ingresses} ingresses"));
         let seen = measure(ingresses, size, &list);
