--- a/trials/src/scale/subsets.rs
+++ b/trials/src/scale/subsets.rs
@@ -1,4 +1,5 @@
-//! The bounded subsets of a whole fleet: how even they are, and what a change moves.
+//! The bounded backend subsets of a whole fleet: how evenly they spread the load, and how much moves when a backend or
+//! the ingresses of a zone are lost.
 
 use super::fixture::{ZONES, full_list_line, parse_line};
 use super::slope::{Dimension, Slope};
@@ -7,87 +8,94 @@
 use weldhub::interface::{GatewayId, ServerId, ServerState};
 use weldhub::subset::Subset;
 
-/// What is measured at one size of the fleet.
+/// The fraction of the ingresses that survives the loss of one of the [`ZONES`].
+const SURVIVING_SHARE: f64 = 0.8;
+
+/// The subsets of one fleet.
 #[derive(Debug, Default)]
-struct Seen {
+struct FleetSubsets {
+    /// The number of backends in the subset of each ingress.
     sizes: Vec<usize>,
+    /// The number of ingresses whose subset contains each backend.
     holders: BTreeMap<ServerId, usize>,
-    /// Of each backend, where every ingress spreads the same load over its subset.
+    /// The load of each backend if each ingress spreads a load of 1 evenly over its subset.
     load: BTreeMap<ServerId, f64>,
-    /// Ingresses that one backend's end concerns.
-    moved_by_one: usize,
-    /// Backends that come in at one ingress when a fifth of the ingresses dies, all together.
+    /// The number of ingresses whose subset changes when one backend is withdrawn.
+    moved_by_backend: usize,
+    /// The number of backends that are new to a subset when the ingresses of one zone die, summed over the survivors.
     moved_by_zone: usize,
 }
 
-/// Measures it over fleets of each size, before so many backends.
+/// Measures subsets of about `subset_size` of `backends` backends in fleets of each size.
 ///
 /// # Errors
-/// Where a list cannot be read.
+/// Returns why the list could not be read.
 pub fn slopes(
-    fleets: &[usize],
+    fleet_sizes: &[usize],
     backends: usize,
-    size: usize,
+    subset_size: usize,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
     let slope = |name: &str, unit| Slope::new(&format!("subset-{name}"), unit, Dimension::Ingresses);
-    let mut least = slope("smallest", "backends of the smallest subset");
-    let mut most = slope("largest", "backends of the largest subset");
+    let mut smallest = slope("smallest", "backends of the smallest subset");
+    let mut largest = slope("largest", "backends of the largest subset");
     let mut fewest_holders = slope("holders-fewest", "ingresses that hold the backend that fewest do");
     let mut most_holders = slope("holders-most", "ingresses that hold the backend that most do");
-    let mut uneven = slope("uneven", "load of a backend: deviation as a part of the mean");
-    let mut by_one = slope("moved-by-one", "ingresses that the end of one backend concerns");
+    let mut deviation = slope("uneven", "load of a backend: deviation as a part of the mean");
+    let mut by_backend = slope("moved-by-one", "ingresses that the end of one backend concerns");
     let mut by_zone = slope("moved-by-zone", "backends new to an ingress where a fifth of ingresses dies");
     let list = parse_line(&full_list_line(backends), None)?;
-    for &ingresses in fleets {
+    for &ingresses in fleet_sizes {
         progress(&format!("subsets of {ingresses} ingresses"));
-        let seen = measure(ingresses, size, &list);
-        least.add(ingresses, seen.sizes.iter().copied().min().unwrap_or(0) as f64);
-        most.add(ingresses, seen.sizes.iter().copied().max().unwrap_or(0) as f64);
-        fewest_holders.add(ingresses, seen.holders.values().copied().min().unwrap_or(0) as f64);
-        most_holders.add(ingresses, seen.holders.values().copied().max().unwrap_or(0) as f64);
-        uneven.add(ingresses, unevenness(&seen.load));
-        by_one.add(ingresses, seen.moved_by_one as f64);
-        by_zone.add(ingresses, seen.moved_by_zone as f64 / (ingresses as f64 * 0.8));
+        let subsets = measure(ingresses, subset_size, &list);
+        smallest.add(ingresses, subsets.sizes.iter().copied().min().unwrap_or(0) as f64);
+        largest.add(ingresses, subsets.sizes.iter().copied().max().unwrap_or(0) as f64);
+        fewest_holders.add(ingresses, subsets.holders.values().copied().min().unwrap_or(0) as f64);
+        most_holders.add(ingresses, subsets.holders.values().copied().max().unwrap_or(0) as f64);
+        deviation.add(ingresses, coefficient_of_variation(&subsets.load));
+        by_backend.add(ingresses, subsets.moved_by_backend as f64);
+        by_zone.add(ingresses, subsets.moved_by_zone as f64 / (ingresses as f64 * SURVIVING_SHARE));
     }
-    Ok(vec![least, most, fewest_holders, most_holders, uneven, by_one, by_zone])
+    Ok(vec![smallest, largest, fewest_holders, most_holders, deviation, by_backend, by_zone])
 }
 
-fn subset(number: usize, ingresses: usize, size: usize, list: &List) -> Subset {
-    let mut subset = Subset::new(GatewayId(number as u16), ingresses as u16, size);
+/// Returns the subset that one ingress of a fleet computes from a full list.
+fn new_subset(ingress: usize, ingresses: usize, subset_size: usize, list: &List) -> Subset {
+    let mut subset = Subset::new(GatewayId(ingress as u16), ingresses as u16, subset_size);
     subset.listed(0.0, list.clone());
     subset
 }
 
-fn measure(ingresses: usize, size: usize, list: &List) -> Seen {
-    let mut seen = Seen::default();
-    let Some(mut gone) = list.entries.first().cloned() else { return seen };
-    gone.entry.state = ServerState::Gone;
-    let gone = List { generation: 2, whole: false, entries: vec![gone] };
-    // Numbers are given to zones in turn; the ingresses of one zone die.
-    let living: Vec<bool> = (0..ingresses).map(|number| number % ZONES != 0).collect();
-    for number in 0..ingresses {
-        let mut one = subset(number, ingresses, size, list);
-        let held: BTreeSet<ServerId> = one.held().collect();
-        seen.sizes.push(held.len());
+/// Computes the subset of every ingress, then those after the loss of a zone and of a backend.
+fn measure(ingresses: usize, subset_size: usize, list: &List) -> FleetSubsets {
+    let mut subsets = FleetSubsets::default();
+    let Some(mut withdrawn) = list.entries.first().cloned() else { return subsets };
+    withdrawn.entry.state = ServerState::Gone;
+    let withdrawal = List { generation: 2, whole: false, entries: vec![withdrawn] };
+    // Ingress numbers are assigned to the zones in turn, so these are the survivors if zone 0 is lost.
+    let survivors: Vec<bool> = (0..ingresses).map(|ingress| ingress % ZONES != 0).collect();
+    for ingress in 0..ingresses {
+        let mut subset = new_subset(ingress, ingresses, subset_size, list);
+        let held: BTreeSet<ServerId> = subset.held().collect();
+        subsets.sizes.push(held.len());
         for id in &held {
-            *seen.holders.entry(*id).or_default() += 1;
-            *seen.load.entry(*id).or_default() += 1.0 / held.len() as f64;
+            *subsets.holders.entry(*id).or_default() += 1;
+            *subsets.load.entry(*id).or_default() += 1.0 / held.len() as f64;
         }
-        if living[number] {
-            one.living(Some(&living));
-            seen.moved_by_zone += one.held().filter(|id| !held.contains(id)).count();
-            one.living(None);
+        if survivors[ingress] {
+            subset.living(Some(&survivors));
+            subsets.moved_by_zone += subset.held().filter(|id| !held.contains(id)).count();
+            subset.living(None);
         }
-        seen.moved_by_one += usize::from(!one.listed(1.0, gone.clone()).entries.is_empty());
+        subsets.moved_by_backend += usize::from(!subset.listed(1.0, withdrawal.clone()).entries.is_empty());
     }
-    seen
+    subsets
 }
 
-/// The deviation of some loads, as a part of their mean.
-fn unevenness(load: &BTreeMap<ServerId, f64>) -> f64 {
-    let count = load.len().max(1) as f64;
-    let mean = load.values().sum::<f64>() / count;
-    let variance = load.values().map(|part| (part - mean).powi(2)).sum::<f64>() / count;
+/// Returns the standard deviation of the loads as a fraction of their mean.
+fn coefficient_of_variation(loads: &BTreeMap<ServerId, f64>) -> f64 {
+    let count = loads.len().max(1) as f64;
+    let mean = loads.values().sum::<f64>() / count;
+    let variance = loads.values().map(|load| (load - mean).powi(2)).sum::<f64>() / count;
     variance.sqrt() / mean
 }
