--- a/trials/src/scale/meter.rs
+++ b/trials/src/scale/meter.rs
@@ -1,4 +1,5 @@
-//! Meters for what a piece of work costs this process: heap bytes and CPU time of the calling thread.
+//! Meters for what a piece of work costs this process, heap bytes and CPU time of the calling thread, and counts of the
+//! messages that it sends.
 //!
 //! Heap bytes are those requested from the allocator, without the allocator's own overhead, so they are the same in
 //! every run. CPU time is that of the thread alone: it leaves out waiting, and other programs on the machine change it
@@ -53,3 +54,35 @@
 pub fn min_cpu_micros(repetitions: usize, mut work: impl FnMut()) -> f64 {
     (0..repetitions).map(|_| measure(&mut work).1.cpu_micros).fold(f64::INFINITY, f64::min)
 }
+
+/// A count of messages sent and of their bytes.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Traffic {
+    /// The number of messages.
+    pub messages: u64,
+    /// The sum of their bytes.
+    pub bytes: u64,
+}
+
+impl Traffic {
+    /// Counts one message of this many bytes.
+    pub fn add(&mut self, bytes: u64) {
+        self.messages += 1;
+        self.bytes += bytes;
+    }
+
+    /// Returns the rate if the traffic was sent over `seconds`. For a rate per ingress, `seconds` is the time summed
+    /// over all ingresses.
+    pub fn per_second(self, seconds: f64) -> TrafficRate {
+        TrafficRate { messages: self.messages as f64 / seconds, bytes: self.bytes as f64 / seconds }
+    }
+}
+
+/// A rate of messages.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct TrafficRate {
+    /// Messages a second.
+    pub messages: f64,
+    /// Bytes a second.
+    pub bytes: f64,
+}
--- a/trials/src/scale/mod.rs
+++ b/trials/src/scale/mod.rs
@@ -168,15 +168,15 @@
     let mut deaths = slope("membership-false-deaths", "times that a living ingress was taken for dead");
     for &size in &sizes.ingresses {
         progress(&format!("a fleet of {size} ingresses"));
-        let outcome = fleet::run(fleet::Setup { ingresses: size, rest: sizes.rest, burst: 50 });
-        memory.add(size, outcome.memory);
-        datagrams.add(size, outcome.rest[0]);
-        bytes.add(size, outcome.rest[1]);
-        share.add(size, outcome.share);
-        burst_bytes.add(size, outcome.burst[1]);
-        burst_share.add(size, outcome.burst_share);
-        median.add(size, outcome.in_force[0]);
-        worst.add(size, outcome.in_force[1]);
+        let outcome = fleet::run(fleet::Setup { ingresses: size, rest_seconds: sizes.rest, notices: 50 });
+        memory.add(size, outcome.heap_bytes);
+        datagrams.add(size, outcome.rest_traffic.messages);
+        bytes.add(size, outcome.rest_traffic.bytes);
+        share.add(size, outcome.rest_cpu_share);
+        burst_bytes.add(size, outcome.notices_traffic.bytes);
+        burst_share.add(size, outcome.notices_cpu_share);
+        median.add(size, outcome.notice_median_millis);
+        worst.add(size, outcome.notice_worst_millis);
         deaths.add(size, outcome.false_deaths as f64);
     }
     vec![memory, datagrams, bytes, share, burst_bytes, burst_share, median, worst, deaths]
