--- a/trials/src/scale/mod.rs
+++ b/trials/src/scale/mod.rs
@@ -124,31 +124,31 @@
             ingresses: last(&sizes.ingresses),
             backends: last(&sizes.backends),
             customers: last(&sizes.customers),
-            rate,
-            changes: BURST,
+            requests_per_second: rate,
+            list_changes_per_second: BURST,
             seconds: sizes.seconds,
-            source,
-            subset,
+            quota_source: source,
+            subset_size: subset,
         };
         match over {
             Dimension::Ingresses => setup.ingresses = size,
             Dimension::Backends => setup.backends = size,
             Dimension::Customers => setup.customers = size,
         }
-        let played = load::run(setup)?;
+        let measured = load::run(setup)?;
         for (slope, part) in &mut added {
-            slope.add(size, played.added.value_at_quantile(*part) as f64 / 1000.0);
+            slope.add(size, measured.added_nanos.value_at_quantile(*part) as f64 / 1000.0);
         }
         let traffic = match source {
-            QuotaSource::Peers => played.peer_traffic,
-            QuotaSource::Counter => played.counter_traffic,
+            QuotaSource::Peers => measured.peer_traffic,
+            QuotaSource::Counter => measured.counter_traffic,
         };
-        share.add(size, played.share);
-        kept.add(size, played.kept);
-        asked.add(size, played.asked as f64 / played.requests.max(1) as f64);
-        datagrams.add(size, traffic[0]);
-        bytes.add(size, traffic[1]);
-        reached.add(size, played.reached as f64);
+        share.add(size, measured.cpu_share);
+        kept.add(size, measured.heap_growth);
+        asked.add(size, measured.quota_calls as f64 / measured.requests.max(1) as f64);
+        datagrams.add(size, traffic.messages);
+        bytes.add(size, traffic.bytes);
+        reached.add(size, measured.backends_used as f64);
     }
     let [p50, p99, p999] = added.map(|(slope, _)| slope);
     Ok(vec![p50, p99, p999, share, kept, asked, datagrams, bytes, reached])
