--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -174,7 +174,7 @@
             match cli.command {
                 What::Play { scripts, json, folder } => play(cli.program, scripts, json, folder).await,
                 What::Scale { parts, subset, folder } => {
-                    scale::command(&cli.program, &parts, subset, &folder).map(|()| true)
+                    scale::measure_parts(&cli.program, &parts, subset, &folder).map(|()| true)
                 }
                 What::Guard => Ok(true),
                 What::Fleet { ingresses, servers } => fleet(cli.program, ingresses, servers).await,
--- a/trials/tests/scale.rs
+++ b/trials/tests/scale.rs
@@ -2,7 +2,7 @@
 
 use weldhub_trials::scale::fixture::QuotaSource;
 use weldhub_trials::scale::slope::{Dimension, Slope};
-use weldhub_trials::scale::{LoadOf, RATE, Sizes, fleet_slopes, list_slopes, load_slopes};
+use weldhub_trials::scale::{LoadProfile, MEAN_REQUEST_RATE, Sizes, fleet_slopes, list_slopes, load_slopes};
 
 /// Of four sizes, as small as a debug build bears; a notice goes to sixteen at once, so fleets are larger.
 fn sizes() -> Sizes {
@@ -10,8 +10,8 @@
         ingresses: vec![20, 40, 80, 160],
         backends: vec![200, 400, 800, 1600],
         customers: vec![100, 200, 400, 800],
-        seconds: 4.0,
-        rest: 4,
+        load_seconds: 4.0,
+        rest_seconds: 4,
     }
 }
 
@@ -48,7 +48,11 @@
     shape(&fleet, "membership-messages", FLAT);
     shape(&fleet, "membership-bytes", FLAT);
     shape(&fleet, "notices-median", [0.0, 0.9]);
-    let load = LoadOf { rate: RATE, source: QuotaSource::Peers, subset: Some(48) };
+    let load = LoadProfile {
+        request_rate: MEAN_REQUEST_RATE,
+        quota_source: QuotaSource::Peers,
+        subset_size: Some(48),
+    };
     let load = load_slopes(&sizes, Dimension::Ingresses, load, &mut quiet).unwrap();
     shape(&load, "quota-messages-peers-over-ingresses-subset", FLAT);
     shape(&load, "quota-bytes-peers-over-ingresses-subset", FLAT);
