--- a/trials/src/scale/backend_list.rs
+++ b/trials/src/scale/backend_list.rs
@@ -1,5 +1,5 @@
-//! What the backend list costs an ingress: bytes on the wire, CPU time to parse and to apply it, memory by layer, and
-//! CPU time for one change and for the periodic timer.
+//! What the backend list costs an ingress: bytes on the wire, CPU time to parse and to apply it, memory by
+//! layer, and CPU time for one change and for the periodic timer.
 
 use super::fixture::{QuotaSource, change_line, chunk_bytes, full_list_line, parse_line, settings};
 use super::meter::{measure, min_cpu_micros};
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -1,5 +1,5 @@
-//! Inputs for an installation of any size: the settings of an ingress, backend lists as discovery sends them, and
-//! requests.
+//! Inputs for an installation of any size: the settings of an ingress, backend lists as discovery sends them,
+//! and requests.
 
 use serde_json::json;
 use std::fmt::Write;
@@ -87,8 +87,8 @@
         .to_string()
 }
 
-/// Parses a line of the discovery watch with the program's own reader. `known` is the generation of the list that the
-/// line's changes apply to; `None` if there is no list yet.
+/// Parses a line of the discovery watch with the program's own reader. `known` is the generation of the list
+/// that the line's changes apply to; `None` if there is no list yet.
 ///
 /// # Errors
 /// Returns why the line could not be read or is no list.
@@ -97,8 +97,8 @@
         .ok_or_else(|| "the line is a heartbeat, not a list".to_owned())
 }
 
-/// Returns a request of a customer, received by the ingress that `settings` belong to. The customer's group of
-/// `INGRESSES_PER_CUSTOMER` ingresses is placed so that it contains this ingress.
+/// Returns a request of a customer, received by the ingress that `settings` belong to. The customer's group
+/// of `INGRESSES_PER_CUSTOMER` ingresses is placed so that it contains this ingress.
 pub fn request(id: u64, customer: usize, settings: &Settings) -> Request {
     let spread = INGRESSES_PER_CUSTOMER.min(settings.gateways);
     let position = (customer % usize::from(spread.max(1))) as u16;
--- a/trials/src/scale/fleet.rs
+++ b/trials/src/scale/fleet.rs
@@ -1,5 +1,5 @@
-//! Membership and operators' notices of a whole fleet in one process: the program's membership module and datagrams for
-//! each ingress, in simulated time, with their cost in bytes, memory and CPU time.
+//! Membership and operators' notices of a whole fleet in one process: the program's membership module and
+//! datagrams for each ingress, in simulated time, with their cost in bytes, memory and CPU time.
 
 use super::meter::{Traffic, TrafficRate, heap_bytes, thread_cpu_time};
 use std::cmp::Reverse;
@@ -22,7 +22,8 @@
 /// The time of the clock at the start of the simulation, in milliseconds.
 const START_MILLIS: f64 = 1e12;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// The time between the start and the first measurement, in seconds. In it the gossip caused by the start ends.
+/// The time between the start and the first measurement, in seconds. In it the gossip caused by the start
+/// ends.
 const WARM_UP_SECONDS: u64 = 20;
 /// The time over which operators publish notices, in seconds.
 const NOTICE_SECONDS: u64 = 60;
@@ -53,12 +54,13 @@
     pub notices_traffic: TrafficRate,
     /// The CPU time that one ingress uses while notices are published, as a fraction of a core.
     pub notices_cpu_share: f64,
-    /// The median time from the publication of a notice until the last ingress has it, in milliseconds. Infinite if a
-    /// notice of at least median rank has not reached all ingresses.
+    /// The median time from the publication of a notice until the last ingress has it, in milliseconds.
+    /// Infinite if a notice of at least median rank has not reached all ingresses.
     pub notice_median_millis: f64,
     /// The longest such time, in milliseconds. Infinite if any notice has not reached all ingresses.
     pub notice_worst_millis: f64,
-    /// The number of times that an ingress declared another one dead. No ingress dies, so all of them are false.
+    /// The number of times that an ingress declared another one dead. No ingress dies, so all of them are
+    /// false.
     pub false_deaths: usize,
 }
 
@@ -128,7 +130,8 @@
     START_MILLIS + now_micros as f64 / 1000.0
 }
 
-/// Simulates a fleet whose members know each other from the start: first at rest, then while notices are published.
+/// Simulates a fleet whose members know each other from the start: first at rest, then while notices are
+/// published.
 pub fn run(setup: Setup) -> Outcome {
     let (mut fleet, heap_bytes) = Fleet::start(setup.ingresses);
     fleet.advance(WARM_UP_SECONDS * MICROS_PER_SECOND);
@@ -203,13 +206,13 @@
                 }
                 None => self.ingresses[ingress].tick(now_millis, &mut actions),
             }
-            // The program's transport makes both of these calls after each datagram and each timer, so they are part
-            // of the measured CPU time.
+            // The program's transport makes both of these calls after each datagram and each timer, so they
+            // are part of the measured CPU time.
             let due_millis = self.ingresses[ingress].due();
             drop(self.ingresses[ingress].living());
             self.cpu_micros += (thread_cpu_time() - cpu_before).as_secs_f64() * 1e6;
-            // A clock time in milliseconds is not exact to the microsecond; the one added keeps the timer from
-            // expiring early.
+            // A clock time in milliseconds is not exact to the microsecond; the one added keeps the timer
+            // from expiring early.
             let due_micros = ((due_millis - START_MILLIS) * 1000.0).ceil() as u64 + 1;
             if due_micros != self.timer_micros[ingress] || is_timer {
                 self.timer_micros[ingress] = due_micros;
--- a/trials/src/scale/load.rs
+++ b/trials/src/scale/load.rs
@@ -1,11 +1,11 @@
-//! One ingress of the fleet under its share of the load, in simulated time: the latency that its decisions add to each
-//! request.
+//! One ingress of the fleet under its share of the load, in simulated time: the latency that its decisions
+//! add to each request.
 //!
-//! The decisions are the program's, and the CPU time of each event that they handle is measured. An ingress has one
-//! thread, so the measured times run one after the other as they would on that thread. The latency added to a request
-//! is the time that it waits for the thread plus the time that its own event takes. Other ingresses are simulated by a
-//! second pipeline of the same kind: it answers as quota owner, and each quota request that is sent to it comes back to
-//! the measured ingress as one from a peer.
+//! The decisions are the program's, and the CPU time of each event that they handle is measured. An ingress
+//! has one thread, so the measured times run one after the other as they would on that thread. The latency
+//! added to a request is the time that it waits for the thread plus the time that its own event takes. Other
+//! ingresses are simulated by a second pipeline of the same kind: it answers as quota owner, and each quota
+//! request that is sent to it comes back to the measured ingress as one from a peer.
 
 use super::fixture::{QuotaSource, change_line, full_list_line, parse_line, request, settings};
 use super::meter::{Traffic, TrafficRate, heap_bytes, thread_cpu_time};
@@ -59,8 +59,8 @@
 /// The measurements of the ingress.
 #[derive(Debug, Clone)]
 pub struct Measurements {
-    /// The latency added to each request, in nanoseconds. Time spent on an answer from another ingress or the counter
-    /// is not included.
+    /// The latency added to each request, in nanoseconds. Time spent on an answer from another ingress or the
+    /// counter is not included.
     pub added_nanos: Histogram<u64>,
     /// The number of quota requests sent to other ingresses and of calls to the counter.
     pub quota_calls: u64,
@@ -76,7 +76,8 @@
     pub counter_traffic: TrafficRate,
     /// The number of backends that were sent at least one attempt.
     pub backends_used: usize,
-    /// The heap bytes at the end beyond those before the first request, when the backend list was already in place.
+    /// The heap bytes at the end beyond those before the first request, when the backend list was already in
+    /// place.
     pub heap_growth: f64,
 }
 
@@ -207,8 +208,9 @@
         Ok(())
     }
 
-    /// Runs a piece of work of the ingress, measures its CPU time and performs the actions that it returns. On the
-    /// simulated thread the work starts as soon as the thread is free; returns when it is done, in microseconds.
+    /// Runs a piece of work of the ingress, measures its CPU time and performs the actions that it returns.
+    /// On the simulated thread the work starts as soon as the thread is free; returns when it is done, in
+    /// microseconds.
     fn execute(
         &mut self,
         at_micros: u64,
@@ -224,7 +226,8 @@
         done_micros
     }
 
-    /// Submits a request of a random customer, records the latency added to it and schedules the next request.
+    /// Submits a request of a random customer, records the latency added to it and schedules the next
+    /// request.
     fn submit_request(&mut self, at_micros: u64) {
         let gap_micros = -(1.0 - self.rng.f64()).ln() * 1e6 / self.setup.requests_per_second;
         self.queue.push(at_micros + gap_micros as u64 + 1, SimEvent::RequestArrived);
@@ -238,8 +241,8 @@
         self.measurements.added_nanos.saturating_record(nanos);
     }
 
-    /// Sends the ingress a change of the backend list, by turns the drain of a backend and its return, and schedules
-    /// the next change.
+    /// Sends the ingress a change of the backend list, by turns the drain of a backend and its return, and
+    /// schedules the next change.
     fn change_list(&mut self, at_micros: u64) -> Result<(), String> {
         let backend = (self.list_generation / 2) as usize % self.setup.backends;
         let lifecycle = if self.list_generation % 2 == 1 { "terminating" } else { "in_service" };
@@ -296,8 +299,8 @@
         self.queue.push(at_micros + service_micros as u64, SimEvent::Handle(Event::AttemptEnded(end)));
     }
 
-    /// Passes a message for a quota owner to the simulated peer and schedules its answers. The same message is also
-    /// scheduled as one from that peer, so the ingress receives as many quota requests as it sends.
+    /// Passes a message for a quota owner to the simulated peer and schedules its answers. The same message
+    /// is also scheduled as one from that peer, so the ingress receives as many quota requests as it sends.
     fn send_to_peer(&mut self, at_micros: u64, to: GatewayId, bytes: Vec<u8>) {
         self.peer_traffic.add(bytes.len() as u64 + DATAGRAM_HEADER_BYTES);
         if !bytes.first().is_some_and(|tag| QUOTA_OWNER_TAGS.contains(tag)) {
--- a/trials/src/scale/meter.rs
+++ b/trials/src/scale/meter.rs
@@ -1,9 +1,9 @@
-//! Meters for what a piece of work costs this process, heap bytes and CPU time of the calling thread, and counts of the
-//! messages that it sends.
+//! Meters for what a piece of work costs this process, heap bytes and CPU time of the calling thread, and
+//! counts of the messages that it sends.
 //!
-//! Heap bytes are those requested from the allocator, without the allocator's own overhead, so they are the same in
-//! every run. CPU time is that of the thread alone: it leaves out waiting, and other programs on the machine change it
-//! little.
+//! Heap bytes are those requested from the allocator, without the allocator's own overhead, so they are the
+//! same in every run. CPU time is that of the thread alone: it leaves out waiting, and other programs on the
+//! machine change it little.
 
 use peak_alloc::PeakAlloc;
 use rustix::time::{ClockId, clock_gettime};
@@ -49,8 +49,8 @@
     (output, cost)
 }
 
-/// Runs a piece of work `repetitions` times and returns the least CPU time of one run, in microseconds. The least is
-/// taken because interference from other work only adds to it.
+/// Runs a piece of work `repetitions` times and returns the least CPU time of one run, in microseconds. The
+/// least is taken because interference from other work only adds to it.
 pub fn min_cpu_micros(repetitions: usize, mut work: impl FnMut()) -> f64 {
     (0..repetitions).map(|_| measure(&mut work).1.cpu_micros).fold(f64::INFINITY, f64::min)
 }
@@ -71,8 +71,8 @@
         self.bytes += bytes;
     }
 
-    /// Returns the rate if the traffic was sent over `seconds`. For a rate per ingress, `seconds` is the time summed
-    /// over all ingresses.
+    /// Returns the rate if the traffic was sent over `seconds`. For a rate per ingress, `seconds` is the time
+    /// summed over all ingresses.
     pub fn per_second(self, seconds: f64) -> TrafficRate {
         TrafficRate { messages: self.messages as f64 / seconds, bytes: self.bytes as f64 / seconds }
     }
--- a/trials/src/scale/mod.rs
+++ b/trials/src/scale/mod.rs
@@ -1,6 +1,6 @@
-//! The cost of an ingress in installations that are too large to run as processes on one machine. The program's own
-//! decisions, parsers, membership and datagrams are measured in one process at several sizes; a power law is fitted to
-//! the slope of each quantity over the size.
+//! The cost of an ingress in installations that are too large to run as processes on one machine. The
+//! program's own decisions, parsers, membership and datagrams are measured in one process at several sizes; a
+//! power law is fitted to the slope of each quantity over the size.
 
 pub mod backend_list;
 pub mod fixture;
@@ -94,7 +94,8 @@
     }
 }
 
-/// Measures one ingress under load. One dimension of the installation varies; the others have their largest size.
+/// Measures one ingress under load. One dimension of the installation varies; the others have their largest
+/// size.
 ///
 /// # Errors
 /// Returns why a list could not be read.
@@ -241,7 +242,8 @@
     Real,
 }
 
-/// Measures some parts at the sizes up to the capacity target, prints their slopes and writes them to a folder.
+/// Measures some parts at the sizes up to the capacity target, prints their slopes and writes them to a
+/// folder.
 ///
 /// # Errors
 /// Returns why a list could not be read, a process could not be measured or a file could not be written.
--- a/trials/src/scale/pipeline.rs
+++ b/trials/src/scale/pipeline.rs
@@ -1,5 +1,5 @@
-//! The layers of one ingress between the discovery reader and the limiter, connected as in its engine but without
-//! sockets: operators' maintenance, the optional subset of backends, the decisions.
+//! The layers of one ingress between the discovery reader and the limiter, connected as in its engine but
+//! without sockets: operators' maintenance, the optional subset of backends, the decisions.
 
 use super::meter::measure;
 use weldhub::Limiter;
--- a/trials/src/scale/process.rs
+++ b/trials/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! One real process of the program, with a stand-in for discovery that serves a list of any size. It includes the
-//! sockets and the event loop that the in-process measurements leave out, and cross-checks their results.
+//! One real process of the program, with a stand-in for discovery that serves a list of any size. It includes
+//! the sockets and the event loop that the in-process measurements leave out, and cross-checks their results.
 
 use super::fixture::full_list_line;
 use super::pipeline::SubsetSize;
--- a/trials/src/scale/slope.rs
+++ b/trials/src/scale/slope.rs
@@ -1,5 +1,5 @@
-//! A quantity measured at several sizes of an installation, its growth as a power of the size, and its value at the
-//! size of the capacity target.
+//! A quantity measured at several sizes of an installation, its growth as a power of the size, and its value
+//! at the size of the capacity target.
 
 use plotters::prelude::*;
 use serde::Serialize;
@@ -15,7 +15,8 @@
     pub value: f64,
 }
 
-/// The dimension of an installation that a slope varies. Reports and file names use the names that [`Display`] writes.
+/// The dimension of an installation that a slope varies. Reports and file names use the names that
+/// [`Display`] writes.
 ///
 /// [`Display`]: fmt::Display
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -71,7 +72,8 @@
     pub exponent: f64,
     /// The largest relative error of the power law at a measured size.
     pub error: f64,
-    /// The value at the size of the capacity target: the measured one if there is one, else that of the power law.
+    /// The value at the size of the capacity target: the measured one if there is one, else that of the power
+    /// law.
     pub at_target: f64,
     /// The target size as a multiple of the largest measured size, at least 1.
     pub extrapolated: f64,
--- a/trials/src/scale/subsets.rs
+++ b/trials/src/scale/subsets.rs
@@ -1,5 +1,5 @@
-//! The bounded backend subsets of a whole fleet: how evenly they spread the load, and how much moves when a backend or
-//! the ingresses of a zone are lost.
+//! The bounded backend subsets of a whole fleet: how evenly they spread the load, and how much moves when a
+//! backend or the ingresses of a zone are lost.
 
 use super::fixture::{ZONES, full_list_line, parse_line};
 use super::slope::{Dimension, Slope};
@@ -22,7 +22,8 @@
     load: BTreeMap<ServerId, f64>,
     /// The number of ingresses whose subset changes when one backend is withdrawn.
     moved_by_backend: usize,
-    /// The number of backends that are new to a subset when the ingresses of one zone die, summed over the survivors.
+    /// The number of backends that are new to a subset when the ingresses of one zone die, summed over the
+    /// survivors.
     moved_by_zone: usize,
 }
 
--- a/trials/tests/scale.rs
+++ b/trials/tests/scale.rs
@@ -1,12 +1,13 @@
-//! The growth of what an ingress costs: a short form of `make scale`. Values are compared within one run only.
+//! The growth of what an ingress costs: a short form of `make scale`. Values are compared within one run
+//! only.
 
 use std::ops::RangeInclusive;
 use weldhub_trials::scale::fixture::QuotaSource;
 use weldhub_trials::scale::slope::{Dimension, Slope};
 use weldhub_trials::scale::{LoadProfile, MEAN_REQUEST_RATE, Sizes, fleet_slopes, list_slopes, load_slopes};
 
-/// Four sizes in each dimension that a debug build can measure. Fleets have at least 20 ingresses, as a notice is sent
-/// to 16 ingresses at once.
+/// Four sizes in each dimension that a debug build can measure. Fleets have at least 20 ingresses, as a
+/// notice is sent to 16 ingresses at once.
 fn sizes() -> Sizes {
     Sizes {
         ingresses: vec![20, 40, 80, 160],
@@ -29,8 +30,9 @@
 /// The exponents of quantities that grow in proportion to the size.
 const LINEAR: RangeInclusive<f64> = 0.7..=1.35;
 
-/// Guards against a cost that grows by a higher power of the size than designed. All slopes are in one test because
-/// heap bytes are counted over the whole process, so tests that run beside each other would disturb them.
+/// Guards against a cost that grows by a higher power of the size than designed. All slopes are in one test
+/// because heap bytes are counted over the whole process, so tests that run beside each other would disturb
+/// them.
 #[test]
 fn costs_grow_with_their_expected_exponents() {
     let (sizes, mut no_progress) = (sizes(), |_: &str| {});
