--- a/trials/src/scale/backend_list.rs
+++ b/trials/src/scale/backend_list.rs
@@ -25,15 +25,15 @@
     mut progress: impl FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
     let slope = |name: &str, unit| Slope::new(&format!("{name}{suffix}"), unit, Dimension::Backends);
-    let mut wire_bytes = slope("list-wire", "bytes of a full list");
-    let mut parse_micros = slope("list-read", "us of CPU time to parse a full list");
-    let mut parse_peak = slope("list-read-peak", "peak heap bytes while a full list is parsed");
-    let mut apply_micros = slope("list-take-in", "us of CPU time to apply a full list");
-    let mut list_memory = slope("list-memory", "heap bytes for the list above the limiter");
-    let mut limiter_memory = slope("decision-memory", "heap bytes for the list in the limiter");
-    let mut change_micros = slope("list-change", "us of CPU time to apply one change");
+    let mut wire_bytes = slope("list-wire", "bytes of a whole list");
+    let mut parse_micros = slope("list-read", "us of processor time to read a whole list");
+    let mut parse_peak = slope("list-read-peak", "bytes on the heap while it is read");
+    let mut apply_micros = slope("list-take-in", "us of processor time to take in a whole list");
+    let mut list_memory = slope("list-memory", "bytes on the heap for the list");
+    let mut limiter_memory = slope("decision-memory", "bytes on the heap for backends in the decisions");
+    let mut change_micros = slope("list-change", "us of processor time to take in one change");
     let mut rest_share = slope("list-rest", "share of a core at rest");
-    let mut handover = slope("handover", "bytes handed over on an upgrade");
+    let mut handover = slope("handover", "bytes handed to a successor");
     for &size in sizes {
         progress(&format!("a list of {size} backends{suffix}"));
         let line = full_list_line(size);
--- a/trials/src/scale/mod.rs
+++ b/trials/src/scale/mod.rs
@@ -117,11 +117,11 @@
     let mut added_latency = [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)]
         .map(|(name, quantile)| (slope(&format!("added-{name}"), "us added to a request"), quantile));
     let mut cpu_share = slope("load-share", "share of a core under load");
-    let mut memory = slope("load-memory", "heap bytes beyond the backend list");
-    let mut quota_calls = slope("quota-asked", "quota requests and counter calls per request");
-    let mut quota_messages = slope("quota-messages", "quota messages a second");
-    let mut quota_bytes = slope("quota-bytes", "bytes of quota messages a second");
-    let mut backends_used = slope("reached", "backends that were sent an attempt");
+    let mut memory = slope("load-memory", "bytes on the heap beyond the list");
+    let mut quota_calls = slope("quota-asked", "part of requests that ask elsewhere");
+    let mut quota_messages = slope("quota-messages", "messages a second for quotas");
+    let mut quota_bytes = slope("quota-bytes", "bytes a second for quotas");
+    let mut backends_used = slope("reached", "backends that were sent to");
     let largest = |sizes: &[usize]| sizes.last().copied().unwrap_or(1);
     for &size in sizes_in(sizes, over) {
         progress(&format!(
@@ -165,15 +165,15 @@
 /// Measures membership and operators' notices over the number of ingresses.
 pub fn fleet_slopes(sizes: &Sizes, progress: &mut dyn FnMut(&str)) -> Vec<Slope> {
     let slope = |name: &str, unit| Slope::new(name, unit, Dimension::Ingresses);
-    let mut memory = slope("membership-memory", "heap bytes of one ingress");
-    let mut rest_messages = slope("membership-messages", "datagrams a second from one ingress at rest");
-    let mut rest_bytes = slope("membership-bytes", "bytes a second from one ingress at rest");
+    let mut memory = slope("membership-memory", "bytes on the heap of one ingress");
+    let mut rest_messages = slope("membership-messages", "messages a second of one ingress at rest");
+    let mut rest_bytes = slope("membership-bytes", "bytes a second of one ingress at rest");
     let mut rest_cpu_share = slope("membership-share", "share of a core of one ingress at rest");
-    let mut notices_bytes = slope("notices-bytes", "bytes a second from one ingress during notices");
-    let mut notices_cpu_share = slope("notices-share", "share of a core of one ingress during notices");
-    let mut notice_median = slope("notices-median", "ms until the last ingress has a notice, median");
-    let mut notice_worst = slope("notices-worst", "ms until the last ingress has a notice, worst");
-    let mut false_deaths = slope("membership-false-deaths", "times a live ingress was declared dead");
+    let mut notices_bytes = slope("notices-bytes", "bytes a second of one ingress in a burst");
+    let mut notices_cpu_share = slope("notices-share", "share of a core of one ingress in a burst");
+    let mut notice_median = slope("notices-median", "ms until in force at the last ingress, median");
+    let mut notice_worst = slope("notices-worst", "ms until in force at the last ingress, worst");
+    let mut false_deaths = slope("membership-false-deaths", "times that a living ingress was taken for dead");
     for &size in &sizes.ingresses {
         progress(&format!("a fleet of {size} ingresses"));
         let outcome = fleet::run(fleet::Setup {
--- a/trials/src/scale/process.rs
+++ b/trials/src/scale/process.rs
@@ -61,7 +61,7 @@
 ) -> Result<Vec<Slope>, String> {
     let slope = |name: &str, unit| Slope::new(&format!("real-{name}{suffix}"), unit, Dimension::Backends);
     let mut ready = slope("ready", "ms from start to ready");
-    let mut resident = slope("resident", "resident bytes");
+    let mut resident = slope("resident", "bytes resident");
     let mut rest = slope("rest", "share of a core at rest");
     for &size in sizes {
         progress(&format!("a process with {size} backends{suffix}"));
--- a/trials/src/scale/subsets.rs
+++ b/trials/src/scale/subsets.rs
@@ -38,14 +38,13 @@
     progress: &mut dyn FnMut(&str),
 ) -> Result<Vec<Slope>, String> {
     let slope = |name: &str, unit| Slope::new(&format!("subset-{name}"), unit, Dimension::Ingresses);
-    let mut smallest = slope("smallest", "backends in the smallest subset");
-    let mut largest = slope("largest", "backends in the largest subset");
-    let mut fewest_holders = slope("holders-fewest", "ingresses that hold the least held backend");
-    let mut most_holders = slope("holders-most", "ingresses that hold the most held backend");
-    let mut deviation = slope("uneven", "load per backend: standard deviation over mean");
-    let mut by_backend =
-        slope("moved-by-one", "ingresses whose subset changes when one backend is withdrawn");
-    let mut by_zone = slope("moved-by-zone", "backends new to a subset when a fifth of the ingresses dies");
+    let mut smallest = slope("smallest", "backends of the smallest subset");
+    let mut largest = slope("largest", "backends of the largest subset");
+    let mut fewest_holders = slope("holders-fewest", "ingresses that hold the backend that fewest do");
+    let mut most_holders = slope("holders-most", "ingresses that hold the backend that most do");
+    let mut deviation = slope("uneven", "load of a backend: deviation as a part of the mean");
+    let mut by_backend = slope("moved-by-one", "ingresses that the end of one backend concerns");
+    let mut by_zone = slope("moved-by-zone", "backends new to an ingress where a fifth of ingresses dies");
     let list = parse_line(&full_list_line(backends), None)?;
     for &ingresses in fleet_sizes {
         progress(&format!("subsets of {ingresses} ingresses"));
