--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -178,7 +178,7 @@
             match cli.command {
                 Command::Play { scripts, json, folder } => play(cli.program, scripts, json, folder).await,
                 Command::Scale { parts, subset, folder } => {
-                    scale::command(&cli.program, &parts, subset, &folder).map(|()| true)
+                    scale::measure_parts(&cli.program, &parts, subset, &folder).map(|()| true)
                 }
                 Command::Guard => Ok(true),
                 Command::Fleet { ingresses, servers } => fleet(cli.program, ingresses, servers).await,
