--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -1,7 +1,7 @@
 //! The client: carries out on sockets what `policy` and `ingresses` decide.
 
 use crate::ingresses::{Care, Ingresses, Went};
-use crate::policy::{Budget, Call, Effect, Ended, Manner, Millis, Next, Why};
+use crate::policy::{Budget, Call, Ended, Manner, Millis, Next, RetrySafety, Why};
 use crate::wire::{Bad, Reader};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
@@ -61,7 +61,7 @@
     get: bool,
     path: String,
     body: Bytes,
-    effect: Effect,
+    retry_safety: RetrySafety,
     key: Option<String>,
     customer: u64,
     plan: String,
@@ -77,7 +77,7 @@
             get: true,
             path: path.to_owned(),
             body: Bytes::new(),
-            effect: Effect::Safe,
+            retry_safety: RetrySafety::Safe,
             key: None,
             customer: 0,
             plan: String::new(),
@@ -87,14 +87,14 @@
         }
     }
 
-    /// One with a body, which must not run twice unless [`Request::effect`] says otherwise.
+    /// One with a body, which must not run twice unless [`Request::retry_safety`] says otherwise.
     pub fn post(path: &str, body: impl Into<Bytes>) -> Self {
-        Self { get: false, body: body.into(), effect: Effect::Unsafe, ..Self::get(path) }
+        Self { get: false, body: body.into(), retry_safety: RetrySafety::Unsafe, ..Self::get(path) }
     }
 
     /// What a repeat does.
-    pub fn effect(self, effect: Effect) -> Self {
-        Self { effect, ..self }
+    pub fn retry_safety(self, retry_safety: RetrySafety) -> Self {
+        Self { retry_safety, ..self }
     }
 
     /// The key under which repeats are dropped.
@@ -137,7 +137,7 @@
             r if r.set.0 == 0 || r.set.0 > ingresses || r.set.1 >= ingresses => "the set is out of range",
             r if r.timeout < 1.0 => "the time is up before it begins",
             r if r.key.as_deref().is_some_and(|key| !plain(key)) => "the key is no word",
-            r if matches!(r.effect, Effect::Keyed { .. }) && r.key.is_none() => {
+            r if matches!(r.retry_safety, RetrySafety::Keyed { .. }) && r.key.is_none() => {
                 "a keyed request needs its key"
             }
             _ => return Ok(()),
@@ -343,7 +343,7 @@
         let inner = &self.0;
         request.check(inner.config.ingresses.len())?;
         inner.lock().counts.calls += 1;
-        let mut call = Call::new(request.effect, inner.now() + request.timeout);
+        let mut call = Call::new(request.retry_safety, inner.now() + request.timeout);
         let mut tried = Vec::new();
         loop {
             let (how, kind) = match inner.one(request, &mut call, &mut tried).await {
--- a/client/src/lib.rs
+++ b/client/src/lib.rs
@@ -3,7 +3,7 @@
 //! and reconnects spread over time after an ingress has died.
 //!
 //! ```no_run
-//! use weldhub_client::{Client, Config, Effect, Request};
+//! use weldhub_client::{Client, Config, RetrySafety, Request};
 //!
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
 //! let client = Client::new(Config::new(["10.0.0.4:8081", "10.0.0.5:8081", "10.0.0.6:8081"])?)?;
@@ -18,7 +18,7 @@
 //!     Err(e) => eprintln!("never: {e}"),
 //! }
 //! let submit = Request::post("/move-submit/17", "e2e4")
-//!     .effect(Effect::Keyed { window: 6000.0 })
+//!     .retry_safety(RetrySafety::Keyed { window: 6000.0 })
 //!     .key("5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 //!     .customer(0xb4d65521)
 //!     .plan("club")
@@ -43,6 +43,6 @@
 
 pub use client::{Answer, Client, Config, Counts, Error, Kind, Request};
 pub use ingresses::Care;
-pub use policy::{Effect, Manner, Why};
+pub use policy::{Manner, RetrySafety, Why};
 #[cfg(feature = "tls")]
 pub use tls::Tls;
--- a/client/src/policy.rs
+++ b/client/src/policy.rs
@@ -10,7 +10,7 @@
 
 /// What a repeat of a request would do.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Nothing: it may be repeated at will.
     Safe,
     /// Nothing under the same key, for so long from the first try that may have run.
@@ -139,7 +139,7 @@
 /// A request over all its tries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    effect: Effect,
+    retry_safety: RetrySafety,
     deadline: Millis,
     tries: u32,
     sent: Millis,
@@ -149,8 +149,8 @@
 
 impl Call {
     /// A request of which nothing was sent, with one deadline for all its tries.
-    pub fn new(effect: Effect, deadline: Millis) -> Self {
-        Self { effect, deadline, tries: 0, sent: f64::NEG_INFINITY, risky: None }
+    pub fn new(retry_safety: RetrySafety, deadline: Millis) -> Self {
+        Self { retry_safety, deadline, tries: 0, sent: f64::NEG_INFINITY, risky: None }
     }
 
     /// When its time is up.
@@ -183,10 +183,10 @@
 
     /// Whether a repeat at this time does no harm.
     fn harmless(&self, at: Millis) -> bool {
-        match (self.effect, self.risky) {
-            (_, None) | (Effect::Safe, _) => true,
-            (Effect::Keyed { window }, Some(first)) => at < first + window,
-            (Effect::Unsafe, Some(_)) => false,
+        match (self.retry_safety, self.risky) {
+            (_, None) | (RetrySafety::Safe, _) => true,
+            (RetrySafety::Keyed { window }, Some(first)) => at < first + window,
+            (RetrySafety::Unsafe, Some(_)) => false,
         }
     }
 
@@ -205,7 +205,7 @@
         if how.may_have_run() && self.risky.is_none() {
             self.risky = Some(self.sent);
         }
-        if self.risky.is_some() && self.effect == Effect::Unsafe {
+        if self.risky.is_some() && self.retry_safety == RetrySafety::Unsafe {
             return Next::Done(Why::Class);
         }
         if self.tries >= manner.tries {
--- a/client/src/policy/tests.rs
+++ b/client/src/policy/tests.rs
@@ -4,32 +4,32 @@
     Manner { tries: 4, ratio: 0.1, saved: 10.0, backoff: [50.0, 1000.0], jitter: 0.5, least: 20.0 };
 
 /// A call of which one try has left at 0, with 2000 ms in all.
-fn call(effect: Effect) -> (Call, Budget) {
+fn call(retry_safety: RetrySafety) -> (Call, Budget) {
     let mut budget = Budget::new(&MANNER);
-    let mut call = Call::new(effect, 2000.0);
+    let mut call = Call::new(retry_safety, 2000.0);
     call.leaves(0.0, &MANNER, &mut budget);
     (call, budget)
 }
 
-fn next(effect: Effect, now: Millis, how: Ended) -> Next {
-    let (mut call, mut budget) = call(effect);
+fn next(retry_safety: RetrySafety, now: Millis, how: Ended) -> Next {
+    let (mut call, mut budget) = call(retry_safety);
     call.ended(now, how, &MANNER, &mut budget, &mut || 0.5)
 }
 
-const KEYED: Effect = Effect::Keyed { window: 500.0 };
+const KEYED: RetrySafety = RetrySafety::Keyed { window: 500.0 };
 
 #[test]
 fn failures_are_tried_again_only_as_far_as_the_class_allows() {
     for how in [Ended::Failed, Ended::Broken, Ended::TimedOut] {
-        assert_eq!(next(Effect::Safe, 100.0, how), Next::Again(125.0));
+        assert_eq!(next(RetrySafety::Safe, 100.0, how), Next::Again(125.0));
         assert_eq!(next(KEYED, 100.0, how), Next::Again(125.0));
         assert_eq!(next(KEYED, 490.0, how), Next::Done(Why::Window));
-        assert_eq!(next(Effect::Unsafe, 100.0, how), Next::Done(Why::Class));
+        assert_eq!(next(RetrySafety::Unsafe, 100.0, how), Next::Done(Why::Class));
     }
     // What never left, or was refused, may go again whatever the class.
-    for effect in [Effect::Safe, KEYED, Effect::Unsafe] {
-        assert_eq!(next(effect, 600.0, Ended::Unsent), Next::Again(625.0));
-        assert_eq!(next(effect, 600.0, Ended::Refused { after: Some(200.0) }), Next::Again(850.0));
+    for retry_safety in [RetrySafety::Safe, KEYED, RetrySafety::Unsafe] {
+        assert_eq!(next(retry_safety, 600.0, Ended::Unsent), Next::Again(625.0));
+        assert_eq!(next(retry_safety, 600.0, Ended::Refused { after: Some(200.0) }), Next::Again(850.0));
     }
 }
 
@@ -47,10 +47,10 @@
 
 #[test]
 fn no_back_off_goes_past_the_deadline_and_no_told_time_is_cut_short() {
-    assert_eq!(next(Effect::Safe, 1990.0, Ended::Unsent), Next::Done(Why::Deadline));
+    assert_eq!(next(RetrySafety::Safe, 1990.0, Ended::Unsent), Next::Done(Why::Deadline));
     let refused = Ended::Refused { after: Some(1900.0) };
-    assert_eq!(next(Effect::Safe, 200.0, refused), Next::Done(Why::Deadline));
-    let (mut call, mut budget) = call(Effect::Safe);
+    assert_eq!(next(RetrySafety::Safe, 200.0, refused), Next::Done(Why::Deadline));
+    let (mut call, mut budget) = call(RetrySafety::Safe);
     let told = Ended::Refused { after: Some(300.0) };
     let Next::Again(at) = call.ended(100.0, told, &MANNER, &mut budget, &mut || 0.0) else { panic!() };
     assert_eq!(at, 400.0);
@@ -61,7 +61,7 @@
     let mut budget = Budget::new(&MANNER);
     let mut retries = 0;
     for _ in 0..1000 {
-        let mut call = Call::new(Effect::Safe, 1e9);
+        let mut call = Call::new(RetrySafety::Safe, 1e9);
         call.leaves(0.0, &MANNER, &mut budget);
         while let Next::Again(at) =
             call.ended(0.0, Ended::Refused { after: None }, &MANNER, &mut budget, &mut || 0.1)
--- a/client/tests/sockets.rs
+++ b/client/tests/sockets.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use weldhub_client::wire::Bad;
-use weldhub_client::{Client, Config, Effect, Kind, Request, Why};
+use weldhub_client::{Client, Config, Kind, Request, RetrySafety, Why};
 
 /// What an ingress does with a request.
 #[derive(Clone)]
@@ -88,8 +88,8 @@
     Request::get("/board-state/1").customer(0xb4d6_5521).plan("club").timeout_ms(timeout)
 }
 
-fn submit(effect: Effect, timeout: u32) -> Request {
-    let request = Request::post("/move-submit/1", "e2e4").effect(effect).key("5c0f");
+fn submit(retry_safety: RetrySafety, timeout: u32) -> Request {
+    let request = Request::post("/move-submit/1", "e2e4").retry_safety(retry_safety).key("5c0f");
     request.customer(7).plan("club").units(2.0).timeout_ms(timeout)
 }
 
@@ -97,7 +97,7 @@
 async fn a_request_says_all_that_an_ingress_needs_and_a_retry_that_it_is_one() {
     let refusal = "HTTP/1.1 429 No\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n";
     let ingress = Ingress::new(vec![Does::Says(refusal.into()), ok("done")]).await;
-    let answer = client(&[&ingress]).ask(&submit(Effect::Unsafe, 2000)).await.unwrap();
+    let answer = client(&[&ingress]).ask(&submit(RetrySafety::Unsafe, 2000)).await.unwrap();
     assert_eq!((&answer.body[..], answer.tries), (&b"done"[..], 2));
     let got = ingress.got();
     let value = |i: usize, name: &str| {
@@ -119,12 +119,12 @@
 async fn what_may_have_run_goes_again_only_where_the_class_allows() {
     let broken = || Does::Last("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf".into());
     let cases = [
-        (Effect::Safe, Ok(())),
-        (Effect::Keyed { window: 5000.0 }, Ok(())),
-        (Effect::Keyed { window: 0.01 }, Err(Why::Window)),
-        (Effect::Unsafe, Err(Why::Class)),
+        (RetrySafety::Safe, Ok(())),
+        (RetrySafety::Keyed { window: 5000.0 }, Ok(())),
+        (RetrySafety::Keyed { window: 0.01 }, Err(Why::Window)),
+        (RetrySafety::Unsafe, Err(Why::Class)),
     ];
-    for (effect, expected) in cases {
+    for (retry_safety, expected) in cases {
         let (one, two) = (Ingress::new(vec![broken()]).await, Ingress::new(vec![broken()]).await);
         let well = Ingress::new(vec![ok("x")]).await;
         let mut seen = None;
@@ -132,7 +132,7 @@
         for _ in 0..20 {
             let before = one.got().len() + two.got().len();
             let asked = client(&[&one, &well, &two]);
-            let result = asked.ask(&submit(effect, 3000).set(3, 0)).await;
+            let result = asked.ask(&submit(retry_safety, 3000).set(3, 0)).await;
             if one.got().len() + two.got().len() > before {
                 seen = Some(result);
                 break;
@@ -141,7 +141,7 @@
         match (seen.unwrap(), expected) {
             (Ok(answer), Ok(())) => assert!(answer.tries > 1),
             (Err(e), Err(why)) => assert!(e.why == why && e.may_have_run && e.tries == 1, "{e}"),
-            (result, _) => panic!("{effect:?}: {result:?}"),
+            (result, _) => panic!("{retry_safety:?}: {result:?}"),
         }
     }
 }
@@ -166,7 +166,7 @@
     ];
     for (does, kind) in cases {
         let ingress = Ingress::new(vec![does]).await;
-        let e = client(&[&ingress]).ask(&submit(Effect::Unsafe, 300)).await.unwrap_err();
+        let e = client(&[&ingress]).ask(&submit(RetrySafety::Unsafe, 300)).await.unwrap_err();
         assert!(e.kind == kind && e.may_have_run, "{e:?} for {kind:?}");
         assert_eq!(ingress.got().len(), 1);
     }
@@ -228,7 +228,7 @@
         board(900).customer(1 << 33),
         Request::get("no-slash").plan("club"),
         Request::get("/a b").plan("club"),
-        Request::post("/m", "x").effect(Effect::Keyed { window: 1.0 }).plan("club"),
+        Request::post("/m", "x").retry_safety(RetrySafety::Keyed { window: 1.0 }).plan("club"),
     ];
     for request in bad {
         let e = asked.ask(&request).await.unwrap_err();
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -9,7 +9,7 @@
 use weldhub::interface::{ClassId, CustomerId, GatewayId, PlanId, Request, RequestId};
 use weldhub_client::ingresses::{Ingresses, Went};
 use weldhub_client::policy::{Budget, Call, Ended, Next};
-use weldhub_client::{Care, Effect as Again, Manner};
+use weldhub_client::{Care, Manner, RetrySafety as Again};
 
 pub(super) struct Asker {
     pub(super) ingresses: Ingresses,
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -13,7 +13,7 @@
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_client::ingresses::{Ingresses, Went};
 use weldhub_client::policy::{Budget, Call, Ended, Next};
-use weldhub_client::{Care, Effect, Manner};
+use weldhub_client::{Care, Manner, RetrySafety};
 
 /// A time during which an ingress is down.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -124,10 +124,10 @@
     let kind = |class: &Class| Kind {
         aim: f64::from(class.timeout) / 2.0,
         worth: 1.0,
-        effect: match class.effect {
-            Effect::Safe => Repeat::Safe,
-            Effect::Keyed { window } => Repeat::Keyed { group: Group::All, window },
-            Effect::Unsafe => Repeat::Unsafe,
+        effect: match class.retry_safety {
+            RetrySafety::Safe => Repeat::Safe,
+            RetrySafety::Keyed { window } => Repeat::Keyed { group: Group::All, window },
+            RetrySafety::Unsafe => Repeat::Unsafe,
         },
     };
     let quota = |i: usize| quota.get(i).copied().unwrap_or(1e6);
@@ -193,7 +193,7 @@
     for arrival in work.arrivals() {
         let n = sim.asked.len();
         let class = &work.classes[arrival.class];
-        let call = Call::new(class.effect, arrival.at + f64::from(class.timeout));
+        let call = Call::new(class.retry_safety, arrival.at + f64::from(class.timeout));
         sim.asked.push(Asked { arrival, call, tried: Vec::new(), no: 0, at: None, done: false });
         sim.open += 1;
         sim.at(arrival.at, What::Arrives(n));
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
-use weldhub_client::{Client, Config, Effect, Kind, Request};
+use weldhub_client::{Client, Config, Kind, Request, RetrySafety};
 
 /// Runs it through so many clients, each with connections of its own. Only loopback addresses are loaded.
 pub async fn run(work: &Work, ingresses: &[String], clients: usize) -> Result<Report, String> {
@@ -32,9 +32,11 @@
     for (n, arrival) in work.arrivals().into_iter().enumerate() {
         let class = &work.classes[arrival.class];
         let path = format!("/{}/{n}", class.name);
-        let request = match class.effect {
-            Effect::Safe => Request::get(&path),
-            effect => Request::post(&path, "load").effect(effect).key(&format!("{:032x}", rng.u128(..))),
+        let request = match class.retry_safety {
+            RetrySafety::Safe => Request::get(&path),
+            retry_safety => {
+                Request::post(&path, "load").retry_safety(retry_safety).key(&format!("{:032x}", rng.u128(..)))
+            }
         };
         let request = request
             .customer(arrival.customer)
--- a/load/src/work.rs
+++ b/load/src/work.rs
@@ -2,7 +2,7 @@
 //! answers.
 
 use std::str::FromStr;
-use weldhub_client::Effect;
+use weldhub_client::RetrySafety;
 
 /// The most arrivals of a run.
 pub const MOST: usize = 2_000_000;
@@ -17,7 +17,7 @@
     /// Its part of the arrivals, beside the others'.
     pub share: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// How long its clients wait, in milliseconds.
     pub timeout: u32,
 }
@@ -28,22 +28,22 @@
     /// `NAME:SHARE:safe|unsafe|keyed=WINDOW:TIMEOUT`, times in milliseconds.
     fn from_str(text: &str) -> Result<Self, String> {
         let parts: Vec<&str> = text.split(':').collect();
-        let [name, share, effect, timeout] = parts[..] else {
+        let [name, share, retry_safety, timeout] = parts[..] else {
             return Err("a class is NAME:SHARE:EFFECT:TIMEOUT".into());
         };
-        let effect = match effect.split_once('=') {
-            None if effect == "safe" => Effect::Safe,
-            None if effect == "unsafe" => Effect::Unsafe,
+        let retry_safety = match retry_safety.split_once('=') {
+            None if retry_safety == "safe" => RetrySafety::Safe,
+            None if retry_safety == "unsafe" => RetrySafety::Unsafe,
             Some(("keyed", window)) => {
-                Effect::Keyed { window: window.parse().map_err(|_| format!("{window} is no window"))? }
+                RetrySafety::Keyed { window: window.parse().map_err(|_| format!("{window} is no window"))? }
             }
-            _ => return Err(format!("{effect} is none of safe, unsafe and keyed=WINDOW")),
+            _ => return Err(format!("{retry_safety} is none of safe, unsafe and keyed=WINDOW")),
         };
         let share: f64 =
             share.parse().ok().filter(|s| *s > 0.0 && *s < 1e9).ok_or(format!("{share} is no share"))?;
         let timeout = timeout.parse().ok().filter(|t| *t > 0).ok_or(format!("{timeout} is no time"))?;
         match name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') && !name.is_empty() {
-            true => Ok(Self { name: name.into(), share, effect, timeout }),
+            true => Ok(Self { name: name.into(), share, retry_safety, timeout }),
             false => Err(format!("{name} is no name")),
         }
     }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
-use weldhub_client::{Client, Config, Effect, Kind, Request, Why};
+use weldhub_client::{Client, Config, Kind, Request, RetrySafety, Why};
 
 /// Ingresses of one fleet, each a process; told apart by their number.
 struct Fleet {
@@ -82,9 +82,12 @@
         Request::get("/board-state/1").customer(7).plan("club").set(self.at.len(), 0).timeout_ms(timeout)
     }
 
-    fn submit(&self, effect: Effect, timeout: u32) -> Request {
-        let request =
-            Request::post("/move-submit/1", "e2e4").effect(effect).key("5c0f").customer(7).plan("club");
+    fn submit(&self, retry_safety: RetrySafety, timeout: u32) -> Request {
+        let request = Request::post("/move-submit/1", "e2e4")
+            .retry_safety(retry_safety)
+            .key("5c0f")
+            .customer(7)
+            .plan("club");
         request.set(self.at.len(), 0).timeout_ms(timeout)
     }
 }
@@ -151,7 +154,7 @@
             assert!(client.ask(&fleet.board(1400)).await.is_ok());
         }
         (0..3).for_each(|i| fleet.kill(i));
-        let e = client.ask(&fleet.submit(Effect::Unsafe, 700)).await.unwrap_err();
+        let e = client.ask(&fleet.submit(RetrySafety::Unsafe, 700)).await.unwrap_err();
         assert!(!e.may_have_run && matches!(e.kind, Kind::Unreachable | Kind::Broken), "nothing left: {e}");
         // While nobody is there, what is asked ends in time, and connects are paced.
         let before = client.counts().connects;
@@ -177,12 +180,12 @@
         let half = [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n".to_vec(), vec![7; 100_000]].concat();
         let whole =
             [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n".to_vec(), vec![7; 200_000]].concat();
-        let keyed = Effect::Keyed { window: 60_000.0 };
-        for (effect, served) in [(keyed, true), (Effect::Unsafe, false)] {
+        let keyed = RetrySafety::Keyed { window: 60_000.0 };
+        for (retry_safety, served) in [(keyed, true), (RetrySafety::Unsafe, false)] {
             let server = RealServer::start(Serve::Bytes(half.clone())).await;
             let mut fleet = Fleet::start("half", 2, &[server.at], 1e6).await;
             let client = fleet.client();
-            let request = fleet.submit(effect, 2900);
+            let request = fleet.submit(retry_safety, 2900);
             let asked = spawn_local(async move { client.ask(&request).await });
             until(|| server.count() == 1).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -209,7 +212,7 @@
         let server = RealServer::start(Serve::Stall).await;
         let fleet = Fleet::start("window", 2, &[server.at], 1e6).await;
         // The ingress fails it after a while: 504, and by then the key holds no longer.
-        let mut told = fleet.submit(Effect::Keyed { window: 100.0 }, 2900);
+        let mut told = fleet.submit(RetrySafety::Keyed { window: 100.0 }, 2900);
         let client = fleet.client();
         told = told.timeout_ms(700);
         let e = client.ask(&told).await.unwrap_err();
