--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -1,7 +1,9 @@
 //! The client: carries out on sockets what `policy` and `ingresses` decide.
 
 use crate::ingresses::{Care, Ingresses, Went};
-use crate::policy::{Budget, Call, Ended, Manner, Millis, Next, RetrySafety, Why};
+use crate::policy::{
+    Millis, RetryBudget, RetryDecision, RetryPolicy, RetrySafety, RetryState, StopReason, TryOutcome,
+};
 use crate::wire::{Bad, Reader};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
@@ -20,7 +22,7 @@
 pub struct Config {
     ingresses: Vec<SocketAddr>,
     /// How tries follow each other.
-    pub manner: Manner,
+    pub retry_policy: RetryPolicy,
     /// How ingresses and connections are handled.
     pub care: Care,
     /// The most bytes of an answer's body.
@@ -43,7 +45,7 @@
         let ingresses: Vec<SocketAddr> = ingresses.into_iter().map(read).collect::<Result<_, _>>()?;
         Ok(Self {
             ingresses,
-            manner: Manner::default(),
+            retry_policy: RetryPolicy::default(),
             care: Care::default(),
             most: 33 << 20,
             connect: Duration::from_millis(500),
@@ -203,12 +205,12 @@
 
 /// Why a request was not served.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{kind} after {tries} tries ({why}); it {}", if *.may_have_run { "may have run" } else { "did not run" })]
+#[error("{kind} after {tries} tries ({stop_reason}); it {}", if *.may_have_run { "may have run" } else { "did not run" })]
 pub struct Error {
     /// How its last try ended.
     pub kind: Kind,
     /// Why there was no other.
-    pub why: Why,
+    pub stop_reason: StopReason,
     /// How many it had.
     pub tries: u32,
     /// Whether any of them may have run.
@@ -217,7 +219,7 @@
 
 impl Error {
     fn invalid(what: String) -> Self {
-        Self { kind: Kind::Invalid(what), why: Why::Tries, tries: 0, may_have_run: false }
+        Self { kind: Kind::Invalid(what), stop_reason: StopReason::MaxTries, tries: 0, may_have_run: false }
     }
 }
 
@@ -271,7 +273,7 @@
 struct State {
     ingresses: Ingresses,
     idle: Vec<Vec<Idle>>,
-    budget: Budget,
+    budget: RetryBudget,
     rng: fastrand::Rng,
     counts: Counts,
 }
@@ -325,7 +327,7 @@
         let state = State {
             ingresses: Ingresses::new(many, config.care, 0.0),
             idle: (0..many).map(|_| Vec::new()).collect(),
-            budget: Budget::new(&config.manner),
+            budget: RetryBudget::new(&config.retry_policy),
             rng: fastrand::Rng::with_seed(config.seed),
             counts: Counts::default(),
         };
@@ -343,7 +345,7 @@
         let inner = &self.0;
         request.check(inner.config.ingresses.len())?;
         inner.lock().counts.calls += 1;
-        let mut call = Call::new(request.retry_safety, inner.now() + request.timeout);
+        let mut call = RetryState::new(request.retry_safety, inner.now() + request.timeout);
         let mut tried = Vec::new();
         loop {
             let (how, kind) = match inner.one(request, &mut call, &mut tried).await {
@@ -353,13 +355,13 @@
             let next = {
                 let mut state = inner.lock();
                 let State { budget, rng, .. } = &mut *state;
-                call.ended(inner.now(), how, &inner.config.manner, budget, &mut || rng.f64())
+                call.try_ended(inner.now(), how, &inner.config.retry_policy, budget, &mut || rng.f64())
             };
             match next {
-                Next::Again(at) => sleep(span(at - inner.now())).await,
-                Next::Done(why) => {
+                RetryDecision::RetryAt(at) => sleep(span(at - inner.now())).await,
+                RetryDecision::Stop(stop_reason) => {
                     let (tries, may_have_run) = (call.tries(), call.may_have_run());
-                    return Err(Error { kind, why, tries, may_have_run });
+                    return Err(Error { kind, stop_reason, tries, may_have_run });
                 }
             }
         }
@@ -370,7 +372,7 @@
     Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1000.0)
 }
 
-type Went1 = (Ended, Kind);
+type Went1 = (TryOutcome, Kind);
 
 impl Inner {
     fn now(&self) -> Millis {
@@ -385,24 +387,24 @@
     async fn one(
         &self,
         request: &Request,
-        call: &mut Call,
+        call: &mut RetryState,
         tried: &mut Vec<usize>,
     ) -> Result<Vec<u8>, Went1> {
         let left = span(call.deadline() - self.now());
         let reached = timeout(left, self.reach(request.set, tried)).await;
         let (mut lease, mut stream) = match reached {
             Ok(Ok(reached)) => reached,
-            Ok(Err(())) | Err(_) => return Err((Ended::Unsent, Kind::Unreachable)),
+            Ok(Err(())) | Err(_) => return Err((TryOutcome::NotSent, Kind::Unreachable)),
         };
         let now = self.now();
-        if !call.may_leave(now) {
+        if !call.may_send(now) {
             self.park(&mut lease, stream);
-            return Err((Ended::Unsent, Kind::Unreachable));
+            return Err((TryOutcome::NotSent, Kind::Unreachable));
         }
         tried.push(lease.i);
         let bytes = {
             let mut state = self.lock();
-            call.leaves(now, &self.config.manner, &mut state.budget);
+            call.try_sent(now, &self.config.retry_policy, &mut state.budget);
             state.counts.tries += 1;
             request.bytes(state.rng.u64(..), call.deadline() - now, call.tries() > 1)
         };
@@ -411,15 +413,15 @@
         let mut written = false;
         let asked = timeout(left, async {
             if stream.write_all(&bytes).await.is_err() || stream.flush().await.is_err() {
-                return Err((Ended::Unsent, Kind::Broken));
+                return Err((TryOutcome::NotSent, Kind::Broken));
             }
             written = true;
             read(&mut stream, self.config.most).await
         });
         let ended = match asked.await {
             Ok(ended) => ended,
-            Err(_) if written => Err((Ended::TimedOut, Kind::TimedOut)),
-            Err(_) => Err((Ended::Unsent, Kind::TimedOut)),
+            Err(_) if written => Err((TryOutcome::TimedOut, Kind::TimedOut)),
+            Err(_) => Err((TryOutcome::NotSent, Kind::TimedOut)),
         };
         lease.went = Some(if ended.is_ok() { Went::Answered } else { Went::Failed });
         match ended {
@@ -429,8 +431,8 @@
                 }
                 match status {
                     200 => Ok(body),
-                    429 | 503 => Err((Ended::Refused { after }, Kind::Refused(status))),
-                    _ => Err((Ended::Failed, Kind::Failed(status))),
+                    429 | 503 => Err((TryOutcome::Rejected { retry_after: after }, Kind::Refused(status))),
+                    _ => Err((TryOutcome::Failed, Kind::Failed(status))),
                 }
             }
             Err((how, kind)) => {
@@ -541,7 +543,7 @@
         buffer.reserve(8 * 1024);
         let ended = match stream.read_buf(&mut buffer).await {
             Ok(n) => n == 0,
-            Err(_) => return Err((Ended::Broken, Kind::Broken)),
+            Err(_) => return Err((TryOutcome::ConnectionLost, Kind::Broken)),
         };
         match reader.take(&mut buffer, ended) {
             Ok(Some((head, body))) => {
@@ -549,9 +551,9 @@
                 let keep = !head.close && !ended && buffer.is_empty();
                 return Ok((head.status, head.after, keep, body));
             }
-            Ok(None) if ended => return Err((Ended::Broken, Kind::Broken)),
+            Ok(None) if ended => return Err((TryOutcome::ConnectionLost, Kind::Broken)),
             Ok(None) => {}
-            Err(bad) => return Err((Ended::Broken, Kind::Unreadable(bad))),
+            Err(bad) => return Err((TryOutcome::ConnectionLost, Kind::Unreadable(bad))),
         }
     }
 }
--- a/client/src/ingresses.rs
+++ b/client/src/ingresses.rs
@@ -1,6 +1,6 @@
 //! Which ingress a try goes to, and when a connection may be opened. No I/O: events, a clock and chance are passed in.
 
-use crate::policy::{Chance, Millis};
+use crate::policy::{Millis, RandomSource};
 
 /// How ingresses are chosen, left out and come back, and how connections are paced.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -86,7 +86,7 @@
         now: Millis,
         set: impl Iterator<Item = usize>,
         tried: &[usize],
-        chance: Chance<'_>,
+        chance: RandomSource<'_>,
     ) -> Option<usize> {
         let mut well = Vec::new();
         let mut best: Option<((bool, Millis), usize)> = None;
@@ -108,7 +108,7 @@
         match well.len() {
             0 => best.map(|(_, i)| i),
             n => {
-                let draw = |chance: Chance<'_>| well[((chance() * n as f64) as usize).min(n - 1)];
+                let draw = |chance: RandomSource<'_>| well[((chance() * n as f64) as usize).min(n - 1)];
                 let (one, two) = (draw(chance), draw(chance));
                 Some(if self.all[two].out < self.all[one].out { two } else { one })
             }
@@ -121,7 +121,7 @@
     }
 
     /// It has ended.
-    pub fn ends(&mut self, now: Millis, i: usize, went: Went, chance: Chance<'_>) {
+    pub fn ends(&mut self, now: Millis, i: usize, went: Went, chance: RandomSource<'_>) {
         let care = self.care;
         let ingress = &mut self.all[i];
         ingress.out = ingress.out.saturating_sub(1);
@@ -159,7 +159,7 @@
 
     /// A connection did not come up. The next attempt is by chance within a round, and from then on one round later
     /// each, so that the spread stays.
-    pub fn not_connected(&mut self, now: Millis, i: usize, chance: Chance<'_>) {
+    pub fn not_connected(&mut self, now: Millis, i: usize, chance: RandomSource<'_>) {
         self.closed(i);
         let part = if self.all[i].drawn { 1.0 } else { chance() };
         (self.all[i].not_before, self.all[i].drawn) = (now + self.care.spread * part, true);
@@ -176,7 +176,7 @@
     }
 
     /// A connection broke: its ingress may have died, and others have lost theirs, too.
-    pub fn lost(&mut self, now: Millis, i: usize, chance: Chance<'_>) {
+    pub fn lost(&mut self, now: Millis, i: usize, chance: RandomSource<'_>) {
         self.closed(i);
         if self.all[i].open == 0 && !self.all[i].drawn {
             (self.all[i].not_before, self.all[i].drawn) = (now + self.care.spread * chance(), true);
--- a/client/src/lib.rs
+++ b/client/src/lib.rs
@@ -43,6 +43,6 @@
 
 pub use client::{Answer, Client, Config, Counts, Error, Kind, Request};
 pub use ingresses::Care;
-pub use policy::{Manner, RetrySafety, Why};
+pub use policy::{RetryPolicy, RetrySafety, StopReason};
 #[cfg(feature = "tls")]
 pub use tls::Tls;
--- a/client/src/policy/tests.rs
+++ b/client/src/policy/tests.rs
@@ -1,84 +1,112 @@
 use super::*;
 
-const MANNER: Manner =
-    Manner { tries: 4, ratio: 0.1, saved: 10.0, backoff: [50.0, 1000.0], jitter: 0.5, least: 20.0 };
+const POLICY: RetryPolicy = RetryPolicy {
+    max_tries: 4,
+    budget_ratio: 0.1,
+    budget_capacity: 10.0,
+    initial_backoff: 50.0,
+    max_backoff: 1000.0,
+    retry_after_jitter: 0.5,
+    min_time_left: 20.0,
+};
 
-/// A call of which one try has left at 0, with 2000 ms in all.
-fn call(retry_safety: RetrySafety) -> (Call, Budget) {
-    let mut budget = Budget::new(&MANNER);
-    let mut call = Call::new(retry_safety, 2000.0);
-    call.leaves(0.0, &MANNER, &mut budget);
-    (call, budget)
+/// A request whose first try was sent at 0 ms and whose deadline is at 2000 ms.
+fn request_in_first_try(retry_safety: RetrySafety) -> (RetryState, RetryBudget) {
+    let mut budget = RetryBudget::new(&POLICY);
+    let mut request = RetryState::new(retry_safety, 2000.0);
+    request.try_sent(0.0, &POLICY, &mut budget);
+    (request, budget)
 }
 
-fn next(retry_safety: RetrySafety, now: Millis, how: Ended) -> Next {
-    let (mut call, mut budget) = call(retry_safety);
-    call.ended(now, how, &MANNER, &mut budget, &mut || 0.5)
+/// What follows when the first try ends at `now` with `outcome`.
+fn decision(retry_safety: RetrySafety, now: Millis, outcome: TryOutcome) -> RetryDecision {
+    let (mut request, mut budget) = request_in_first_try(retry_safety);
+    request.try_ended(now, outcome, &POLICY, &mut budget, &mut || 0.5)
 }
 
 const KEYED: RetrySafety = RetrySafety::Keyed { window: 500.0 };
 
 #[test]
-fn failures_are_tried_again_only_as_far_as_the_class_allows() {
-    for how in [Ended::Failed, Ended::Broken, Ended::TimedOut] {
-        assert_eq!(next(RetrySafety::Safe, 100.0, how), Next::Again(125.0));
-        assert_eq!(next(KEYED, 100.0, how), Next::Again(125.0));
-        assert_eq!(next(KEYED, 490.0, how), Next::Done(Why::Window));
-        assert_eq!(next(RetrySafety::Unsafe, 100.0, how), Next::Done(Why::Class));
+fn retries_failures_only_as_the_retry_safety_allows() {
+    for outcome in [TryOutcome::Failed, TryOutcome::ConnectionLost, TryOutcome::TimedOut] {
+        assert_eq!(decision(RetrySafety::Safe, 100.0, outcome), RetryDecision::RetryAt(125.0));
+        assert_eq!(decision(KEYED, 100.0, outcome), RetryDecision::RetryAt(125.0));
+        assert_eq!(decision(KEYED, 490.0, outcome), RetryDecision::Stop(StopReason::DedupWindow));
+        assert_eq!(
+            decision(RetrySafety::Unsafe, 100.0, outcome),
+            RetryDecision::Stop(StopReason::UnsafeToRetry)
+        );
     }
-    // What never left, or was refused, may go again whatever the class.
+    // A try that was not sent or was rejected did not run and can be repeated in every class.
     for retry_safety in [RetrySafety::Safe, KEYED, RetrySafety::Unsafe] {
-        assert_eq!(next(retry_safety, 600.0, Ended::Unsent), Next::Again(625.0));
-        assert_eq!(next(retry_safety, 600.0, Ended::Refused { after: Some(200.0) }), Next::Again(850.0));
+        assert_eq!(decision(retry_safety, 600.0, TryOutcome::NotSent), RetryDecision::RetryAt(625.0));
+        let rejected = TryOutcome::Rejected { retry_after: Some(200.0) };
+        assert_eq!(decision(retry_safety, 600.0, rejected), RetryDecision::RetryAt(850.0));
     }
 }
 
 #[test]
-fn a_keyed_window_runs_from_the_first_try_that_may_have_run_whatever_came_later() {
-    let (mut call, mut budget) = call(KEYED);
-    let mut chance = || 0.0;
-    assert_eq!(call.ended(100.0, Ended::TimedOut, &MANNER, &mut budget, &mut chance), Next::Again(100.0));
-    call.leaves(400.0, &MANNER, &mut budget);
-    // The refusal says that this try never ran; the first one may have.
-    let refused = Ended::Refused { after: Some(150.0) };
-    assert_eq!(call.ended(410.0, refused, &MANNER, &mut budget, &mut chance), Next::Done(Why::Window));
-    assert!(call.may_have_run() && call.may_leave(499.0) && !call.may_leave(500.0));
+fn dedup_window_starts_at_the_first_try_that_may_have_run() {
+    let (mut request, mut budget) = request_in_first_try(KEYED);
+    let mut random = || 0.0;
+    assert_eq!(
+        request.try_ended(100.0, TryOutcome::TimedOut, &POLICY, &mut budget, &mut random),
+        RetryDecision::RetryAt(100.0)
+    );
+    request.try_sent(400.0, &POLICY, &mut budget);
+    // The rejection proves that the second try did not run; the first one still may have.
+    let rejected = TryOutcome::Rejected { retry_after: Some(150.0) };
+    assert_eq!(
+        request.try_ended(410.0, rejected, &POLICY, &mut budget, &mut random),
+        RetryDecision::Stop(StopReason::DedupWindow)
+    );
+    assert!(request.may_have_run() && request.may_send(499.0) && !request.may_send(500.0));
 }
 
 #[test]
-fn no_back_off_goes_past_the_deadline_and_no_told_time_is_cut_short() {
-    assert_eq!(next(RetrySafety::Safe, 1990.0, Ended::Unsent), Next::Done(Why::Deadline));
-    let refused = Ended::Refused { after: Some(1900.0) };
-    assert_eq!(next(RetrySafety::Safe, 200.0, refused), Next::Done(Why::Deadline));
-    let (mut call, mut budget) = call(RetrySafety::Safe);
-    let told = Ended::Refused { after: Some(300.0) };
-    let Next::Again(at) = call.ended(100.0, told, &MANNER, &mut budget, &mut || 0.0) else { panic!() };
+fn stops_instead_of_waiting_past_the_deadline_and_never_shortens_retry_after() {
+    assert_eq!(
+        decision(RetrySafety::Safe, 1990.0, TryOutcome::NotSent),
+        RetryDecision::Stop(StopReason::Deadline)
+    );
+    let rejected = TryOutcome::Rejected { retry_after: Some(1900.0) };
+    assert_eq!(decision(RetrySafety::Safe, 200.0, rejected), RetryDecision::Stop(StopReason::Deadline));
+    let (mut request, mut budget) = request_in_first_try(RetrySafety::Safe);
+    let rejected = TryOutcome::Rejected { retry_after: Some(300.0) };
+    let RetryDecision::RetryAt(at) = request.try_ended(100.0, rejected, &POLICY, &mut budget, &mut || 0.0)
+    else {
+        panic!()
+    };
     assert_eq!(at, 400.0);
 }
 
 #[test]
-fn retries_of_all_calls_together_stay_a_bounded_share() {
-    let mut budget = Budget::new(&MANNER);
+fn budget_bounds_the_retries_of_all_requests() {
+    let mut budget = RetryBudget::new(&POLICY);
     let mut retries = 0;
     for _ in 0..1000 {
-        let mut call = Call::new(RetrySafety::Safe, 1e9);
-        call.leaves(0.0, &MANNER, &mut budget);
-        while let Next::Again(at) =
-            call.ended(0.0, Ended::Refused { after: None }, &MANNER, &mut budget, &mut || 0.1)
-        {
+        let mut request = RetryState::new(RetrySafety::Safe, 1e9);
+        request.try_sent(0.0, &POLICY, &mut budget);
+        while let RetryDecision::RetryAt(at) = request.try_ended(
+            0.0,
+            TryOutcome::Rejected { retry_after: None },
+            &POLICY,
+            &mut budget,
+            &mut || 0.1,
+        ) {
             retries += 1;
-            call.leaves(at, &MANNER, &mut budget);
+            request.try_sent(at, &POLICY, &mut budget);
         }
     }
-    assert!((100..=110).contains(&retries), "a tenth, and what was saved up: {retries}");
+    assert!((100..=110).contains(&retries), "a tenth of the requests and the initial budget: {retries}");
 }
 
 #[test]
-fn a_told_time_is_read_whole_or_decimal_and_nothing_else_is_one() {
-    assert_eq!(retry_after(b"2"), Some(2000.0));
-    assert_eq!(retry_after(b" 0.25 "), Some(250.0));
-    assert_eq!(retry_after(b"99999999999999999999"), Some(LONGEST));
-    for odd in [&b""[..], b"-1", b"soon", b"nan", b"inf", b"1e3", b"1.2.3", b"\xff"] {
-        assert_eq!(retry_after(odd), None, "{odd:?}");
+fn parses_retry_after_in_whole_or_decimal_seconds_only() {
+    assert_eq!(parse_retry_after(b"2"), Some(2000.0));
+    assert_eq!(parse_retry_after(b" 0.25 "), Some(250.0));
+    assert_eq!(parse_retry_after(b"99999999999999999999"), Some(MAX_RETRY_AFTER));
+    for invalid in [&b""[..], b"-1", b"soon", b"nan", b"inf", b"1e3", b"1.2.3", b"\xff"] {
+        assert_eq!(parse_retry_after(invalid), None, "{invalid:?}");
     }
 }
--- a/client/src/wire.rs
+++ b/client/src/wire.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as ingresses speak it: writes a request, reads an answer within bounds.
 
-use crate::policy::{Millis, retry_after};
+use crate::policy::{Millis, parse_retry_after};
 use bytes::{Buf, BytesMut};
 
 /// The most bytes of a head.
@@ -178,7 +178,7 @@
     if lengths.next().is_some() || codings.next().is_some() {
         return Err(Bad::Malformed);
     }
-    let after = all("retry-after").next().and_then(retry_after);
+    let after = all("retry-after").next().and_then(parse_retry_after);
     Ok(Some((Head { status, after, close: close || at == At::Rest, at }, length)))
 }
 
--- a/client/tests/sockets.rs
+++ b/client/tests/sockets.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use weldhub_client::wire::Bad;
-use weldhub_client::{Client, Config, Kind, Request, RetrySafety, Why};
+use weldhub_client::{Client, Config, Kind, Request, RetrySafety, StopReason};
 
 /// What an ingress does with a request.
 #[derive(Clone)]
@@ -121,8 +121,8 @@
     let cases = [
         (RetrySafety::Safe, Ok(())),
         (RetrySafety::Keyed { window: 5000.0 }, Ok(())),
-        (RetrySafety::Keyed { window: 0.01 }, Err(Why::Window)),
-        (RetrySafety::Unsafe, Err(Why::Class)),
+        (RetrySafety::Keyed { window: 0.01 }, Err(StopReason::DedupWindow)),
+        (RetrySafety::Unsafe, Err(StopReason::UnsafeToRetry)),
     ];
     for (retry_safety, expected) in cases {
         let (one, two) = (Ingress::new(vec![broken()]).await, Ingress::new(vec![broken()]).await);
@@ -140,7 +140,7 @@
         }
         match (seen.unwrap(), expected) {
             (Ok(answer), Ok(())) => assert!(answer.tries > 1),
-            (Err(e), Err(why)) => assert!(e.why == why && e.may_have_run && e.tries == 1, "{e}"),
+            (Err(e), Err(why)) => assert!(e.stop_reason == why && e.may_have_run && e.tries == 1, "{e}"),
             (result, _) => panic!("{retry_safety:?}: {result:?}"),
         }
     }
@@ -187,7 +187,7 @@
     let asked = client(&[&ingress]);
     let request = board(20_000);
     let e = tokio::time::timeout(Duration::from_secs(10), asked.ask(&request)).await.unwrap().unwrap_err();
-    assert_eq!((e.why, e.tries, e.may_have_run), (Why::Deadline, 1, false));
+    assert_eq!((e.stop_reason, e.tries, e.may_have_run), (StopReason::Deadline, 1, false));
 }
 
 #[tokio::test]
--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -8,7 +8,7 @@
 use weldhub::Event;
 use weldhub::entries::server_id;
 use weldhub::interface::{AttemptEnd, AttemptNo, Load, Outcome, RequestId, ServerId, ServerState};
-use weldhub_client::policy::Ended;
+use weldhub_client::policy::TryOutcome;
 
 pub(super) struct Attempt {
     pub(super) node: usize,
@@ -250,7 +250,7 @@
         }
         if outcome == Outcome::Served {
             self.cold.served(s, i, self.now, self.attempts[a].work);
-            self.answer(i, request, Ended::Served);
+            self.answer(i, request, TryOutcome::Served);
         }
         let cell = self.servers[s].cell;
         let Some(flow) = self.nodes[i].flows.get_mut(&request) else { return };
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -8,12 +8,12 @@
 use weldhub::Event;
 use weldhub::interface::{ClassId, CustomerId, GatewayId, PlanId, Request, RequestId};
 use weldhub_client::ingresses::{Ingresses, Went};
-use weldhub_client::policy::{Budget, Call, Ended, Next};
-use weldhub_client::{Care, Manner, RetrySafety as Again};
+use weldhub_client::policy::{RetryBudget, RetryDecision, RetryState, TryOutcome};
+use weldhub_client::{Care, RetryPolicy, RetrySafety as Again};
 
 pub(super) struct Asker {
     pub(super) ingresses: Ingresses,
-    pub(super) budget: Budget,
+    pub(super) budget: RetryBudget,
 }
 
 pub(super) struct Customer {
@@ -45,7 +45,7 @@
     pub(super) done: bool,
     /// When the client gives the try up.
     pub(super) until: f64,
-    pub(super) call: Option<Call>,
+    pub(super) call: Option<RetryState>,
 }
 
 impl World<'_> {
@@ -104,7 +104,7 @@
         let many = self.nodes.len();
         let asker = |_| Asker {
             ingresses: Ingresses::new(many, Care::default(), 0.0),
-            budget: Budget::new(&Manner::default()),
+            budget: RetryBudget::new(&RetryPolicy::default()),
         };
         if load.clients == Clients::Library {
             self.askers = (0..200.min(self.customers.len())).map(asker).collect();
@@ -156,7 +156,7 @@
                 Repeat::Keyed { window } => Again::Keyed { window },
                 Repeat::Unsafe => Again::Unsafe,
             };
-            Call::new(effect, self.now + kind.give_up)
+            RetryState::new(effect, self.now + kind.give_up)
         });
         let n = self.asked.len();
         self.asked.push(Asked {
@@ -220,7 +220,7 @@
         let no = asked.tries;
         if let Some(call) = &mut asked.call {
             let budget = &mut self.askers[self.customers[c].asker].budget;
-            call.leaves(self.now, &Manner::default(), budget);
+            call.try_sent(self.now, &RetryPolicy::default(), budget);
         }
         self.totals.tries += 1;
         let way = self.draw(self.script.network.client);
@@ -228,7 +228,7 @@
         self.after(left, What::TryEnds(n, no));
         let node = &self.nodes[i];
         if !node.up {
-            self.after(2.0 * way, What::Answered(n, no, Ended::Unsent));
+            self.after(2.0 * way, What::Answered(n, no, TryOutcome::NotSent));
         } else {
             // The ingress is told the whole time, from when the client sent it.
             self.asked[n].tried.truncate(8);
@@ -239,7 +239,7 @@
     pub(super) fn reaches(&mut self, n: usize, no: u32, i: usize, life: u32) {
         let way = self.draw(self.script.network.client);
         if !self.nodes[i].up || self.nodes[i].life != life {
-            return self.after(way, What::Answered(n, no, Ended::Broken));
+            return self.after(way, What::Answered(n, no, TryOutcome::ConnectionLost));
         }
         if self.asked[n].done || self.asked[n].tries != no {
             return;
@@ -295,7 +295,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, n: usize, no: u32, how: Ended) {
+    pub(super) fn answered(&mut self, n: usize, no: u32, how: TryOutcome) {
         if self.asked[n].done || self.asked[n].tries != no || self.asked[n].live.is_none() {
             return;
         }
@@ -306,14 +306,14 @@
         let c = self.asked[n].customer;
         if self.asked[n].call.is_some() {
             let went = match how {
-                Ended::Unsent => Went::Unreachable,
+                TryOutcome::NotSent => Went::Unreachable,
                 how if how.may_have_run() => Went::Failed,
                 _ => Went::Answered,
             };
             let Self { askers, rng, customers, .. } = self;
             askers[customers[c].asker].ingresses.ends(self.now, i, went, &mut || rng.f64());
         }
-        if how == Ended::Served {
+        if how == TryOutcome::Served {
             self.asked[n].done = true;
             self.tallies[class].served(self.now - at);
             if self.asked[n].inside && self.now - at <= kind.aim {
@@ -331,9 +331,9 @@
             Some(call) => {
                 let rng = &mut self.rng;
                 let budget = &mut self.askers[self.customers[c].asker].budget;
-                match call.ended(self.now, how, &Manner::default(), budget, &mut || rng.f64()) {
-                    Next::Again(at) => Some(at),
-                    Next::Done(_) => None,
+                match call.try_ended(self.now, how, &RetryPolicy::default(), budget, &mut || rng.f64()) {
+                    RetryDecision::RetryAt(at) => Some(at),
+                    RetryDecision::Stop(_) => None,
                 }
             }
             None => {
@@ -349,7 +349,7 @@
             Some(at) => self.at(at, What::Tries(n)),
             None => {
                 self.asked[n].done = true;
-                let end = if matches!(how, Ended::Refused { .. }) { 1 } else { 2 };
+                let end = if matches!(how, TryOutcome::Rejected { .. }) { 1 } else { 2 };
                 self.tallies[class].ends[end] += 1;
             }
         }
@@ -363,7 +363,7 @@
             let i = asked.live.unwrap_or(0);
             let mut left = self.nodes[i].flows.iter().filter(|(_, f)| f.asked == n && f.no == no && f.open);
             let id = left.next().map(|(id, _)| *id);
-            self.answered(n, no, Ended::TimedOut);
+            self.answered(n, no, TryOutcome::TimedOut);
             if let Some(id) = id
                 && let Some(flow) = self.nodes[i].flows.get_mut(&id)
             {
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -5,13 +5,13 @@
 use std::cmp::{Ordering, Reverse};
 use weldhub::entries::ServiceEntry;
 use weldhub::interface::{CounterAnswer, ListKind, Outcome, ServerState, TimerKey};
-use weldhub_client::policy::Ended;
+use weldhub_client::policy::TryOutcome;
 
 pub(super) enum What {
     Arrives(usize),
     Tries(usize),
     Reaches(usize, u32, usize, u32),
-    Answered(usize, u32, Ended),
+    Answered(usize, u32, TryOutcome),
     TryEnds(usize, u32),
     Timer(usize, u32, TimerKey),
     Guard(usize, u32, u64),
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -17,7 +17,7 @@
 use weldhub::membership::MembershipPolicy;
 use weldhub::membership::members::Members;
 use weldhub::{Action, Event};
-use weldhub_client::policy::Ended;
+use weldhub_client::policy::TryOutcome;
 
 pub(super) struct Flow {
     pub(super) asked: usize,
@@ -73,8 +73,8 @@
         let life = self.nodes[i].life;
         match act {
             Action::Send { request, server, wait, .. } => self.send(i, request.0, server, wait, own),
-            Action::Refuse(id, after) => self.answer(i, id.0, Ended::Refused { after }),
-            Action::Fail(id) => self.answer(i, id.0, Ended::Failed),
+            Action::Refuse(id, after) => self.answer(i, id.0, TryOutcome::Rejected { retry_after: after }),
+            Action::Fail(id) => self.answer(i, id.0, TryOutcome::Failed),
             Action::Cancel(id, no) => {
                 let flow = self.nodes[i].flows.get(&id.0);
                 let found = flow.and_then(|f| f.out.iter().copied().find(|a| self.attempts[*a].no == no.0));
@@ -126,7 +126,7 @@
         }
     }
 
-    pub(super) fn answer(&mut self, i: usize, request: u64, how: Ended) {
+    pub(super) fn answer(&mut self, i: usize, request: u64, how: TryOutcome) {
         let Some(flow) = self.nodes[i].flows.get_mut(&request) else { return };
         if !std::mem::take(&mut flow.open) {
             return;
@@ -182,7 +182,7 @@
             }
             if flow.open {
                 let way = self.draw(self.script.network.client);
-                self.after(way, What::Answered(flow.asked, flow.no, Ended::Broken));
+                self.after(way, What::Answered(flow.asked, flow.no, TryOutcome::ConnectionLost));
             }
         }
     }
@@ -215,7 +215,7 @@
                     format!("ingress {i} has no answer to request {id} of its own")
                 });
             }
-            self.answer(i, id, Ended::Failed);
+            self.answer(i, id, TryOutcome::Failed);
             self.feed(i, Event::ClientLeft(RequestId(id)));
         }
     }
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use std::process::ExitCode;
-use weldhub_client::{Care, Manner};
+use weldhub_client::{Care, RetryPolicy};
 use weldhub_load::model::{Fleet, Outage, play, settings};
 use weldhub_load::report::Report;
 use weldhub_load::run::run;
@@ -126,10 +126,15 @@
                 return Err(format!("there is no ingress {}", odd.ingress));
             }
             let asked = work.work();
-            let hasty = Manner { tries: 100, ratio: 1e6, saved: 1e6, ..Manner::default() };
-            let (manner, care) = match naive {
+            let hasty = RetryPolicy {
+                max_tries: 100,
+                budget_ratio: 1e6,
+                budget_capacity: 1e6,
+                ..RetryPolicy::default()
+            };
+            let (retry_policy, care) = match naive {
                 true => (hasty, Care { spread: 1000.0, rate: [1e6, 1e6], ..Care::default() }),
-                false => (Manner::default(), Care::default()),
+                false => (RetryPolicy::default(), Care::default()),
             };
             let fleet = Fleet {
                 settings: settings(ingresses, &quota, &asked),
@@ -139,7 +144,7 @@
                 hop: 0.3,
                 outages: down,
                 clients,
-                manner,
+                retry_policy,
                 care,
                 naive,
             };
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -12,8 +12,8 @@
 };
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_client::ingresses::{Ingresses, Went};
-use weldhub_client::policy::{Budget, Call, Ended, Next};
-use weldhub_client::{Care, Manner, RetrySafety};
+use weldhub_client::policy::{RetryBudget, RetryDecision, RetryState, TryOutcome};
+use weldhub_client::{Care, RetryPolicy, RetrySafety};
 
 /// A time during which an ingress is down.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -44,7 +44,7 @@
     /// How many clients there are, with connections and a budget of their own each.
     pub clients: usize,
     /// How their tries follow each other.
-    pub manner: Manner,
+    pub retry_policy: RetryPolicy,
     /// How they handle connections.
     pub care: Care,
     /// They know no chance: all wait for just as long. So do clients that were written in a hurry.
@@ -56,7 +56,7 @@
     Tries(usize),
     Connected(usize, usize, u32),
     Reaches(usize, usize, u32),
-    Ends(usize, u32, Ended),
+    Ends(usize, u32, TryOutcome),
     Deadline(usize),
     Timer(usize, u32, TimerKey),
     Done(usize, Job),
@@ -84,13 +84,13 @@
 
 struct Asker {
     ingresses: Ingresses,
-    budget: Budget,
+    budget: RetryBudget,
     idle: Vec<usize>,
 }
 
 struct Asked {
     arrival: Arrival,
-    call: Call,
+    call: RetryState,
     tried: Vec<usize>,
     /// The try that is on its way: its number, and where.
     no: u32,
@@ -171,7 +171,7 @@
     let nodes = (0..many).map(|i| node(i, rng.u64(..))).collect::<Result<Vec<_>, _>>()?;
     let asker = |_| Asker {
         ingresses: Ingresses::new(many, fleet.care, 0.0),
-        budget: Budget::new(&fleet.manner),
+        budget: RetryBudget::new(&fleet.retry_policy),
         idle: vec![0; many],
     };
     let mut sim = Sim {
@@ -193,7 +193,7 @@
     for arrival in work.arrivals() {
         let n = sim.asked.len();
         let class = &work.classes[arrival.class];
-        let call = Call::new(class.retry_safety, arrival.at + f64::from(class.timeout));
+        let call = RetryState::new(class.retry_safety, arrival.at + f64::from(class.timeout));
         sim.asked.push(Asked { arrival, call, tried: Vec::new(), no: 0, at: None, done: false });
         sim.open += 1;
         sim.at(arrival.at, What::Arrives(n));
@@ -251,8 +251,8 @@
         for act in acts {
             match act {
                 Action::Send { request, server, wait, .. } => self.send(i, request, server, wait),
-                Action::Refuse(id, after) => self.answer(i, id, Ended::Refused { after }),
-                Action::Fail(id) => self.answer(i, id, Ended::Failed),
+                Action::Refuse(id, after) => self.answer(i, id, TryOutcome::Rejected { retry_after: after }),
+                Action::Fail(id) => self.answer(i, id, TryOutcome::Failed),
                 Action::Cancel(id, no) => self.ended((i, life, id, no), Outcome::Cancelled),
                 Action::SetTimer(after, key) => self.after(after.max(0.0), What::Timer(i, life, key)),
                 Action::Tell(to, bytes) => {
@@ -302,7 +302,7 @@
         }
         let closed = outcome == Outcome::Served || !self.nodes[i].flows.contains_key(&request);
         if outcome == Outcome::Served {
-            self.answer(i, request, Ended::Served);
+            self.answer(i, request, TryOutcome::Served);
         }
         let end = AttemptEnd {
             request,
@@ -318,7 +318,7 @@
         self.feed(i, Event::AttemptEnded(end));
     }
 
-    fn answer(&mut self, i: usize, id: RequestId, how: Ended) {
+    fn answer(&mut self, i: usize, id: RequestId, how: TryOutcome) {
         if let Some((n, no, _)) = self.nodes[i].flows.remove(&id) {
             self.after(self.fleet.hop, What::Ends(n, no, how));
         }
@@ -342,7 +342,8 @@
             What::Deadline(n) => {
                 if !self.asked[n].done {
                     let no = self.asked[n].no;
-                    let how = if self.asked[n].at.is_some() { Ended::TimedOut } else { Ended::Unsent };
+                    let how =
+                        if self.asked[n].at.is_some() { TryOutcome::TimedOut } else { TryOutcome::NotSent };
                     self.ends(n, no, how);
                     self.done(n, End::Failed);
                 }
@@ -364,7 +365,7 @@
                 (self.nodes[i].up, self.nodes[i].life) = (false, self.nodes[i].life + 1);
                 self.nodes[i].next.clear();
                 for (_, (n, no, _)) in std::mem::take(&mut self.nodes[i].flows) {
-                    self.after(self.fleet.hop, What::Ends(n, no, Ended::Broken));
+                    self.after(self.fleet.hop, What::Ends(n, no, TryOutcome::ConnectionLost));
                 }
                 for asker in &mut self.askers {
                     (0..std::mem::take(&mut asker.idle[i])).for_each(|_| asker.ingresses.closed(i));
@@ -439,7 +440,7 @@
         let asked = &mut self.asked[n];
         (asked.at, asked.no) = (Some(i), asked.no + 1);
         asked.tried.push(i);
-        asked.call.leaves(self.now, &self.fleet.manner, &mut self.askers[c].budget);
+        asked.call.try_sent(self.now, &self.fleet.retry_policy, &mut self.askers[c].budget);
         self.report.tries += 1;
         self.after(self.fleet.hop, What::Reaches(n, i, life));
     }
@@ -448,7 +449,7 @@
         let (asked, node) = (&self.asked[n], &mut self.nodes[i]);
         if !node.up || node.life != life {
             let no = asked.no;
-            return self.after(self.fleet.hop, What::Ends(n, no, Ended::Broken));
+            return self.after(self.fleet.hop, What::Ends(n, no, TryOutcome::ConnectionLost));
         }
         self.seq += 1;
         let id = RequestId(self.seq);
@@ -469,7 +470,7 @@
     }
 
     /// A try has ended at its client.
-    fn ends(&mut self, n: usize, no: u32, how: Ended) {
+    fn ends(&mut self, n: usize, no: u32, how: TryOutcome) {
         let c = self.client(n);
         if self.asked[n].done || self.asked[n].no != no {
             return;
@@ -482,17 +483,18 @@
             let went = if how.may_have_run() { Went::Failed } else { Went::Answered };
             asker.ingresses.ends(self.now, i, went, &mut chance);
             match how {
-                Ended::Broken => asker.ingresses.lost(self.now, i, &mut chance),
-                Ended::TimedOut | Ended::Unsent => asker.ingresses.closed(i),
+                TryOutcome::ConnectionLost => asker.ingresses.lost(self.now, i, &mut chance),
+                TryOutcome::TimedOut | TryOutcome::NotSent => asker.ingresses.closed(i),
                 _ => asker.idle[i] += 1,
             }
         }
-        let next = asked.call.ended(self.now, how, &self.fleet.manner, &mut asker.budget, &mut chance);
+        let next =
+            asked.call.try_ended(self.now, how, &self.fleet.retry_policy, &mut asker.budget, &mut chance);
         match (next, how) {
-            (Next::Again(at), _) => self.at(at, What::Tries(n)),
-            (Next::Done(_), Ended::Served) => self.done(n, End::Served),
-            (Next::Done(_), Ended::Refused { .. }) => self.done(n, End::Refused),
-            (Next::Done(_), _) => self.done(n, End::Failed),
+            (RetryDecision::RetryAt(at), _) => self.at(at, What::Tries(n)),
+            (RetryDecision::Stop(_), TryOutcome::Served) => self.done(n, End::Served),
+            (RetryDecision::Stop(_), TryOutcome::Rejected { .. }) => self.done(n, End::Refused),
+            (RetryDecision::Stop(_), _) => self.done(n, End::Failed),
         }
     }
 
--- a/load/tests/model.rs
+++ b/load/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model: the same again from a seed, and what clients do together when ingresses restart.
 
 use weldhub::Settings;
-use weldhub_client::{Care, Manner};
+use weldhub_client::{Care, RetryPolicy};
 use weldhub_load::model::{Fleet, Outage, play, settings};
 use weldhub_load::report::{End, INTERVAL, Report};
 use weldhub_load::work::Work;
@@ -22,7 +22,8 @@
 }
 
 fn fleet(naive: bool) -> Fleet {
-    let hasty = Manner { tries: 100, ratio: 1e6, saved: 1e6, ..Manner::default() };
+    let hasty =
+        RetryPolicy { max_tries: 100, budget_ratio: 1e6, budget_capacity: 1e6, ..RetryPolicy::default() };
     Fleet {
         // What ingresses tell each other is not what is looked at here.
         settings: Settings { peers: false, ..settings(3, &[1e6, 1e6], &work("1x1")) },
@@ -32,7 +33,7 @@
         hop: 0.3,
         outages: Vec::new(),
         clients: 1000,
-        manner: if naive { hasty } else { Manner::default() },
+        retry_policy: if naive { hasty } else { RetryPolicy::default() },
         care: if naive {
             Care { spread: 1000.0, rate: [1e6, 1e6], ..Care::default() }
         } else {
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
-use weldhub_client::{Client, Config, Kind, Request, RetrySafety, Why};
+use weldhub_client::{Client, Config, Kind, Request, RetrySafety, StopReason};
 
 /// Ingresses of one fleet, each a process; told apart by their number.
 struct Fleet {
@@ -197,7 +197,9 @@
             match asked.await.unwrap() {
                 Ok(answer) => assert!(served && answer.body.len() == 200_000 && answer.tries == 2),
                 Err(e) => assert!(
-                    !served && e.may_have_run && (e.why, e.kind.clone()) == (Why::Class, Kind::Broken),
+                    !served
+                        && e.may_have_run
+                        && (e.stop_reason, e.kind.clone()) == (StopReason::UnsafeToRetry, Kind::Broken),
                     "{e}"
                 ),
             }
@@ -217,7 +219,7 @@
         told = told.timeout_ms(700);
         let e = client.ask(&told).await.unwrap_err();
         assert!(e.may_have_run && e.tries == 1, "{e}");
-        assert!(matches!(e.why, Why::Window | Why::Deadline), "{e}");
+        assert!(matches!(e.stop_reason, StopReason::DedupWindow | StopReason::Deadline), "{e}");
         assert_eq!(server.count(), 1);
     });
 }
@@ -231,6 +233,9 @@
         assert!(client.ask(&fleet.board(900)).await.is_ok());
         // Beyond a quota that does not fill: come again in a second, which is too late.
         let e = client.ask(&fleet.board(400)).await.unwrap_err();
-        assert_eq!((e.kind, e.why, e.tries, e.may_have_run), (Kind::Refused(429), Why::Deadline, 1, false));
+        assert_eq!(
+            (e.kind, e.stop_reason, e.tries, e.may_have_run),
+            (Kind::Refused(429), StopReason::Deadline, 1, false)
+        );
     });
 }
