--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -1,6 +1,6 @@
 //! The client: carries out on sockets what `policy` and `ingresses` decide.
 
-use crate::ingresses::{Care, Ingresses, Went};
+use crate::ingresses::{HealthSignal, IngressPolicy, Ingresses};
 use crate::policy::{
     Millis, RetryBudget, RetryDecision, RetryPolicy, RetrySafety, RetryState, StopReason, TryOutcome,
 };
@@ -24,7 +24,7 @@
     /// How tries follow each other.
     pub retry_policy: RetryPolicy,
     /// How ingresses and connections are handled.
-    pub care: Care,
+    pub ingress_policy: IngressPolicy,
     /// The most bytes of an answer's body.
     pub most: usize,
     /// A connection that is not up by then never will be.
@@ -46,7 +46,7 @@
         Ok(Self {
             ingresses,
             retry_policy: RetryPolicy::default(),
-            care: Care::default(),
+            ingress_policy: IngressPolicy::default(),
             most: 33 << 20,
             connect: Duration::from_millis(500),
             idle: Duration::from_secs(4),
@@ -294,7 +294,7 @@
 struct Lease<'a> {
     inner: &'a Inner,
     i: usize,
-    went: Option<Went>,
+    went: Option<HealthSignal>,
     /// The connection, while it is not known to have broken.
     open: bool,
     lost: bool,
@@ -306,11 +306,11 @@
         let mut state = self.inner.lock();
         let State { ingresses, rng, .. } = &mut *state;
         // Given up by its caller: that tells nothing of the ingress.
-        ingresses.ends(now, self.i, self.went.unwrap_or(Went::Answered), &mut || rng.f64());
+        ingresses.try_ended(now, self.i, self.went.unwrap_or(HealthSignal::Answered), &mut || rng.f64());
         if self.open && self.lost {
-            ingresses.lost(now, self.i, &mut || rng.f64());
+            ingresses.connection_lost(now, self.i, &mut || rng.f64());
         } else if self.open {
-            ingresses.closed(self.i);
+            ingresses.connection_closed(self.i);
         }
         drop(state);
         self.inner.freed.notify_waiters();
@@ -325,7 +325,7 @@
         }
         let many = config.ingresses.len();
         let state = State {
-            ingresses: Ingresses::new(many, config.care, 0.0),
+            ingresses: Ingresses::new(many, config.ingress_policy, 0.0),
             idle: (0..many).map(|_| Vec::new()).collect(),
             budget: RetryBudget::new(&config.retry_policy),
             rng: fastrand::Rng::with_seed(config.seed),
@@ -423,7 +423,7 @@
             Err(_) if written => Err((TryOutcome::TimedOut, Kind::TimedOut)),
             Err(_) => Err((TryOutcome::NotSent, Kind::TimedOut)),
         };
-        lease.went = Some(if ended.is_ok() { Went::Answered } else { Went::Failed });
+        lease.went = Some(if ended.is_ok() { HealthSignal::Answered } else { HealthSignal::Failed });
         match ended {
             Ok((status, after, keep, body)) => {
                 if keep {
@@ -456,12 +456,13 @@
             let (i, idle, may) = {
                 let mut state = self.lock();
                 let State { ingresses, idle, rng, .. } = &mut *state;
-                let picked = ingresses.pick(now, ingresses.set(set.0, set.1), tried, &mut || rng.f64());
+                let picked =
+                    ingresses.pick(now, ingresses.ingress_set(set.0, set.1), tried, &mut || rng.f64());
                 let i = picked.ok_or(())?;
                 let kept = self.kept(ingresses, &mut idle[i], i);
-                let may = if kept.is_some() { Ok(()) } else { ingresses.may_connect(now, i) };
+                let may = if kept.is_some() { Ok(()) } else { ingresses.reserve_connection(now, i) };
                 if may.is_ok() {
-                    ingresses.begins(i);
+                    ingresses.try_started(i);
                 }
                 state.counts.connects += u64::from(may.is_ok() && kept.is_none());
                 (i, kept, may)
@@ -474,16 +475,16 @@
                     let mut lease = Lease { inner: self, i, went: None, open: true, lost: false };
                     match timeout(self.config.connect, self.connect(i)).await {
                         Ok(Ok(stream)) => {
-                            self.lock().ingresses.connected(i);
+                            self.lock().ingresses.connect_succeeded(i);
                             return Ok((lease, stream));
                         }
                         _ => {
-                            lease.went = Some(Went::Unreachable);
+                            lease.went = Some(HealthSignal::Unreachable);
                             lease.open = false;
                             let now = self.now();
                             let mut state = self.lock();
                             let State { ingresses, rng, .. } = &mut *state;
-                            ingresses.not_connected(now, i, &mut || rng.f64());
+                            ingresses.connect_failed(now, i, &mut || rng.f64());
                             if !tried.contains(&i) {
                                 tried.push(i);
                             }
@@ -504,7 +505,7 @@
             if kept.since.elapsed() < self.config.idle && quiet(kept.stream.socket()) {
                 return Some(kept.stream);
             }
-            ingresses.closed(i);
+            ingresses.connection_closed(i);
         }
         None
     }
--- a/client/src/ingresses.rs
+++ b/client/src/ingresses.rs
@@ -1,185 +1,222 @@
-//! Which ingress a try goes to, and when a connection may be opened. No I/O: events, a clock and chance are passed in.
+//! Chooses the ingress of each try, ejects failing ingresses and paces new connections. No I/O: the caller
+//! passes in events, the time and random numbers.
 
 use crate::policy::{Millis, RandomSource};
 
-/// How ingresses are chosen, left out and come back, and how connections are paced.
+/// Limits for the ejection of failing ingresses and for connections.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Care {
-    /// Failures in a row that eject an ingress; one that cannot be reached is ejected at once.
-    pub failures: u32,
-    /// For how long at first, and at most: it doubles each time.
-    pub ejected: [Millis; 2],
-    /// The most connections to an ingress.
-    pub connections: usize,
-    /// After a connection to it was lost, an ingress is connected to again once in so long: at first after a part of it
-    /// by chance (full jitter), so that clients who lost theirs together come back evenly spread.
-    pub spread: Millis,
-    /// New connections a second in the long run, over all ingresses, and the most at once.
-    pub rate: [f64; 2],
+pub struct IngressPolicy {
+    /// The number of consecutive failures after which an ingress is ejected. An unreachable one is ejected at
+    /// once.
+    pub failures_to_eject: u32,
+    /// The duration of the first ejection. It doubles with each consecutive ejection; half of it is jitter.
+    pub base_ejection: Millis,
+    /// The maximum duration of an ejection.
+    pub max_ejection: Millis,
+    /// The maximum number of connections to one ingress.
+    pub max_connections: usize,
+    /// The interval between attempts to connect to an ingress whose connections were lost. The first attempt
+    /// is made after a random part of it (full jitter), so that clients that lost their connections together
+    /// reconnect evenly spread over this time.
+    pub reconnect_spread: Millis,
+    /// The maximum long-term rate of new connections to all ingresses, in connections per second.
+    pub connect_rate: f64,
+    /// The number of new connections that may be opened at once beyond that rate.
+    pub connect_burst: f64,
 }
 
-impl Default for Care {
+impl Default for IngressPolicy {
     fn default() -> Self {
-        Self { failures: 5, ejected: [500.0, 8000.0], connections: 8, spread: 4000.0, rate: [10.0, 16.0] }
+        Self {
+            failures_to_eject: 5,
+            base_ejection: 500.0,
+            max_ejection: 8000.0,
+            max_connections: 8,
+            reconnect_spread: 4000.0,
+            connect_rate: 10.0,
+            connect_burst: 16.0,
+        }
     }
 }
 
-/// How a try at an ingress went, as far as that tells of the ingress.
+/// What the end of a try tells about the health of its ingress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Went {
-    /// It answered, if only by a refusal.
+pub enum HealthSignal {
+    /// The ingress answered; a rejection is an answer, too.
     Answered,
-    /// It failed, broke or was too late.
+    /// The try failed, lost its connection or timed out.
     Failed,
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Ingress {
-    out: u32,
-    failures: u32,
-    ejections: u32,
+    /// Tries in flight.
+    in_flight: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until: Millis,
-    /// No connection before this, since one was lost.
-    not_before: Millis,
-    /// Its turn among those who come back has been drawn.
-    drawn: bool,
-    open: usize,
+    /// No connection is opened before this time. 0 if the last attempt to connect succeeded.
+    connect_not_before: Millis,
+    /// Whether the random delay before reconnecting has been drawn since connections were lost.
+    reconnect_drawn: bool,
+    /// Connections that are open or being opened.
+    connections: usize,
 }
 
-/// The ingresses of a fleet, by number.
+/// The ingresses of a fleet, by number, with their health and connections.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ingresses {
-    care: Care,
-    all: Vec<Ingress>,
-    tokens: f64,
-    at: Millis,
+    policy: IngressPolicy,
+    ingresses: Vec<Ingress>,
+    /// The token bucket for new connections.
+    connect_tokens: f64,
+    tokens_updated_at: Millis,
 }
 
 impl Ingresses {
-    /// So many ingresses of which nothing is known.
-    pub fn new(many: usize, care: Care, now: Millis) -> Self {
-        Self { care, all: vec![Ingress::default(); many], tokens: care.rate[1], at: now }
+    /// Creates `count` ingresses without connections, all of them regarded as healthy.
+    pub fn new(count: usize, policy: IngressPolicy, now: Millis) -> Self {
+        Self {
+            policy,
+            ingresses: vec![Ingress::default(); count],
+            connect_tokens: policy.connect_burst,
+            tokens_updated_at: now,
+        }
     }
 
-    /// How many there are.
+    /// Returns the number of ingresses.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.ingresses.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there is no ingress.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.ingresses.is_empty()
     }
 
-    /// The ingresses of a set: `spread` in a row from number `first`, counted round.
-    pub fn set(&self, spread: usize, first: usize) -> impl Iterator<Item = usize> + use<> {
-        let many = self.all.len();
-        (0..spread.min(many)).map(move |i| (first + i) % many)
+    /// Returns the numbers of the ingresses in a customer's set: `spread` consecutive ones from number
+    /// `first`, wrapping around.
+    pub fn ingress_set(&self, spread: usize, first: usize) -> impl Iterator<Item = usize> + use<> {
+        let count = self.ingresses.len();
+        (0..spread.min(count)).map(move |i| (first + i) % count)
     }
 
-    /// The one for a try: of two of the set by chance, the one with less out. Those that are ejected, or were tried
-    /// before, come last: if all are, the one that comes back first.
+    /// Picks the ingress for a try: of two drawn at random from the set, the one with fewer tries in flight.
+    /// Ingresses that are ejected or in `tried` are used only if no other is left; then the one that becomes
+    /// available first is picked, those not in `tried` before the others. Returns `None` if the set is empty
+    /// or names an ingress that does not exist.
     pub fn pick(
         &self,
         now: Millis,
         set: impl Iterator<Item = usize>,
         tried: &[usize],
-        chance: RandomSource<'_>,
+        random: RandomSource<'_>,
     ) -> Option<usize> {
-        let mut well = Vec::new();
-        let mut best: Option<((bool, Millis), usize)> = None;
+        let mut candidates = Vec::new();
+        let mut fallback: Option<((bool, Millis), usize)> = None;
         for i in set {
-            let ingress = self.all.get(i)?;
-            let rank = (tried.contains(&i), ingress.ejected_until.max(ingress.not_before));
+            let ingress = self.ingresses.get(i)?;
+            let rank = (tried.contains(&i), ingress.ejected_until.max(ingress.connect_not_before));
             if ingress.ejected_until <= now && !tried.contains(&i) {
-                well.push(i);
+                candidates.push(i);
             }
-            if best.is_none_or(|(least, _)| rank < least) {
-                best = Some((rank, i));
+            if fallback.is_none_or(|(lowest, _)| rank < lowest) {
+                fallback = Some((rank, i));
             }
         }
-        // Those that hold a connection, or may open one now, before those that have to wait.
-        let ready = |i: &usize| self.all[*i].open > 0 || self.all[*i].not_before <= now;
-        if well.iter().any(ready) {
-            well.retain(ready);
+        // Ingresses that have a connection or may open one now are preferred to those that have to wait.
+        let is_ready =
+            |i: &usize| self.ingresses[*i].connections > 0 || self.ingresses[*i].connect_not_before <= now;
+        if candidates.iter().any(is_ready) {
+            candidates.retain(is_ready);
         }
-        match well.len() {
-            0 => best.map(|(_, i)| i),
+        match candidates.len() {
+            0 => fallback.map(|(_, i)| i),
             n => {
-                let draw = |chance: RandomSource<'_>| well[((chance() * n as f64) as usize).min(n - 1)];
-                let (one, two) = (draw(chance), draw(chance));
-                Some(if self.all[two].out < self.all[one].out { two } else { one })
+                let draw = |random: RandomSource<'_>| candidates[((random() * n as f64) as usize).min(n - 1)];
+                let (one, two) = (draw(random), draw(random));
+                Some(if self.ingresses[two].in_flight < self.ingresses[one].in_flight { two } else { one })
             }
         }
     }
 
-    /// A try begins at an ingress.
-    pub fn begins(&mut self, i: usize) {
-        self.all[i].out += 1;
+    /// Records that a try starts at ingress `i`.
+    pub fn try_started(&mut self, i: usize) {
+        self.ingresses[i].in_flight += 1;
     }
 
-    /// It has ended.
-    pub fn ends(&mut self, now: Millis, i: usize, went: Went, chance: RandomSource<'_>) {
-        let care = self.care;
-        let ingress = &mut self.all[i];
-        ingress.out = ingress.out.saturating_sub(1);
-        match went {
-            Went::Answered => (ingress.failures, ingress.ejections) = (0, 0),
-            Went::Failed => ingress.failures += 1,
-            Went::Unreachable => ingress.failures = care.failures,
+    /// Records that a try at ingress `i` has ended, and ejects the ingress after too many failures.
+    pub fn try_ended(&mut self, now: Millis, i: usize, signal: HealthSignal, random: RandomSource<'_>) {
+        let policy = self.policy;
+        let ingress = &mut self.ingresses[i];
+        ingress.in_flight = ingress.in_flight.saturating_sub(1);
+        match signal {
+            HealthSignal::Answered => (ingress.consecutive_failures, ingress.consecutive_ejections) = (0, 0),
+            HealthSignal::Failed => ingress.consecutive_failures += 1,
+            HealthSignal::Unreachable => ingress.consecutive_failures = policy.failures_to_eject,
         }
-        if ingress.failures >= care.failures && ingress.ejected_until <= now {
-            let long = (care.ejected[0] * f64::from(1u32 << ingress.ejections.min(16))).min(care.ejected[1]);
-            ingress.ejected_until = now + long * (0.5 + 0.5 * chance());
-            (ingress.ejections, ingress.failures) = (ingress.ejections + 1, care.failures - 1);
+        if ingress.consecutive_failures >= policy.failures_to_eject && ingress.ejected_until <= now {
+            let duration = (policy.base_ejection * f64::from(1u32 << ingress.consecutive_ejections.min(16)))
+                .min(policy.max_ejection);
+            ingress.ejected_until = now + duration * (0.5 + 0.5 * random());
+            // One more failure after the ejection ejects the ingress again.
+            (ingress.consecutive_ejections, ingress.consecutive_failures) =
+                (ingress.consecutive_ejections + 1, policy.failures_to_eject - 1);
         }
     }
 
-    /// Whether a connection to an ingress may be opened now; if not, after how long to ask again. A yes counts.
-    pub fn may_connect(&mut self, now: Millis, i: usize) -> Result<(), Millis> {
-        let [rate, most] = self.care.rate;
-        self.tokens = (self.tokens + rate * (now - self.at).max(0.0) / 1000.0).min(most);
-        self.at = self.at.max(now);
-        let ingress = &mut self.all[i];
-        if ingress.not_before > now {
-            return Err(ingress.not_before - now);
+    /// Reserves a new connection to ingress `i`. `Ok` counts the connection as open and takes a token; `Err`
+    /// holds the time after which to try again, which is infinite while the ingress has its maximum number of
+    /// connections.
+    pub fn reserve_connection(&mut self, now: Millis, i: usize) -> Result<(), Millis> {
+        let (rate, burst) = (self.policy.connect_rate, self.policy.connect_burst);
+        self.connect_tokens =
+            (self.connect_tokens + rate * (now - self.tokens_updated_at).max(0.0) / 1000.0).min(burst);
+        self.tokens_updated_at = self.tokens_updated_at.max(now);
+        let ingress = &mut self.ingresses[i];
+        if ingress.connect_not_before > now {
+            return Err(ingress.connect_not_before - now);
         }
-        if ingress.open >= self.care.connections {
+        if ingress.connections >= self.policy.max_connections {
             return Err(f64::INFINITY);
         }
-        if self.tokens < 1.0 {
-            return Err((1.0 - self.tokens) * 1000.0 / rate.max(0.001));
+        if self.connect_tokens < 1.0 {
+            return Err((1.0 - self.connect_tokens) * 1000.0 / rate.max(0.001));
         }
-        self.tokens -= 1.0;
-        ingress.open += 1;
+        self.connect_tokens -= 1.0;
+        ingress.connections += 1;
         Ok(())
     }
 
-    /// A connection did not come up. The next attempt is by chance within a round, and from then on one round later
-    /// each, so that the spread stays.
-    pub fn not_connected(&mut self, now: Millis, i: usize, chance: RandomSource<'_>) {
-        self.closed(i);
-        let part = if self.all[i].drawn { 1.0 } else { chance() };
-        (self.all[i].not_before, self.all[i].drawn) = (now + self.care.spread * part, true);
+    /// Records that a reserved connection could not be established. The first delay before the next attempt
+    /// is a random part of [`IngressPolicy::reconnect_spread`]; the following ones are all of it, so that
+    /// clients stay spread.
+    pub fn connect_failed(&mut self, now: Millis, i: usize, random: RandomSource<'_>) {
+        self.connection_closed(i);
+        let part = if self.ingresses[i].reconnect_drawn { 1.0 } else { random() };
+        (self.ingresses[i].connect_not_before, self.ingresses[i].reconnect_drawn) =
+            (now + self.policy.reconnect_spread * part, true);
     }
 
-    /// A connection came up: others may follow.
-    pub fn connected(&mut self, i: usize) {
-        (self.all[i].not_before, self.all[i].drawn) = (0.0, false);
+    /// Records that a reserved connection was established, so that others may follow without delay.
+    pub fn connect_succeeded(&mut self, i: usize) {
+        (self.ingresses[i].connect_not_before, self.ingresses[i].reconnect_drawn) = (0.0, false);
     }
 
-    /// A connection was closed between answers, as either side may.
-    pub fn closed(&mut self, i: usize) {
-        self.all[i].open = self.all[i].open.saturating_sub(1);
+    /// Records that a connection was closed between two answers, by either side. No reconnect delay follows.
+    pub fn connection_closed(&mut self, i: usize) {
+        self.ingresses[i].connections = self.ingresses[i].connections.saturating_sub(1);
     }
 
-    /// A connection broke: its ingress may have died, and others have lost theirs, too.
-    pub fn lost(&mut self, now: Millis, i: usize, chance: RandomSource<'_>) {
-        self.closed(i);
-        if self.all[i].open == 0 && !self.all[i].drawn {
-            (self.all[i].not_before, self.all[i].drawn) = (now + self.care.spread * chance(), true);
+    /// Records that a connection broke. If it was the last one, the ingress may have died and other clients
+    /// may have lost their connections as well, so a random delay follows before reconnecting.
+    pub fn connection_lost(&mut self, now: Millis, i: usize, random: RandomSource<'_>) {
+        self.connection_closed(i);
+        if self.ingresses[i].connections == 0 && !self.ingresses[i].reconnect_drawn {
+            (self.ingresses[i].connect_not_before, self.ingresses[i].reconnect_drawn) =
+                (now + self.policy.reconnect_spread * random(), true);
         }
     }
 }
--- a/client/src/lib.rs
+++ b/client/src/lib.rs
@@ -42,7 +42,7 @@
 pub mod wire;
 
 pub use client::{Answer, Client, Config, Counts, Error, Kind, Request};
-pub use ingresses::Care;
+pub use ingresses::IngressPolicy;
 pub use policy::{RetryPolicy, RetrySafety, StopReason};
 #[cfg(feature = "tls")]
 pub use tls::Tls;
--- a/client/src/policy.rs
+++ b/client/src/policy.rs
@@ -1,9 +1,10 @@
-//! Decides whether and when a request is tried again. No I/O: the caller passes in events, the time and random
-//! numbers.
+//! Decides whether and when a request is tried again. No I/O: the caller passes in events, the time and
+//! random numbers.
 
 use std::fmt;
 
-/// A point in time or a duration, in milliseconds. Points in time count from an arbitrary origin and never go back.
+/// A point in time or a duration, in milliseconds. Points in time count from an arbitrary origin and never go
+/// back.
 pub type Millis = f64;
 
 /// A source of uniformly distributed random numbers in `[0, 1)`.
@@ -35,11 +36,11 @@
     },
     /// The ingress answered with any other status: the request may have run.
     Failed,
-    /// No connection was established, or the connection broke or the deadline passed before the last byte of the
-    /// request was written: the request did not run.
+    /// No connection was established, or the connection broke or the deadline passed before the last byte of
+    /// the request was written: the request did not run.
     NotSent,
-    /// The connection broke after the whole request was written, or the answer was malformed: the request may have
-    /// run.
+    /// The connection broke after the whole request was written, or the answer was malformed: the request may
+    /// have run.
     ConnectionLost,
     /// No answer came before the deadline: the request may have run, or may still run.
     TimedOut,
@@ -105,7 +106,8 @@
     pub initial_backoff: Millis,
     /// The maximum of the back-off's upper bound.
     pub max_backoff: Millis,
-    /// A retry waits for the whole `Retry-After` and for a random additional delay of up to this fraction of it.
+    /// A retry waits for the whole `Retry-After` and for a random additional delay of up to this fraction of
+    /// it.
     pub retry_after_jitter: f64,
     /// The minimum time that must be left before the deadline when a retry is sent.
     pub min_time_left: Millis,
@@ -184,8 +186,8 @@
         self.may_have_run_since.is_some()
     }
 
-    /// Returns whether a try may be sent now. To be checked again right before sending, because the deadline or the
-    /// deduplication window may pass while the client waits for a connection.
+    /// Returns whether a try may be sent now. To be checked again right before sending, because the deadline
+    /// or the deduplication window may pass while the client waits for a connection.
     pub fn may_send(&self, now: Millis) -> bool {
         now < self.deadline && self.is_repeat_safe(now)
     }
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -7,9 +7,9 @@
 use crate::script::{Clients, Repeat};
 use weldhub::Event;
 use weldhub::interface::{ClassId, CustomerId, GatewayId, PlanId, Request, RequestId};
-use weldhub_client::ingresses::{Ingresses, Went};
+use weldhub_client::ingresses::{HealthSignal, Ingresses};
 use weldhub_client::policy::{RetryBudget, RetryDecision, RetryState, TryOutcome};
-use weldhub_client::{Care, RetryPolicy, RetrySafety as Again};
+use weldhub_client::{IngressPolicy, RetryPolicy, RetrySafety as Again};
 
 pub(super) struct Asker {
     pub(super) ingresses: Ingresses,
@@ -103,7 +103,7 @@
         }
         let many = self.nodes.len();
         let asker = |_| Asker {
-            ingresses: Ingresses::new(many, Care::default(), 0.0),
+            ingresses: Ingresses::new(many, IngressPolicy::default(), 0.0),
             budget: RetryBudget::new(&RetryPolicy::default()),
         };
         if load.clients == Clients::Library {
@@ -189,11 +189,11 @@
         let i = if self.asked[n].call.is_some() {
             let Self { askers, asked, rng, customers, .. } = self;
             let asker = &mut askers[customers[c].asker];
-            let set = asker.ingresses.set(usize::from(spread), usize::from(first));
+            let set = asker.ingresses.ingress_set(usize::from(spread), usize::from(first));
             let Some(i) = asker.ingresses.pick(self.now, set, &asked[n].tried, &mut || rng.f64()) else {
                 return;
             };
-            asker.ingresses.begins(i);
+            asker.ingresses.try_started(i);
             i
         } else {
             let mut weights = self.customers[c].weights.clone();
@@ -306,12 +306,12 @@
         let c = self.asked[n].customer;
         if self.asked[n].call.is_some() {
             let went = match how {
-                TryOutcome::NotSent => Went::Unreachable,
-                how if how.may_have_run() => Went::Failed,
-                _ => Went::Answered,
+                TryOutcome::NotSent => HealthSignal::Unreachable,
+                how if how.may_have_run() => HealthSignal::Failed,
+                _ => HealthSignal::Answered,
             };
             let Self { askers, rng, customers, .. } = self;
-            askers[customers[c].asker].ingresses.ends(self.now, i, went, &mut || rng.f64());
+            askers[customers[c].asker].ingresses.try_ended(self.now, i, went, &mut || rng.f64());
         }
         if how == TryOutcome::Served {
             self.asked[n].done = true;
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use std::process::ExitCode;
-use weldhub_client::{Care, RetryPolicy};
+use weldhub_client::{IngressPolicy, RetryPolicy};
 use weldhub_load::model::{Fleet, Outage, play, settings};
 use weldhub_load::report::Report;
 use weldhub_load::run::run;
@@ -132,9 +132,17 @@
                 budget_capacity: 1e6,
                 ..RetryPolicy::default()
             };
-            let (retry_policy, care) = match naive {
-                true => (hasty, Care { spread: 1000.0, rate: [1e6, 1e6], ..Care::default() }),
-                false => (RetryPolicy::default(), Care::default()),
+            let (retry_policy, ingress_policy) = match naive {
+                true => (
+                    hasty,
+                    IngressPolicy {
+                        reconnect_spread: 1000.0,
+                        connect_rate: 1e6,
+                        connect_burst: 1e6,
+                        ..IngressPolicy::default()
+                    },
+                ),
+                false => (RetryPolicy::default(), IngressPolicy::default()),
             };
             let fleet = Fleet {
                 settings: settings(ingresses, &quota, &asked),
@@ -145,7 +153,7 @@
                 outages: down,
                 clients,
                 retry_policy,
-                care,
+                ingress_policy,
                 naive,
             };
             Ok((play(&asked, &fleet)?, work.json))
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -11,9 +11,9 @@
     ServerState, TimerKey, ZoneId,
 };
 use weldhub::{Action, Event, Limiter, Settings};
-use weldhub_client::ingresses::{Ingresses, Went};
+use weldhub_client::ingresses::{HealthSignal, Ingresses};
 use weldhub_client::policy::{RetryBudget, RetryDecision, RetryState, TryOutcome};
-use weldhub_client::{Care, RetryPolicy, RetrySafety};
+use weldhub_client::{IngressPolicy, RetryPolicy, RetrySafety};
 
 /// A time during which an ingress is down.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -46,7 +46,7 @@
     /// How their tries follow each other.
     pub retry_policy: RetryPolicy,
     /// How they handle connections.
-    pub care: Care,
+    pub ingress_policy: IngressPolicy,
     /// They know no chance: all wait for just as long. So do clients that were written in a hurry.
     pub naive: bool,
 }
@@ -170,7 +170,7 @@
     };
     let nodes = (0..many).map(|i| node(i, rng.u64(..))).collect::<Result<Vec<_>, _>>()?;
     let asker = |_| Asker {
-        ingresses: Ingresses::new(many, fleet.care, 0.0),
+        ingresses: Ingresses::new(many, fleet.ingress_policy, 0.0),
         budget: RetryBudget::new(&fleet.retry_policy),
         idle: vec![0; many],
     };
@@ -368,7 +368,8 @@
                     self.after(self.fleet.hop, What::Ends(n, no, TryOutcome::ConnectionLost));
                 }
                 for asker in &mut self.askers {
-                    (0..std::mem::take(&mut asker.idle[i])).for_each(|_| asker.ingresses.closed(i));
+                    (0..std::mem::take(&mut asker.idle[i]))
+                        .for_each(|_| asker.ingresses.connection_closed(i));
                 }
             }
             What::Up(i) => {
@@ -390,17 +391,17 @@
         let first = self.work.first(self.asked[n].arrival.customer, many);
         let Self { askers, asked, rng, .. } = self;
         let asker = &mut askers[c];
-        let set = asker.ingresses.set(self.work.spread.min(many), first);
+        let set = asker.ingresses.ingress_set(self.work.spread.min(many), first);
         let Some(i) = asker.ingresses.pick(self.now, set, &asked[n].tried, &mut || rng.f64()) else { return };
         let life = self.nodes[i].life;
         if asker.idle[i] > 0 {
             asker.idle[i] -= 1;
-            asker.ingresses.begins(i);
+            asker.ingresses.try_started(i);
             return self.leaves(n, i, life);
         }
-        match asker.ingresses.may_connect(self.now, i) {
+        match asker.ingresses.reserve_connection(self.now, i) {
             Ok(()) => {
-                asker.ingresses.begins(i);
+                asker.ingresses.try_started(i);
                 self.asked[n].at = Some(i);
                 self.after(2.0 * self.fleet.hop, What::Connected(n, i, life));
             }
@@ -417,18 +418,18 @@
         let mut chance = || if naive { 1.0 } else { rng.f64() };
         if !well {
             self.report.refused += 1;
-            asker.ingresses.ends(self.now, i, Went::Unreachable, &mut chance);
-            asker.ingresses.not_connected(self.now, i, &mut chance);
+            asker.ingresses.try_ended(self.now, i, HealthSignal::Unreachable, &mut chance);
+            asker.ingresses.connect_failed(self.now, i, &mut chance);
             self.asked[n].at = None;
             if !self.asked[n].tried.contains(&i) {
                 self.asked[n].tried.push(i);
             }
             return self.tries(n);
         }
-        asker.ingresses.connected(i);
+        asker.ingresses.connect_succeeded(i);
         self.report.connects(self.now);
         if self.asked[n].done {
-            asker.ingresses.ends(self.now, i, Went::Answered, &mut chance);
+            asker.ingresses.try_ended(self.now, i, HealthSignal::Answered, &mut chance);
             asker.idle[i] += 1;
             return;
         }
@@ -480,11 +481,11 @@
         let (asker, asked) = (&mut askers[c], &mut asked[n]);
         let mut chance = || if naive { 1.0 } else { rng.f64() };
         if let Some(i) = asked.at.take() {
-            let went = if how.may_have_run() { Went::Failed } else { Went::Answered };
-            asker.ingresses.ends(self.now, i, went, &mut chance);
+            let went = if how.may_have_run() { HealthSignal::Failed } else { HealthSignal::Answered };
+            asker.ingresses.try_ended(self.now, i, went, &mut chance);
             match how {
-                TryOutcome::ConnectionLost => asker.ingresses.lost(self.now, i, &mut chance),
-                TryOutcome::TimedOut | TryOutcome::NotSent => asker.ingresses.closed(i),
+                TryOutcome::ConnectionLost => asker.ingresses.connection_lost(self.now, i, &mut chance),
+                TryOutcome::TimedOut | TryOutcome::NotSent => asker.ingresses.connection_closed(i),
                 _ => asker.idle[i] += 1,
             }
         }
--- a/load/tests/compare.rs
+++ b/load/tests/compare.rs
@@ -9,7 +9,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use weldhub::config::Config;
 use weldhub::net::http::{Kind, take_message};
-use weldhub_client::{Care, RetryPolicy};
+use weldhub_client::{IngressPolicy, RetryPolicy};
 use weldhub_load::model::{Fleet, play};
 use weldhub_load::run::run;
 use weldhub_load::work::Work;
@@ -96,7 +96,7 @@
                 outages: Vec::new(),
                 clients: 50,
                 retry_policy: RetryPolicy::default(),
-                care: Care::default(),
+                ingress_policy: IngressPolicy::default(),
                 naive: false,
             };
             let model = play(&work, &fleet).unwrap();
--- a/load/tests/model.rs
+++ b/load/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model: the same again from a seed, and what clients do together when ingresses restart.
 
 use weldhub::Settings;
-use weldhub_client::{Care, RetryPolicy};
+use weldhub_client::{IngressPolicy, RetryPolicy};
 use weldhub_load::model::{Fleet, Outage, play, settings};
 use weldhub_load::report::{End, INTERVAL, Report};
 use weldhub_load::work::Work;
@@ -34,10 +34,15 @@
         outages: Vec::new(),
         clients: 1000,
         retry_policy: if naive { hasty } else { RetryPolicy::default() },
-        care: if naive {
-            Care { spread: 1000.0, rate: [1e6, 1e6], ..Care::default() }
+        ingress_policy: if naive {
+            IngressPolicy {
+                reconnect_spread: 1000.0,
+                connect_rate: 1e6,
+                connect_burst: 1e6,
+                ..IngressPolicy::default()
+            }
         } else {
-            Care::default()
+            IngressPolicy::default()
         },
         naive,
     }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -74,7 +74,7 @@
         let all: Vec<String> = self.at.iter().map(SocketAddr::to_string).collect();
         let mut config = Config::new(all.iter().map(String::as_str)).unwrap();
         config.seed = 7;
-        config.care.spread = 400.0;
+        config.ingress_policy.reconnect_spread = 400.0;
         Client::new(config).unwrap()
     }
 
