--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -4,7 +4,7 @@
 use crate::policy::{
     Millis, RetryBudget, RetryDecision, RetryPolicy, RetrySafety, RetryState, StopReason, TryOutcome,
 };
-use crate::wire::{Bad, Reader};
+use crate::wire::{AnswerError, AnswerReader};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
 use std::fmt;
@@ -198,7 +198,7 @@
     /// The connection broke before the answer was whole.
     Broken,
     /// The answer could not be read.
-    Unreadable(Bad),
+    Unreadable(AnswerError),
     /// No answer in time.
     TimedOut,
 }
@@ -539,18 +539,18 @@
     stream: &mut Box<dyn Stream>,
     most: usize,
 ) -> Result<(u16, Option<Millis>, bool, Vec<u8>), Went1> {
-    let (mut reader, mut buffer) = (Reader::new(most), BytesMut::new());
+    let (mut reader, mut buffer) = (AnswerReader::new(most), BytesMut::new());
     loop {
         buffer.reserve(8 * 1024);
         let ended = match stream.read_buf(&mut buffer).await {
             Ok(n) => n == 0,
             Err(_) => return Err((TryOutcome::ConnectionLost, Kind::Broken)),
         };
-        match reader.take(&mut buffer, ended) {
+        match reader.read(&mut buffer, ended) {
             Ok(Some((head, body))) => {
                 // What nobody asked for would be taken for the next answer.
                 let keep = !head.close && !ended && buffer.is_empty();
-                return Ok((head.status, head.after, keep, body));
+                return Ok((head.status, head.retry_after, keep, body));
             }
             Ok(None) if ended => return Err((TryOutcome::ConnectionLost, Kind::Broken)),
             Ok(None) => {}
--- a/client/src/wire.rs
+++ b/client/src/wire.rs
@@ -1,74 +1,90 @@
-//! HTTP/1.1 as ingresses speak it: writes a request, reads an answer within bounds.
+//! Reads the HTTP/1.1 answers of ingresses incrementally, with limits on the sizes of head and body.
 
 use crate::policy::{Millis, parse_retry_after};
 use bytes::{Buf, BytesMut};
 
-/// The most bytes of a head.
-pub const HEAD: usize = 8 * 1024;
-const HEADERS: usize = 64;
+/// The maximum size of a head in bytes. It also limits each chunk header, the trailers of an answer and all
+/// interim (1xx) answers ahead of it together.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The maximum number of fields in a head, and in the trailers.
+const MAX_HEADER_FIELDS: usize = 64;
 
-/// What is wrong with an answer.
+/// Why an answer is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
-    /// It is not HTTP/1.
-    #[error("it is not HTTP/1")]
+pub enum AnswerError {
+    /// It is not well-formed HTTP/1.
+    #[error("it is not well-formed HTTP/1")]
     Malformed,
-    /// Its head is too long, or does not end.
+    /// Its head is longer than [`MAX_HEAD_BYTES`] or has too many fields.
     #[error("its head is too long")]
-    Head,
-    /// Its body is longer than is wanted.
+    HeadTooLong,
+    /// Its body is longer than the reader's limit.
     #[error("its body is too long")]
-    Body,
+    BodyTooLong,
 }
 
-/// An answer's head.
+/// The head of an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Head {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// After how long to come again, where it says so.
-    pub after: Option<Millis>,
-    /// The connection is not used after it.
+    /// The value of `Retry-After`; `None` if there is none that is valid.
+    pub retry_after: Option<Millis>,
+    /// Whether the connection cannot be used again after this answer.
     pub close: bool,
-    at: At,
+    body: BodyState,
 }
 
+/// What follows in the input, after what has been read of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum At {
-    Data(usize),
-    Size,
-    Chunk(usize),
+enum BodyState {
+    /// This many bytes of a body with `Content-Length`.
+    Sized(usize),
+    /// The header of a chunk.
+    ChunkHeader,
+    /// This many bytes of a chunk.
+    ChunkData(usize),
+    /// The line break at the end of a chunk.
     ChunkEnd,
+    /// The trailers after the last chunk.
     Trailers,
-    Rest,
+    /// A body that lasts until the connection is closed.
+    UntilClose,
+    /// Nothing: the answer is complete.
     Done,
 }
 
-/// An answer as it comes.
+/// Reads answers from the input of a connection, one after the other.
 #[derive(Debug)]
-pub struct Reader {
-    most: usize,
-    ahead: usize,
+pub struct AnswerReader {
+    max_body_bytes: usize,
+    /// Bytes of interim (1xx) answers read so far.
+    interim_bytes: usize,
     head: Option<Head>,
     body: Vec<u8>,
 }
 
-impl Reader {
-    /// A reader of an answer whose body has so many bytes at the most.
-    pub fn new(most: usize) -> Self {
-        Self { most, ahead: 0, head: None, body: Vec::new() }
+impl AnswerReader {
+    /// Creates a reader that accepts bodies of up to `max_body_bytes` bytes.
+    pub fn new(max_body_bytes: usize) -> Self {
+        Self { max_body_bytes, interim_bytes: 0, head: None, body: Vec::new() }
     }
 
-    /// Takes what has come; an answer once it is whole.
-    pub fn take(&mut self, buffer: &mut BytesMut, ended: bool) -> Result<Option<(Head, Vec<u8>)>, Bad> {
+    /// Consumes input from `buffer`. Returns an answer once it is complete, and `None` if more input is
+    /// needed. `at_eof` says that no more input will come.
+    pub fn read(
+        &mut self,
+        buffer: &mut BytesMut,
+        at_eof: bool,
+    ) -> Result<Option<(Head, Vec<u8>)>, AnswerError> {
         while self.head.is_none() {
             let Some((head, length)) = read_head(buffer)? else { return Ok(None) };
             buffer.advance(length);
-            // What is said ahead of an answer is none; it must end some time.
+            // Interim answers are skipped. Without a limit on them, an ingress could send them for ever.
             if (100..200).contains(&head.status) && head.status != 101 {
-                self.ahead += length;
-                if self.ahead > HEAD {
-                    return Err(Bad::Head);
+                self.interim_bytes += length;
+                if self.interim_bytes > MAX_HEAD_BYTES {
+                    return Err(AnswerError::HeadTooLong);
                 }
                 continue;
             }
@@ -76,62 +92,62 @@
         }
         let Some(head) = &mut self.head else { return Ok(None) };
         loop {
-            let n = match head.at {
-                At::Done => break,
-                At::Data(n) | At::Chunk(n) => n.min(buffer.len()),
-                At::Rest => buffer.len(),
-                At::Size => match httparse::parse_chunk_size(buffer) {
+            let n = match head.body {
+                BodyState::Done => break,
+                BodyState::Sized(n) | BodyState::ChunkData(n) => n.min(buffer.len()),
+                BodyState::UntilClose => buffer.len(),
+                BodyState::ChunkHeader => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((start, size))) => {
                         buffer.advance(start);
-                        let size = usize::try_from(size).map_err(|_| Bad::Body)?;
-                        head.at = if size == 0 { At::Trailers } else { At::Chunk(size) };
+                        let size = usize::try_from(size).map_err(|_| AnswerError::BodyTooLong)?;
+                        head.body = if size == 0 { BodyState::Trailers } else { BodyState::ChunkData(size) };
                         continue;
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() <= HEAD => return Ok(None),
-                    _ => return Err(Bad::Malformed),
+                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
+                    _ => return Err(AnswerError::Malformed),
                 },
-                At::ChunkEnd => match buffer.get(..2) {
+                BodyState::ChunkEnd => match buffer.get(..2) {
                     Some(b"\r\n") => {
                         buffer.advance(2);
-                        head.at = At::Size;
+                        head.body = BodyState::ChunkHeader;
                         continue;
                     }
-                    Some(_) => return Err(Bad::Malformed),
+                    Some(_) => return Err(AnswerError::Malformed),
                     None => return Ok(None),
                 },
-                At::Trailers => {
-                    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-                    match httparse::parse_headers(buffer, &mut headers) {
+                BodyState::Trailers => {
+                    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+                    match httparse::parse_headers(buffer, &mut fields) {
                         Ok(httparse::Status::Complete((n, _))) => buffer.advance(n),
-                        Ok(httparse::Status::Partial) if buffer.len() <= HEAD => return Ok(None),
-                        _ => return Err(Bad::Malformed),
+                        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
+                        _ => return Err(AnswerError::Malformed),
                     }
-                    head.at = At::Done;
+                    head.body = BodyState::Done;
                     break;
                 }
             };
-            if let At::Data(all) | At::Chunk(all) = head.at
-                && all > self.most.saturating_sub(self.body.len())
+            if let BodyState::Sized(left) | BodyState::ChunkData(left) = head.body
+                && left > self.max_body_bytes.saturating_sub(self.body.len())
             {
-                return Err(Bad::Body);
+                return Err(AnswerError::BodyTooLong);
             }
             if n == 0 {
-                if ended && head.at == At::Rest {
-                    head.at = At::Done;
+                if at_eof && head.body == BodyState::UntilClose {
+                    head.body = BodyState::Done;
                     break;
                 }
                 return Ok(None);
             }
-            if self.body.len() + n > self.most {
-                return Err(Bad::Body);
+            if self.body.len() + n > self.max_body_bytes {
+                return Err(AnswerError::BodyTooLong);
             }
             self.body.extend_from_slice(&buffer[..n]);
             buffer.advance(n);
-            head.at = match head.at {
-                At::Data(all) if all == n => At::Done,
-                At::Data(all) => At::Data(all - n),
-                At::Chunk(all) if all == n => At::ChunkEnd,
-                At::Chunk(all) => At::Chunk(all - n),
+            head.body = match head.body {
+                BodyState::Sized(left) if left == n => BodyState::Done,
+                BodyState::Sized(left) => BodyState::Sized(left - n),
+                BodyState::ChunkData(left) if left == n => BodyState::ChunkEnd,
+                BodyState::ChunkData(left) => BodyState::ChunkData(left - n),
                 other => other,
             };
         }
@@ -139,47 +155,52 @@
     }
 }
 
-fn read_head(buffer: &[u8]) -> Result<Option<(Head, usize)>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// Parses a head at the start of `buffer` and returns it with its length in bytes. Returns `None` if it is
+/// incomplete.
+fn read_head(buffer: &[u8]) -> Result<Option<(Head, usize)>, AnswerError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut response = httparse::Response::new(&mut headers);
     let length = match response.parse(buffer) {
-        Ok(httparse::Status::Complete(n)) if n <= HEAD => n,
-        Ok(httparse::Status::Partial) if buffer.len() <= HEAD => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Bad::Head),
-        Err(_) => return Err(Bad::Malformed),
+        Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD_BYTES => n,
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(AnswerError::HeadTooLong),
+        Err(_) => return Err(AnswerError::Malformed),
     };
     let status = response.code.unwrap_or(0);
-    let old = response.version != Some(1);
+    let is_http_1_0 = response.version != Some(1);
     let fields = &response.headers;
-    let all = |name: &'static str| {
+    let values = |name: &'static str| {
         fields.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
     };
-    let connection = all("connection").flat_map(|value| value.split(|b| *b == b','));
-    let mut words = connection.map(<[u8]>::trim_ascii);
-    let close = words.clone().any(|word| word.eq_ignore_ascii_case(b"close"))
-        || old && !words.any(|word| word.eq_ignore_ascii_case(b"keep-alive"));
-    let (mut lengths, mut codings) = (all("content-length"), all("transfer-encoding"));
-    let at = match (lengths.next(), codings.next()) {
-        _ if matches!(status, 100..200 | 204 | 304) => At::Done,
-        // Two readers might cut it in different places.
-        (Some(_), Some(_)) => return Err(Bad::Malformed),
-        (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") && !old => At::Size,
-        (None, Some(_)) => return Err(Bad::Malformed),
+    let connection = values("connection").flat_map(|value| value.split(|b| *b == b','));
+    let mut options = connection.map(<[u8]>::trim_ascii);
+    let close = options.clone().any(|option| option.eq_ignore_ascii_case(b"close"))
+        || is_http_1_0 && !options.any(|option| option.eq_ignore_ascii_case(b"keep-alive"));
+    let (mut lengths, mut codings) = (values("content-length"), values("transfer-encoding"));
+    let body = match (lengths.next(), codings.next()) {
+        _ if matches!(status, 100..200 | 204 | 304) => BodyState::Done,
+        // Both together are ambiguous: another reader might find the end of the answer in a different place.
+        (Some(_), Some(_)) => return Err(AnswerError::Malformed),
+        (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") && !is_http_1_0 => {
+            BodyState::ChunkHeader
+        }
+        (None, Some(_)) => return Err(AnswerError::Malformed),
         (Some(digits), None) => {
-            let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-            let text = std::str::from_utf8(digits).ok().filter(|_| plain).ok_or(Bad::Malformed)?;
-            match text.parse().map_err(|_| Bad::Body)? {
-                0 => At::Done,
-                n => At::Data(n),
+            let is_number = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+            let text =
+                std::str::from_utf8(digits).ok().filter(|_| is_number).ok_or(AnswerError::Malformed)?;
+            match text.parse().map_err(|_| AnswerError::BodyTooLong)? {
+                0 => BodyState::Done,
+                n => BodyState::Sized(n),
             }
         }
-        (None, None) => At::Rest,
+        (None, None) => BodyState::UntilClose,
     };
     if lengths.next().is_some() || codings.next().is_some() {
-        return Err(Bad::Malformed);
+        return Err(AnswerError::Malformed);
     }
-    let after = all("retry-after").next().and_then(parse_retry_after);
-    Ok(Some((Head { status, after, close: close || at == At::Rest, at }, length)))
+    let retry_after = values("retry-after").next().and_then(parse_retry_after);
+    Ok(Some((Head { status, retry_after, close: close || body == BodyState::UntilClose, body }, length)))
 }
 
 #[cfg(test)]
--- a/client/tests/sockets.rs
+++ b/client/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use weldhub_client::wire::Bad;
+use weldhub_client::wire::AnswerError;
 use weldhub_client::{Client, Config, Kind, Request, RetrySafety, StopReason};
 
 /// What an ingress does with a request.
@@ -151,13 +151,13 @@
     let says = |text: &str| Does::Says(text.to_owned());
     let head = |rest: &str| Does::Says(format!("HTTP/1.1 200 OK\r\n{rest}"));
     let cases = [
-        (says("\x00garbage\r\n\r\n"), Kind::Unreadable(Bad::Malformed)),
-        (head(&"X: y\r\n".repeat(3000)), Kind::Unreadable(Bad::Head)),
-        (head("Content-Length: 3000000000\r\n\r\nx"), Kind::Unreadable(Bad::Body)),
-        (head("Content-Length: -4\r\n\r\n"), Kind::Unreadable(Bad::Malformed)),
+        (says("\x00garbage\r\n\r\n"), Kind::Unreadable(AnswerError::Malformed)),
+        (head(&"X: y\r\n".repeat(3000)), Kind::Unreadable(AnswerError::HeadTooLong)),
+        (head("Content-Length: 3000000000\r\n\r\nx"), Kind::Unreadable(AnswerError::BodyTooLong)),
+        (head("Content-Length: -4\r\n\r\n"), Kind::Unreadable(AnswerError::Malformed)),
         (
             head(&format!("Transfer-Encoding: chunked\r\n\r\n{}", "5\r\nabcde\r\n".repeat(300))),
-            Kind::Unreadable(Bad::Body),
+            Kind::Unreadable(AnswerError::BodyTooLong),
         ),
         (Does::Last("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".into()), Kind::Broken),
         (says("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), Kind::Failed(500)),
