--- a/client/src/tls.rs
+++ b/client/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS to the ingresses, by rustls.
+//! TLS connections to ingresses, with rustls.
 
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, ServerName};
@@ -11,7 +11,7 @@
 use tokio_rustls::rustls::crypto::ring::default_provider;
 use tokio_rustls::rustls::{ClientConfig, RootCertStore};
 
-/// Whom to trust, and by what name.
+/// The TLS configuration: the trusted certificate authorities and the name that ingresses must prove.
 #[derive(Clone)]
 pub struct Tls {
     connector: TlsConnector,
@@ -25,14 +25,16 @@
 }
 
 impl Tls {
-    /// Trusts the authorities in a PEM file, for ingresses that show this name.
+    /// Trusts the certificate authorities in a PEM file. The certificate of each ingress must be valid for
+    /// the server name `name`. Fails if the file cannot be read, holds no certificate, or `name` is not a
+    /// valid server name.
     pub fn from_file(authorities: &Path, name: &str) -> io::Result<Self> {
         let mut roots = RootCertStore::empty();
         for certificate in CertificateDer::pem_file_iter(authorities).map_err(io::Error::other)? {
             roots.add(certificate.map_err(io::Error::other)?).map_err(io::Error::other)?;
         }
         if roots.is_empty() {
-            return Err(io::Error::other("the file holds no certificate"));
+            return Err(io::Error::other("the file contains no certificate"));
         }
         let config = ClientConfig::builder_with_provider(Arc::new(default_provider()))
             .with_safe_default_protocol_versions()
@@ -43,6 +45,7 @@
         Ok(Self { connector: TlsConnector::from(Arc::new(config)), name })
     }
 
+    /// Performs the TLS handshake on a connected socket.
     pub(crate) async fn connect(&self, stream: TcpStream) -> io::Result<TlsStream<TcpStream>> {
         self.connector.connect(self.name.clone(), stream).await
     }
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
-use weldhub_client::{Client, Config, Kind, Request, RetrySafety};
+use weldhub_client::{Client, Config, ErrorKind, Request, RetrySafety};
 
 /// Runs it through so many clients, each with connections of its own. Only loopback addresses are loaded.
 pub async fn run(work: &Work, ingresses: &[String], clients: usize) -> Result<Report, String> {
@@ -34,23 +34,23 @@
         let path = format!("/{}/{n}", class.name);
         let request = match class.retry_safety {
             RetrySafety::Safe => Request::get(&path),
-            retry_safety => {
-                Request::post(&path, "load").retry_safety(retry_safety).key(&format!("{:032x}", rng.u128(..)))
-            }
+            retry_safety => Request::post(&path, "load")
+                .retry_safety(retry_safety)
+                .idempotency_key(&format!("{:032x}", rng.u128(..))),
         };
         let request = request
             .customer(arrival.customer)
             .plan(&work.plan)
             .units(f64::from(arrival.units))
-            .set(spread, work.first(arrival.customer, ingresses.len()))
+            .ingress_set(spread, work.first(arrival.customer, ingresses.len()))
             .timeout_ms(class.timeout);
         let client = all[arrival.customer as usize % all.len()].clone();
         let intended = start + Duration::from_secs_f64(arrival.at / 1000.0);
         sleep_until(intended).await;
         running.spawn(async move {
-            let end = match client.ask(&request).await {
+            let end = match client.send(&request).await {
                 Ok(_) => End::Served,
-                Err(e) if matches!(e.kind, Kind::Refused(_)) => End::Refused,
+                Err(e) if matches!(e.kind, ErrorKind::Rejected(_)) => End::Refused,
                 Err(_) => End::Failed,
             };
             (arrival.class, end, intended.elapsed().as_secs_f64() * 1000.0)
@@ -66,7 +66,7 @@
     for client in &all {
         let counts = client.counts();
         report.tries += counts.tries;
-        report.connected += counts.connects;
+        report.connected += counts.connection_attempts;
     }
     Ok(report)
 }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
-use weldhub_client::{Client, Config, Kind, Request, RetrySafety, StopReason};
+use weldhub_client::{Client, Config, ErrorKind, Request, RetrySafety, StopReason};
 
 /// Ingresses of one fleet, each a process; told apart by their number.
 struct Fleet {
@@ -79,16 +79,20 @@
     }
 
     fn board(&self, timeout: u32) -> Request {
-        Request::get("/board-state/1").customer(7).plan("club").set(self.at.len(), 0).timeout_ms(timeout)
+        Request::get("/board-state/1")
+            .customer(7)
+            .plan("club")
+            .ingress_set(self.at.len(), 0)
+            .timeout_ms(timeout)
     }
 
     fn submit(&self, retry_safety: RetrySafety, timeout: u32) -> Request {
         let request = Request::post("/move-submit/1", "e2e4")
             .retry_safety(retry_safety)
-            .key("5c0f")
+            .idempotency_key("5c0f")
             .customer(7)
             .plan("club");
-        request.set(self.at.len(), 0).timeout_ms(timeout)
+        request.ingress_set(self.at.len(), 0).timeout_ms(timeout)
     }
 }
 
@@ -122,18 +126,21 @@
         let mut all = Vec::new();
         for _ in 0..200 {
             let (client, request) = (client.clone(), fleet.board(1400));
-            all.push(spawn_local(async move { client.ask(&request).await }));
+            all.push(spawn_local(async move { client.send(&request).await }));
         }
         let mut refused = 0;
         for asked in all {
             match asked.await.unwrap() {
                 Ok(_) => {}
-                Err(e) if matches!(e.kind, Kind::Refused(_)) => {
+                Err(e) if matches!(e.kind, ErrorKind::Rejected(_)) => {
                     refused += 1;
                     assert!(!e.may_have_run);
                 }
                 Err(e) => {
-                    assert!(matches!(e.kind, Kind::Unreachable | Kind::TimedOut | Kind::Failed(_)), "{e}")
+                    assert!(
+                        matches!(e.kind, ErrorKind::Unreachable | ErrorKind::TimedOut | ErrorKind::Failed(_)),
+                        "{e}"
+                    )
                 }
             }
         }
@@ -151,24 +158,27 @@
         let mut fleet = Fleet::start("restart", 3, &[server.at], 1e6).await;
         let client = fleet.client();
         for _ in 0..10 {
-            assert!(client.ask(&fleet.board(1400)).await.is_ok());
+            assert!(client.send(&fleet.board(1400)).await.is_ok());
         }
         (0..3).for_each(|i| fleet.kill(i));
-        let e = client.ask(&fleet.submit(RetrySafety::Unsafe, 700)).await.unwrap_err();
-        assert!(!e.may_have_run && matches!(e.kind, Kind::Unreachable | Kind::Broken), "nothing left: {e}");
+        let e = client.send(&fleet.submit(RetrySafety::Unsafe, 700)).await.unwrap_err();
+        assert!(
+            !e.may_have_run && matches!(e.kind, ErrorKind::Unreachable | ErrorKind::ConnectionLost),
+            "nothing left: {e}"
+        );
         // While nobody is there, what is asked ends in time, and connects are paced.
-        let before = client.counts().connects;
+        let before = client.counts().connection_attempts;
         for _ in 0..20 {
-            assert!(client.ask(&fleet.board(60)).await.is_err());
+            assert!(client.send(&fleet.board(60)).await.is_err());
         }
-        let connects = client.counts().connects - before;
+        let connects = client.counts().connection_attempts - before;
         assert!(connects < 40, "{connects}");
         for i in 0..3 {
             fleet.run(i).await;
         }
-        while client.ask(&fleet.board(1400)).await.is_err() {}
+        while client.send(&fleet.board(1400)).await.is_err() {}
         for _ in 0..10 {
-            assert!(client.ask(&fleet.board(1400)).await.is_ok());
+            assert!(client.send(&fleet.board(1400)).await.is_ok());
         }
     });
 }
@@ -186,7 +196,7 @@
             let mut fleet = Fleet::start("half", 2, &[server.at], 1e6).await;
             let client = fleet.client();
             let request = fleet.submit(retry_safety, 2900);
-            let asked = spawn_local(async move { client.ask(&request).await });
+            let asked = spawn_local(async move { client.send(&request).await });
             until(|| server.count() == 1).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
             server.behave(Serve::Bytes(whole.clone()));
@@ -199,7 +209,8 @@
                 Err(e) => assert!(
                     !served
                         && e.may_have_run
-                        && (e.stop_reason, e.kind.clone()) == (StopReason::UnsafeToRetry, Kind::Broken),
+                        && (e.stop_reason, e.kind.clone())
+                            == (StopReason::UnsafeToRetry, ErrorKind::ConnectionLost),
                     "{e}"
                 ),
             }
@@ -217,7 +228,7 @@
         let mut told = fleet.submit(RetrySafety::Keyed { window: 100.0 }, 2900);
         let client = fleet.client();
         told = told.timeout_ms(700);
-        let e = client.ask(&told).await.unwrap_err();
+        let e = client.send(&told).await.unwrap_err();
         assert!(e.may_have_run && e.tries == 1, "{e}");
         assert!(matches!(e.stop_reason, StopReason::DedupWindow | StopReason::Deadline), "{e}");
         assert_eq!(server.count(), 1);
@@ -230,12 +241,12 @@
         let server = RealServer::start(ok("x")).await;
         let fleet = Fleet::start("deadline", 1, &[server.at], 1.0).await;
         let client = fleet.client();
-        assert!(client.ask(&fleet.board(900)).await.is_ok());
+        assert!(client.send(&fleet.board(900)).await.is_ok());
         // Beyond a quota that does not fill: come again in a second, which is too late.
-        let e = client.ask(&fleet.board(400)).await.unwrap_err();
+        let e = client.send(&fleet.board(400)).await.unwrap_err();
         assert_eq!(
             (e.kind, e.stop_reason, e.tries, e.may_have_run),
-            (Kind::Refused(429), StopReason::Deadline, 1, false)
+            (ErrorKind::Rejected(429), StopReason::Deadline, 1, false)
         );
     });
 }
