--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -168,7 +168,8 @@
         let separator = if self.path.contains('?') { '&' } else { '?' };
         let mut head = format!(
             "{method} {}{separator}client={:016x} HTTP/1.1\r\nHost: weldhub\r\n\
-             Request-Id: {request_id:016x}\r\nX-Tier: {}\r\nRequest-Timeout-Ms: {}\r\nX-Call-Terms: units={},spread={},first={}\r\n",
+             Request-Id: {request_id:016x}\r\nX-Tier: {}\r\n\
+             Request-Timeout-Ms: {}\r\nX-Call-Terms: units={},spread={},first={}\r\n",
             self.path,
             self.customer,
             self.plan,
