--- a/examples/stand_in_consul.rs
+++ b/examples/stand_in_consul.rs
@@ -1,4 +1,5 @@
-//! Plays a script as a Consul agent on loopback, for demonstrations: `cargo run --example stand_in_consul -- SCRIPT`.
+//! Runs the stand-in for a Consul agent on loopback with a script, for demonstrations:
+//! `cargo run --example stand_in_consul -- SCRIPT`.
 
 #[path = "../tests/stand_ins/consul.rs"]
 #[allow(dead_code)]
@@ -12,13 +13,13 @@
     let path = std::env::args().nth(1).ok_or("usage: stand_in_consul SCRIPT")?;
     let script = Script::read(&std::fs::read_to_string(path)?)?;
     if !script.listen.ip().is_loopback() {
-        return Err("listen must be an address of loopback".into());
+        return Err("listen must be a loopback address".into());
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind(script.listen).await?;
         let agent = Consul::new(listener.local_addr()?, Vec::new());
-        println!("an agent at {}, for {} ms", agent.at, script.end_ms);
+        println!("Consul agent at {}, for {} ms", agent.at, script.end_ms);
         let serving = agent.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
