--- a/emulator/tests/sockets.rs
+++ b/emulator/tests/sockets.rs
@@ -17,7 +17,7 @@
 use weldhub_emulator::script::Script;
 use weldhub_emulator::world::play;
 use weldhub_load::run::run;
-use weldhub_load::work::Work;
+use weldhub_load::work::Workload;
 
 const CORES: usize = 4;
 const WORK: f64 = 40.0;
@@ -153,7 +153,7 @@
             };
             let mut running: Vec<_> = (0..3).map(|me| start(me, 1)).collect();
             sleep(Duration::from_millis(1300)).await;
-            let work = Work {
+            let work = Workload {
                 seed: 7,
                 steps: vec![format!("12x{rate}").parse().unwrap()],
                 classes: vec!["board-state:1:safe:1500".parse().unwrap()],
@@ -161,7 +161,7 @@
                 customers: (rate / 16.0) as u64,
                 plan: "club".into(),
                 spread: 3,
-                units: 1,
+                max_units: 1,
             };
             let all = listens.clone();
             let load = spawn_local(async move { run(&work, &all, 200).await.unwrap() });
@@ -184,16 +184,16 @@
             }
             let sockets = load.await.unwrap();
             let modelled = play(&script(rate, 12.0, troubles), 7).unwrap();
-            let (one, two) = (sockets.latency(0.99), modelled.classes[0].p99_ms);
-            assert!((sockets.served() - modelled.served()).abs() < 0.03, "{what}");
+            let (one, two) = (sockets.latency_ms(0.99), modelled.classes[0].p99_ms);
+            assert!((sockets.served_fraction() - modelled.served()).abs() < 0.03, "{what}");
             assert!((one / two - 1.0).abs() < 0.25, "{what}: {one} and {two} ms");
             println!(
                 "{what}: served {:.3} on sockets, {:.3} in the emulator; p50 {:.0} and {:.0} ms, p99 {:.0} and {:.0} ms",
-                sockets.served(),
+                sockets.served_fraction(),
                 modelled.served(),
-                sockets.latency(0.5),
+                sockets.latency_ms(0.5),
                 modelled.classes[0].p50_ms,
-                sockets.latency(0.99),
+                sockets.latency_ms(0.99),
                 modelled.classes[0].p99_ms
             );
         }
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -1,5 +1,5 @@
-//! Loads a fleet of ingresses on loopback through `weldhub-client`, open loop, and models the same in simulated time
-//! over the same decisions of client and module, at sizes that sockets don't reach.
+//! Generates open-loop load for a fleet of ingresses on loopback through `weldhub-client`, and simulates the
+//! same load with the same client policies and limiters, at sizes that sockets cannot reach.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -1,14 +1,15 @@
-//! The command line: `weldhub-load run` on sockets, `weldhub-load model` in simulated time.
+//! The command line: `weldhub-load run` loads ingresses on loopback, `weldhub-load model` simulates the same
+//! load.
 
 use clap::{Args, Parser, Subcommand};
 use std::process::ExitCode;
 use weldhub_client::{IngressPolicy, RetryPolicy};
-use weldhub_load::model::{Fleet, Outage, play, settings};
+use weldhub_load::model::{Fleet, Outage, settings, simulate};
 use weldhub_load::report::Report;
 use weldhub_load::run::run;
-use weldhub_load::work::{Class, Step, Work};
+use weldhub_load::work::{Class, Step, Workload};
 
-/// Loads ingresses of a weldhub fleet on loopback, open loop, or models the same.
+/// Generates open-loop load for the ingresses of a weldhub fleet on loopback, or simulates it.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -18,151 +19,166 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Ask ingresses on loopback addresses.
+    /// Load ingresses on loopback addresses.
     Run {
-        /// The ingresses by their numbers, as ADDRESS:PORT.
+        /// The addresses of the ingresses, as IP:PORT, in the order of their numbers.
         #[arg(long, value_delimiter = ',', required = true)]
         ingresses: Vec<String>,
-        /// Clients with connections of their own.
+        /// The number of clients, each with its own connections.
         #[arg(long, default_value_t = 8)]
         clients: usize,
         #[command(flatten)]
-        work: Asked,
+        workload: WorkloadArgs,
     },
-    /// Play the same in simulated time.
+    /// Simulate the load.
     Model {
-        /// How many ingresses there are.
+        /// The number of ingresses.
         #[arg(long, default_value_t = 3)]
         ingresses: u16,
-        /// How many real servers.
-        #[arg(long, default_value_t = 10)]
-        servers: u64,
-        /// Requests that one works on at once.
+        /// The number of backends.
+        #[arg(long = "servers", value_name = "SERVERS", default_value_t = 10)]
+        backends: u64,
+        /// The number of requests that a backend works on at once.
         #[arg(long, default_value_t = 4)]
         cores: usize,
-        /// The mean time that it needs for a unit, in milliseconds.
-        #[arg(long, default_value_t = 80.0)]
-        service: f64,
-        /// Units a second that each customer may use, and at once.
+        /// The mean time that a backend needs for one unit, in milliseconds.
+        #[arg(long = "service", value_name = "SERVICE", default_value_t = 80.0)]
+        service_time: f64,
+        /// Each customer's quota: the rate in units per second, and the burst in units.
         #[arg(long, value_delimiter = ',', default_values_t = [1e6, 1e6], num_args = 2)]
         quota: Vec<f64>,
-        /// Clients with connections of their own.
+        /// The number of clients, each with its own connections.
         #[arg(long, default_value_t = 100)]
         clients: usize,
-        /// An outage of an ingress, as NUMBER:FROM:UNTIL in seconds.
-        #[arg(long, value_parser = outage)]
-        down: Vec<Outage>,
-        /// Clients that know no chance and retry as they like.
+        /// An outage of an ingress, as NUMBER:FROM:UNTIL with times in seconds.
+        #[arg(long = "down", value_name = "DOWN", value_parser = parse_outage)]
+        outages: Vec<Outage>,
+        /// Clients without jitter and practically without limits on retries and connections.
         #[arg(long)]
         naive: bool,
         #[command(flatten)]
-        work: Asked,
+        workload: WorkloadArgs,
     },
 }
 
 #[derive(Args)]
-struct Asked {
-    /// The schedule, as SECONDSxRATE: at most an hour and two million arrivals.
+struct WorkloadArgs {
+    /// The schedule, as SECONDSxRATE steps: at most one hour and two million arrivals.
     #[arg(long, value_delimiter = ',', default_value = "10x100")]
     schedule: Vec<Step>,
-    /// A class, as NAME:SHARE:safe|unsafe|keyed=WINDOW:TIMEOUT, times in milliseconds.
+    /// A class, as NAME:SHARE:safe|unsafe|keyed=WINDOW:TIMEOUT with times in milliseconds.
     #[arg(long = "class", default_values = ["board-state:0.9:safe:1500", "move-submit:0.1:keyed=6000:3000"])]
     classes: Vec<Class>,
-    /// How many customers ask.
+    /// The number of customers.
     #[arg(long, default_value_t = 100)]
     customers: u64,
-    /// Their plan.
+    /// The plan of all customers.
     #[arg(long, default_value = "club")]
     plan: String,
-    /// Over how many ingresses each is spread.
+    /// The number of ingresses that serve each customer.
     #[arg(long, default_value_t = 2)]
     spread: usize,
-    /// Units of a request: one to so many.
-    #[arg(long, default_value_t = 1)]
-    units: u32,
-    /// For chance.
+    /// The maximum units of a request; they are uniformly distributed from 1.
+    #[arg(long = "units", value_name = "UNITS", default_value_t = 1)]
+    max_units: u32,
+    /// The seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// JSON in place of a table.
+    /// Print JSON instead of a table.
     #[arg(long)]
     json: bool,
 }
 
-fn outage(text: &str) -> Result<Outage, String> {
-    let parts: Vec<f64> =
-        text.split(':').map(str::parse).collect::<Result<_, _>>().map_err(|_| "not NUMBER:FROM:UNTIL")?;
+fn parse_outage(text: &str) -> Result<Outage, String> {
+    let parts: Vec<f64> = text
+        .split(':')
+        .map(str::parse)
+        .collect::<Result<_, _>>()
+        .map_err(|_| "an outage must have the form NUMBER:FROM:UNTIL")?;
     match parts[..] {
         [ingress, from, until] if ingress >= 0.0 && from < until => {
             Ok(Outage { ingress: ingress as usize, from: from * 1000.0, until: until * 1000.0 })
         }
-        _ => Err("not NUMBER:FROM:UNTIL".into()),
+        _ => Err("an outage must have the form NUMBER:FROM:UNTIL, with FROM before UNTIL".into()),
     }
 }
 
-impl Asked {
-    fn work(&self) -> Work {
-        Work {
+impl WorkloadArgs {
+    fn workload(&self) -> Workload {
+        Workload {
             seed: self.seed,
             steps: self.schedule.clone(),
             classes: self.classes.clone(),
             customers: self.customers,
             plan: self.plan.clone(),
             spread: self.spread,
-            units: self.units,
+            max_units: self.max_units,
         }
     }
 }
 
-fn carried_out(command: Command) -> Result<(Report, bool), String> {
+/// Carries out a command. Returns its report and whether to print it as JSON.
+fn execute(command: Command) -> Result<(Report, bool), String> {
     match command {
-        Command::Run { ingresses, clients, work } => {
+        Command::Run { ingresses, clients, workload: args } => {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let asked = work.work();
-            let running = run(&asked, &ingresses, clients);
-            Ok((runtime.map_err(|e| e.to_string())?.block_on(running)?, work.json))
+            let workload = args.workload();
+            let running = run(&workload, &ingresses, clients);
+            Ok((runtime.map_err(|e| e.to_string())?.block_on(running)?, args.json))
         }
-        Command::Model { ingresses, servers, cores, service, quota, clients, down, naive, work } => {
-            if let Some(odd) = down.iter().find(|outage| outage.ingress >= usize::from(ingresses)) {
-                return Err(format!("there is no ingress {}", odd.ingress));
+        Command::Model {
+            ingresses,
+            backends,
+            cores,
+            service_time,
+            quota,
+            clients,
+            outages,
+            naive,
+            workload: args,
+        } => {
+            if let Some(invalid) = outages.iter().find(|outage| outage.ingress >= usize::from(ingresses)) {
+                return Err(format!(
+                    "ingress {} of an outage does not exist: there are {ingresses} ingresses",
+                    invalid.ingress
+                ));
             }
-            let asked = work.work();
-            let hasty = RetryPolicy {
+            let workload = args.workload();
+            let unlimited_retries = RetryPolicy {
                 max_tries: 100,
                 budget_ratio: 1e6,
                 budget_capacity: 1e6,
                 ..RetryPolicy::default()
             };
+            let unlimited_connects = IngressPolicy {
+                reconnect_spread: 1000.0,
+                connect_rate: 1e6,
+                connect_burst: 1e6,
+                ..IngressPolicy::default()
+            };
             let (retry_policy, ingress_policy) = match naive {
-                true => (
-                    hasty,
-                    IngressPolicy {
-                        reconnect_spread: 1000.0,
-                        connect_rate: 1e6,
-                        connect_burst: 1e6,
-                        ..IngressPolicy::default()
-                    },
-                ),
+                true => (unlimited_retries, unlimited_connects),
                 false => (RetryPolicy::default(), IngressPolicy::default()),
             };
             let fleet = Fleet {
-                settings: settings(ingresses, &quota, &asked),
-                servers,
+                settings: settings(ingresses, &quota, &workload),
+                backends,
                 cores,
-                service,
-                hop: 0.3,
-                outages: down,
+                service_time,
+                network_delay: 0.3,
+                outages,
                 clients,
                 retry_policy,
                 ingress_policy,
                 naive,
             };
-            Ok((play(&asked, &fleet)?, work.json))
+            Ok((simulate(&workload, &fleet)?, args.json))
         }
     }
 }
 
 fn main() -> ExitCode {
-    match carried_out(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         Ok((report, true)) => println!("{}", report.json()),
         Ok((report, false)) => print!("{report}"),
         Err(e) => {
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -1,133 +1,192 @@
-//! The same work in simulated time: clients decide by `weldhub_client`'s policy, ingresses by weldhub's own limiter;
-//! sockets, servers and the network are a few lines each. A run is the same again from the same seed.
+//! Simulates a workload on its own clock. Clients decide with the policies of `weldhub_client`, ingresses
+//! with weldhub's own limiter; network and backends are simple models. Without outages, the same seed gives
+//! the same report.
 
-use crate::report::{End, Report};
-use crate::work::{Arrival, Class, Work};
+use crate::report::{Report, RequestOutcome};
+use crate::work::{Arrival, Class, Workload};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use weldhub::interface::{
-    AttemptEnd, AttemptNo, CellId, Class as Kind, ClassId, ColdStart, CustomerId, Effect as Repeat,
-    GatewayId, Group, KindId, ListKind, Load, Outcome, Plan, PlanId, RequestId, ServerEntry, ServerId,
-    ServerState, TimerKey, ZoneId,
+    AttemptEnd, AttemptNo, CellId, Class as LimiterClass, ClassId, ColdStart, CustomerId,
+    Effect as LimiterRetrySafety, GatewayId, Group, KindId, ListKind, Load, Outcome, Plan, PlanId, RequestId,
+    ServerEntry, ServerId, ServerState, TimerKey, ZoneId,
 };
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_client::ingresses::{HealthSignal, Ingresses};
 use weldhub_client::policy::{RetryBudget, RetryDecision, RetryState, TryOutcome};
 use weldhub_client::{IngressPolicy, RetryPolicy, RetrySafety};
 
-/// A time during which an ingress is down.
+/// A time during which an ingress is down, in milliseconds from the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outage {
-    /// Which ingress.
+    /// The number of the ingress.
     pub ingress: usize,
-    /// From when, in milliseconds.
+    /// When it goes down.
     pub from: f64,
-    /// Until when.
+    /// When it is up again.
     pub until: f64,
 }
 
-/// What is modelled.
+/// The fleet to simulate, with its clients, network and backends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fleet {
-    /// The settings of the ingresses, which tell how many there are.
+    /// The settings of the ingresses, their number included.
     pub settings: Settings,
-    /// How many real servers there are.
-    pub servers: u64,
-    /// Requests that one works on at once.
+    /// The number of backends.
+    pub backends: u64,
+    /// The number of requests that a backend works on at once. It queues the others.
     pub cores: usize,
-    /// The mean time that it needs for a unit, in milliseconds.
-    pub service: f64,
-    /// The time of a way over the network.
-    pub hop: f64,
+    /// The mean time that a backend needs for one unit, in milliseconds. Times are uniformly distributed
+    /// between 0.5 and 1.5 times the mean.
+    pub service_time: f64,
+    /// The one-way delay of the network, in milliseconds.
+    pub network_delay: f64,
     /// When ingresses are down.
     pub outages: Vec<Outage>,
-    /// How many clients there are, with connections and a budget of their own each.
+    /// The number of clients. Each has its own connections and retry budget.
     pub clients: usize,
-    /// How their tries follow each other.
+    /// The limits and delays of the clients' retries.
     pub retry_policy: RetryPolicy,
-    /// How they handle connections.
+    /// The limits of the clients' connections and ejections.
     pub ingress_policy: IngressPolicy,
-    /// They know no chance: all wait for just as long. So do clients that were written in a hurry.
+    /// Whether the clients' delays have no jitter, as in naive implementations: every delay is its upper
+    /// bound.
     pub naive: bool,
 }
 
-enum What {
-    Arrives(usize),
-    Tries(usize),
-    Connected(usize, usize, u32),
-    Reaches(usize, usize, u32),
-    Ends(usize, u32, TryOutcome),
-    Deadline(usize),
-    Timer(usize, u32, TimerKey),
-    Done(usize, Job),
-    GivesUp(Id),
-    Down(usize),
-    Up(usize),
+/// An event of the simulation. Requests and ingresses are given by index.
+enum SimEvent {
+    /// A request arrives at its client.
+    Arrival { request: usize },
+    /// A client starts a try, or looks for a connection for it again.
+    StartTry { request: usize },
+    /// An attempt to connect for a request has succeeded or was refused.
+    ConnectDone { request: usize, ingress: usize, incarnation: u32 },
+    /// A try arrives at its ingress.
+    TryArrived { request: usize, ingress: usize, incarnation: u32 },
+    /// The end of a try becomes known to its client.
+    TryEnded { request: usize, try_number: u32, outcome: TryOutcome },
+    /// The deadline of a request.
+    Deadline { request: usize },
+    /// A timer of a limiter.
+    LimiterTimer { ingress: usize, incarnation: u32, key: TimerKey },
+    /// The answer to an attempt arrives at its ingress.
+    BackendDone { backend: usize, job: Job },
+    /// The timeout of an attempt.
+    AttemptTimeout(AttemptId),
+    /// An ingress goes down.
+    IngressDown { ingress: usize },
+    /// An ingress is up again, with a new limiter.
+    IngressUp { ingress: usize },
 }
 
-/// A scheduling: of which ingress in which of its lives, and which of it.
-type Id = (usize, u32, RequestId, AttemptNo);
+/// Identifies an attempt of an ingress at a backend.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    ingress: usize,
+    incarnation: u32,
+    request: RequestId,
+    attempt: AttemptNo,
+}
+
+/// An attempt in flight.
+struct InFlight {
+    backend: usize,
+    sent_at: f64,
+}
 
+/// An attempt as a backend sees it.
 #[derive(Clone, Copy)]
 struct Job {
-    id: Id,
+    id: AttemptId,
     units: f64,
 }
 
-struct Node {
+struct Backend {
+    /// The number of jobs in progress.
+    busy: usize,
+    queue: VecDeque<Job>,
+}
+
+struct Ingress {
     limiter: Limiter,
-    life: u32,
-    up: bool,
-    flows: HashMap<RequestId, (usize, u32, f64)>,
-    next: HashMap<RequestId, u16>,
+    /// The number of outages so far: events for an earlier incarnation are ignored.
+    incarnation: u32,
+    is_up: bool,
+    /// Requests not yet answered.
+    requests: HashMap<RequestId, IngressRequest>,
+    /// The number of the next attempt of each request.
+    next_attempt: HashMap<RequestId, u16>,
+}
+
+/// A try as its ingress sees it.
+struct IngressRequest {
+    /// The index of the client's request.
+    request: usize,
+    try_number: u32,
+    units: f64,
 }
 
-struct Asker {
+struct SimClient {
     ingresses: Ingresses,
     budget: RetryBudget,
+    /// The number of idle connections by ingress.
     idle: Vec<usize>,
 }
 
-struct Asked {
+/// A request as its client sees it.
+struct ClientRequest {
     arrival: Arrival,
-    call: RetryState,
+    retry_state: RetryState,
     tried: Vec<usize>,
-    /// The try that is on its way: its number, and where.
-    no: u32,
-    at: Option<usize>,
-    done: bool,
+    /// The number of the latest try, from 1.
+    try_number: u32,
+    /// The ingress of the try in flight, or of the connection being opened for it. `None` between tries.
+    ingress: Option<usize>,
+    is_done: bool,
 }
 
-struct Sim<'a> {
-    work: &'a Work,
+struct Simulation<'a> {
+    workload: &'a Workload,
     fleet: &'a Fleet,
+    /// Milliseconds from the start of the run.
     now: f64,
     rng: fastrand::Rng,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    whats: HashMap<u64, What>,
-    seq: u64,
-    nodes: Vec<Node>,
-    askers: Vec<Asker>,
-    asked: Vec<Asked>,
-    servers: Vec<(usize, VecDeque<Job>)>,
-    out: BTreeMap<Id, (usize, f64)>,
+    /// The times of pending events in microseconds, and their sequence numbers, which order events of the
+    /// same time.
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The pending events by sequence number.
+    events: HashMap<u64, SimEvent>,
+    /// The last sequence number used. Request ids come from the same sequence.
+    sequence: u64,
+    ingresses: Vec<Ingress>,
+    clients: Vec<SimClient>,
+    requests: Vec<ClientRequest>,
+    backends: Vec<Backend>,
+    in_flight: BTreeMap<AttemptId, InFlight>,
     report: Report,
-    /// Requests that have not ended.
-    open: usize,
+    /// The number of requests that have not ended.
+    open_requests: usize,
 }
 
-/// The limiter's clock begins here: it is that of the day.
+/// The limiters' time at the start of a run, in milliseconds since the Unix epoch, because limiters expect
+/// the time of day.
 const EPOCH: f64 = 1.7e12;
 
-/// The settings of so many ingresses for some work, each customer with so many units a second and at once.
-pub fn settings(gateways: u16, quota: &[f64], work: &Work) -> Settings {
-    let kind = |class: &Class| Kind {
-        aim: f64::from(class.timeout) / 2.0,
+/// The time after the last step of the schedule at which a run ends even if requests are still open, in
+/// milliseconds.
+const MAX_OVERTIME: f64 = 60_000.0;
+
+/// Returns the settings of `gateways` ingresses for a workload. `quota` holds each customer's rate in units
+/// per second and its burst in units; a missing one is one million.
+pub fn settings(gateways: u16, quota: &[f64], workload: &Workload) -> Settings {
+    let class = |class: &Class| LimiterClass {
+        aim: f64::from(class.timeout_ms) / 2.0,
         worth: 1.0,
         effect: match class.retry_safety {
-            RetrySafety::Safe => Repeat::Safe,
-            RetrySafety::Keyed { window } => Repeat::Keyed { group: Group::All, window },
-            RetrySafety::Unsafe => Repeat::Unsafe,
+            RetrySafety::Safe => LimiterRetrySafety::Safe,
+            RetrySafety::Keyed { window } => LimiterRetrySafety::Keyed { group: Group::All, window },
+            RetrySafety::Unsafe => LimiterRetrySafety::Unsafe,
         },
     };
     let quota = |i: usize| quota.get(i).copied().unwrap_or(1e6);
@@ -135,9 +194,9 @@
         me: GatewayId(0),
         gateways,
         zone: ZoneId(0),
-        classes: work.classes.iter().map(kind).collect(),
+        classes: workload.classes.iter().map(class).collect(),
         plans: vec![Plan { rate: quota(0), burst: quota(1), ..Plan::default() }],
-        largest: f64::from(work.units),
+        largest: f64::from(workload.max_units),
         settles: false,
         meter_period: 0.0,
         counter: false,
@@ -154,81 +213,99 @@
     }
 }
 
-/// Plays the work.
-pub fn play(work: &Work, fleet: &Fleet) -> Result<Report, String> {
-    work.check()?;
-    let many = usize::from(fleet.settings.gateways);
-    let report = Report::new(work.classes.iter().map(|class| class.name.as_str()))?;
-    if fleet.settings.classes.len() < work.classes.len() || fleet.clients == 0 || fleet.cores == 0 {
-        return Err("the fleet has too few classes, clients or cores".into());
+/// Simulates a workload on a fleet.
+pub fn simulate(workload: &Workload, fleet: &Fleet) -> Result<Report, String> {
+    workload.validate()?;
+    let ingress_count = usize::from(fleet.settings.gateways);
+    let report = Report::new(workload.classes.iter().map(|class| class.name.as_str()))?;
+    if fleet.settings.classes.len() < workload.classes.len() || fleet.clients == 0 || fleet.cores == 0 {
+        return Err(
+            "the settings need the classes of the workload, and clients and cores must be at least 1".into(),
+        );
     }
-    let mut rng = fastrand::Rng::with_seed(work.seed);
-    let node = |i: usize, seed: u64| -> Result<Node, String> {
+    let mut rng = fastrand::Rng::with_seed(workload.seed);
+    let ingress = |i: usize, seed: u64| -> Result<Ingress, String> {
         let settings = Settings { me: GatewayId(i as u16), ..fleet.settings.clone() };
         let limiter = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
-        Ok(Node { limiter, life: 0, up: true, flows: HashMap::new(), next: HashMap::new() })
+        Ok(Ingress {
+            limiter,
+            incarnation: 0,
+            is_up: true,
+            requests: HashMap::new(),
+            next_attempt: HashMap::new(),
+        })
     };
-    let nodes = (0..many).map(|i| node(i, rng.u64(..))).collect::<Result<Vec<_>, _>>()?;
-    let asker = |_| Asker {
-        ingresses: Ingresses::new(many, fleet.ingress_policy, 0.0),
+    let ingresses = (0..ingress_count).map(|i| ingress(i, rng.u64(..))).collect::<Result<Vec<_>, _>>()?;
+    let client = |_| SimClient {
+        ingresses: Ingresses::new(ingress_count, fleet.ingress_policy, 0.0),
         budget: RetryBudget::new(&fleet.retry_policy),
-        idle: vec![0; many],
+        idle: vec![0; ingress_count],
     };
-    let mut sim = Sim {
-        work,
+    let mut simulation = Simulation {
+        workload,
         fleet,
         now: 0.0,
         rng,
-        events: BinaryHeap::new(),
-        whats: HashMap::new(),
-        seq: 0,
-        nodes,
-        askers: (0..fleet.clients).map(asker).collect(),
-        asked: Vec::new(),
-        servers: (0..fleet.servers).map(|_| (0, VecDeque::new())).collect(),
-        out: BTreeMap::new(),
+        queue: BinaryHeap::new(),
+        events: HashMap::new(),
+        sequence: 0,
+        ingresses,
+        clients: (0..fleet.clients).map(client).collect(),
+        requests: Vec::new(),
+        backends: (0..fleet.backends).map(|_| Backend { busy: 0, queue: VecDeque::new() }).collect(),
+        in_flight: BTreeMap::new(),
         report,
-        open: 0,
+        open_requests: 0,
     };
-    for arrival in work.arrivals() {
-        let n = sim.asked.len();
-        let class = &work.classes[arrival.class];
-        let call = RetryState::new(class.retry_safety, arrival.at + f64::from(class.timeout));
-        sim.asked.push(Asked { arrival, call, tried: Vec::new(), no: 0, at: None, done: false });
-        sim.open += 1;
-        sim.at(arrival.at, What::Arrives(n));
+    for arrival in workload.arrivals() {
+        let n = simulation.requests.len();
+        let class = &workload.classes[arrival.class];
+        let retry_state = RetryState::new(class.retry_safety, arrival.at + f64::from(class.timeout_ms));
+        simulation.requests.push(ClientRequest {
+            arrival,
+            retry_state,
+            tried: Vec::new(),
+            try_number: 0,
+            ingress: None,
+            is_done: false,
+        });
+        simulation.open_requests += 1;
+        simulation.schedule_at(arrival.at, SimEvent::Arrival { request: n });
     }
     for outage in &fleet.outages {
-        sim.at(outage.from, What::Down(outage.ingress));
-        sim.at(outage.until, What::Up(outage.ingress));
+        simulation.schedule_at(outage.from, SimEvent::IngressDown { ingress: outage.ingress });
+        simulation.schedule_at(outage.until, SimEvent::IngressUp { ingress: outage.ingress });
     }
-    (0..many).for_each(|i| sim.start(i));
-    let end = work.steps.iter().map(|s| s.seconds * 1000.0).sum::<f64>() + 60_000.0;
-    while let Some(Reverse((at, seq))) = sim.events.pop() {
-        sim.now = at as f64 / 1000.0;
-        // The limiters' timers go on for ever.
-        if sim.now > end || sim.open == 0 {
+    (0..ingress_count).for_each(|i| simulation.start_ingress(i));
+    let end = workload.steps.iter().map(|s| s.seconds * 1000.0).sum::<f64>() + MAX_OVERTIME;
+    while let Some(Reverse((at, sequence))) = simulation.queue.pop() {
+        simulation.now = at as f64 / 1000.0;
+        // The queue never becomes empty, because the limiters set their timers again and again.
+        if simulation.now > end || simulation.open_requests == 0 {
             break;
         }
-        if let Some(what) = sim.whats.remove(&seq) {
-            sim.happens(what);
+        if let Some(event) = simulation.events.remove(&sequence) {
+            simulation.handle(event);
         }
     }
-    Ok(sim.report)
+    Ok(simulation.report)
 }
 
-impl Sim<'_> {
-    fn at(&mut self, at: f64, what: What) {
-        self.seq += 1;
-        self.events.push(Reverse(((at.max(self.now) * 1000.0) as u64, self.seq)));
-        self.whats.insert(self.seq, what);
+impl Simulation<'_> {
+    /// Schedules an event at a time in milliseconds, or now if that has passed.
+    fn schedule_at(&mut self, at: f64, event: SimEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse(((at.max(self.now) * 1000.0) as u64, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 
-    fn after(&mut self, span: f64, what: What) {
-        self.at(self.now + span, what);
+    /// Schedules an event after a delay in milliseconds.
+    fn schedule_after(&mut self, delay: f64, event: SimEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn start(&mut self, i: usize) {
+    /// Starts the limiter of an ingress and gives it the list of backends.
+    fn start_ingress(&mut self, i: usize) {
         let entry = |server| ServerEntry {
             server: ServerId(server),
             state: ServerState::Ready,
@@ -238,28 +315,34 @@
             kind: KindId(0),
             last_start: None,
         };
-        let list = (0..self.fleet.servers).map(entry).collect();
+        let list = (0..self.fleet.backends).map(entry).collect();
         self.feed(i, Event::Start);
         self.feed(i, Event::Servers(ListKind::Cached, list));
     }
 
-    /// Gives a limiter an event, and carries out what it wants.
+    /// Passes an event to the limiter of an ingress and carries out its actions.
     fn feed(&mut self, i: usize, event: Event) {
-        let mut acts = Vec::new();
-        self.nodes[i].limiter.handle(EPOCH + self.now, event, &mut acts);
-        let life = self.nodes[i].life;
-        for act in acts {
-            match act {
+        let mut actions = Vec::new();
+        self.ingresses[i].limiter.handle(EPOCH + self.now, event, &mut actions);
+        let incarnation = self.ingresses[i].incarnation;
+        for action in actions {
+            match action {
                 Action::Send { request, server, wait, .. } => self.send(i, request, server, wait),
                 Action::Refuse(id, after) => self.answer(i, id, TryOutcome::Rejected { retry_after: after }),
                 Action::Fail(id) => self.answer(i, id, TryOutcome::Failed),
-                Action::Cancel(id, no) => self.ended((i, life, id, no), Outcome::Cancelled),
-                Action::SetTimer(after, key) => self.after(after.max(0.0), What::Timer(i, life, key)),
+                Action::Cancel(request, attempt) => {
+                    let id = AttemptId { ingress: i, incarnation, request, attempt };
+                    self.attempt_ended(id, Outcome::Cancelled);
+                }
+                Action::SetTimer(after, key) => {
+                    let timer = SimEvent::LimiterTimer { ingress: i, incarnation, key };
+                    self.schedule_after(after.max(0.0), timer);
+                }
                 Action::Tell(to, bytes) => {
                     let from = GatewayId(i as u16);
                     let to = usize::from(to.0);
-                    // Messages take no time here; a fleet whose limiters talk wants a delay of its own.
-                    if to != i && self.nodes.get(to).is_some_and(|node| node.up) {
+                    // Peer messages are delivered without delay.
+                    if to != i && self.ingresses.get(to).is_some_and(|ingress| ingress.is_up) {
                         self.feed(to, Event::PeerMessage(from, bytes));
                     }
                 }
@@ -268,48 +351,51 @@
         }
     }
 
+    /// Sends an attempt to a backend, with the timeout that the limiter has set, if any.
     fn send(&mut self, i: usize, request: RequestId, server: ServerId, wait: Option<f64>) {
-        let node = &mut self.nodes[i];
-        let no = node.next.entry(request).or_default();
-        let id = (i, node.life, request, AttemptNo(*no));
-        *no += 1;
-        let units = node.flows.get(&request).map_or(1.0, |(.., units)| *units);
-        self.out.insert(id, (server.0 as usize, self.now));
+        let ingress = &mut self.ingresses[i];
+        let next = ingress.next_attempt.entry(request).or_default();
+        let attempt = AttemptNo(*next);
+        let id = AttemptId { ingress: i, incarnation: ingress.incarnation, request, attempt };
+        *next += 1;
+        let units = ingress.requests.get(&request).map_or(1.0, |request| request.units);
+        self.in_flight.insert(id, InFlight { backend: server.0 as usize, sent_at: self.now });
         if let Some(wait) = wait {
-            self.after(wait, What::GivesUp(id));
+            self.schedule_after(wait, SimEvent::AttemptTimeout(id));
         }
         let job = Job { id, units };
-        let (busy, queue) = &mut self.servers[server.0 as usize];
-        if *busy < self.fleet.cores {
-            *busy += 1;
-            self.works(server.0 as usize, job);
+        let backend = &mut self.backends[server.0 as usize];
+        if backend.busy < self.fleet.cores {
+            backend.busy += 1;
+            self.start_job(server.0 as usize, job);
         } else {
-            queue.push_back(job);
+            backend.queue.push_back(job);
         }
     }
 
-    fn works(&mut self, server: usize, job: Job) {
-        let time = self.fleet.service * job.units * (0.5 + self.rng.f64());
-        self.after(2.0 * self.fleet.hop + time, What::Done(server, job));
+    /// A backend starts to work on a job. The time until its end includes the network in both directions.
+    fn start_job(&mut self, backend: usize, job: Job) {
+        let time = self.fleet.service_time * job.units * (0.5 + self.rng.f64());
+        self.schedule_after(2.0 * self.fleet.network_delay + time, SimEvent::BackendDone { backend, job });
     }
 
-    /// A scheduling has ended, whoever ended it; told once.
-    fn ended(&mut self, id: Id, outcome: Outcome) {
-        let Some((server, sent)) = self.out.remove(&id) else { return };
-        let (i, life, request, attempt) = id;
-        if self.nodes[i].life != life {
+    /// Reports the end of an attempt to its limiter. Does nothing if the attempt has ended before.
+    fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome) {
+        let Some(InFlight { backend, sent_at }) = self.in_flight.remove(&id) else { return };
+        let AttemptId { ingress: i, incarnation, request, attempt } = id;
+        if self.ingresses[i].incarnation != incarnation {
             return;
         }
-        let closed = outcome == Outcome::Served || !self.nodes[i].flows.contains_key(&request);
+        let closed = outcome == Outcome::Served || !self.ingresses[i].requests.contains_key(&request);
         if outcome == Outcome::Served {
             self.answer(i, request, TryOutcome::Served);
         }
         let end = AttemptEnd {
             request,
             attempt,
-            server: ServerId(server as u64),
+            server: ServerId(backend as u64),
             outcome,
-            spent: self.now - sent,
+            spent: self.now - sent_at,
             closed,
             metered_use: None,
             settled_units: None,
@@ -318,193 +404,219 @@
         self.feed(i, Event::AttemptEnded(end));
     }
 
-    fn answer(&mut self, i: usize, id: RequestId, how: TryOutcome) {
-        if let Some((n, no, _)) = self.nodes[i].flows.remove(&id) {
-            self.after(self.fleet.hop, What::Ends(n, no, how));
+    /// An ingress answers a try.
+    fn answer(&mut self, i: usize, id: RequestId, outcome: TryOutcome) {
+        if let Some(IngressRequest { request, try_number, .. }) = self.ingresses[i].requests.remove(&id) {
+            let ended = SimEvent::TryEnded { request, try_number, outcome };
+            self.schedule_after(self.fleet.network_delay, ended);
         }
-        self.nodes[i].next.remove(&id);
+        self.ingresses[i].next_attempt.remove(&id);
     }
 
-    fn client(&self, n: usize) -> usize {
-        self.asked[n].arrival.customer as usize % self.askers.len()
+    /// Returns the index of the client that sends request `n`.
+    fn client_of(&self, n: usize) -> usize {
+        self.requests[n].arrival.customer as usize % self.clients.len()
     }
 
-    fn happens(&mut self, what: What) {
-        match what {
-            What::Arrives(n) => {
-                self.at(self.asked[n].call.deadline(), What::Deadline(n));
-                self.tries(n);
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival { request: n } => {
+                let deadline = self.requests[n].retry_state.deadline();
+                self.schedule_at(deadline, SimEvent::Deadline { request: n });
+                self.start_try(n);
+            }
+            SimEvent::StartTry { request } => self.start_try(request),
+            SimEvent::ConnectDone { request, ingress, incarnation } => {
+                self.connect_done(request, ingress, incarnation)
             }
-            What::Tries(n) => self.tries(n),
-            What::Connected(n, i, life) => self.connected(n, i, life),
-            What::Reaches(n, i, life) => self.reaches(n, i, life),
-            What::Ends(n, no, how) => self.ends(n, no, how),
-            What::Deadline(n) => {
-                if !self.asked[n].done {
-                    let no = self.asked[n].no;
-                    let how =
-                        if self.asked[n].at.is_some() { TryOutcome::TimedOut } else { TryOutcome::NotSent };
-                    self.ends(n, no, how);
-                    self.done(n, End::Failed);
+            SimEvent::TryArrived { request, ingress, incarnation } => {
+                self.try_arrived(request, ingress, incarnation)
+            }
+            SimEvent::TryEnded { request, try_number, outcome } => {
+                self.try_ended(request, try_number, outcome)
+            }
+            SimEvent::Deadline { request: n } => {
+                if !self.requests[n].is_done {
+                    let try_number = self.requests[n].try_number;
+                    let outcome = if self.requests[n].ingress.is_some() {
+                        TryOutcome::TimedOut
+                    } else {
+                        TryOutcome::NotSent
+                    };
+                    self.try_ended(n, try_number, outcome);
+                    self.request_ended(n, RequestOutcome::Failed);
                 }
             }
-            What::Timer(i, life, key) => {
-                if self.nodes[i].up && self.nodes[i].life == life {
+            SimEvent::LimiterTimer { ingress: i, incarnation, key } => {
+                if self.ingresses[i].is_up && self.ingresses[i].incarnation == incarnation {
                     self.feed(i, Event::Timer(key));
                 }
             }
-            What::Done(server, job) => {
-                match self.servers[server].1.pop_front() {
-                    Some(next) => self.works(server, next),
-                    None => self.servers[server].0 -= 1,
+            SimEvent::BackendDone { backend, job } => {
+                match self.backends[backend].queue.pop_front() {
+                    Some(next) => self.start_job(backend, next),
+                    None => self.backends[backend].busy -= 1,
                 }
-                self.ended(job.id, Outcome::Served);
+                self.attempt_ended(job.id, Outcome::Served);
             }
-            What::GivesUp(id) => self.ended(id, Outcome::TimedOut),
-            What::Down(i) => {
-                (self.nodes[i].up, self.nodes[i].life) = (false, self.nodes[i].life + 1);
-                self.nodes[i].next.clear();
-                for (_, (n, no, _)) in std::mem::take(&mut self.nodes[i].flows) {
-                    self.after(self.fleet.hop, What::Ends(n, no, TryOutcome::ConnectionLost));
+            SimEvent::AttemptTimeout(id) => self.attempt_ended(id, Outcome::TimedOut),
+            SimEvent::IngressDown { ingress: i } => {
+                (self.ingresses[i].is_up, self.ingresses[i].incarnation) =
+                    (false, self.ingresses[i].incarnation + 1);
+                self.ingresses[i].next_attempt.clear();
+                for (_, open) in std::mem::take(&mut self.ingresses[i].requests) {
+                    let IngressRequest { request, try_number, .. } = open;
+                    let outcome = TryOutcome::ConnectionLost;
+                    let ended = SimEvent::TryEnded { request, try_number, outcome };
+                    self.schedule_after(self.fleet.network_delay, ended);
                 }
-                for asker in &mut self.askers {
-                    (0..std::mem::take(&mut asker.idle[i]))
-                        .for_each(|_| asker.ingresses.connection_closed(i));
+                for client in &mut self.clients {
+                    (0..std::mem::take(&mut client.idle[i]))
+                        .for_each(|_| client.ingresses.connection_closed(i));
                 }
             }
-            What::Up(i) => {
+            SimEvent::IngressUp { ingress: i } => {
                 let settings = Settings { me: GatewayId(i as u16), ..self.fleet.settings.clone() };
                 if let Ok(limiter) = Limiter::new(settings, self.rng.u64(..)) {
-                    (self.nodes[i].limiter, self.nodes[i].up) = (limiter, true);
-                    self.start(i);
+                    (self.ingresses[i].limiter, self.ingresses[i].is_up) = (limiter, true);
+                    self.start_ingress(i);
                 }
             }
         }
     }
 
-    /// A request looks for a connection, and leaves if it has one.
-    fn tries(&mut self, n: usize) {
-        if self.asked[n].done || self.asked[n].at.is_some() {
+    /// A client looks for a connection for the next try of a request, and sends it if there is one.
+    fn start_try(&mut self, n: usize) {
+        if self.requests[n].is_done || self.requests[n].ingress.is_some() {
             return;
         }
-        let (c, many) = (self.client(n), self.nodes.len());
-        let first = self.work.first(self.asked[n].arrival.customer, many);
-        let Self { askers, asked, rng, .. } = self;
-        let asker = &mut askers[c];
-        let set = asker.ingresses.ingress_set(self.work.spread.min(many), first);
-        let Some(i) = asker.ingresses.pick(self.now, set, &asked[n].tried, &mut || rng.f64()) else { return };
-        let life = self.nodes[i].life;
-        if asker.idle[i] > 0 {
-            asker.idle[i] -= 1;
-            asker.ingresses.try_started(i);
-            return self.leaves(n, i, life);
+        let (c, ingress_count) = (self.client_of(n), self.ingresses.len());
+        let first = self.workload.first_ingress(self.requests[n].arrival.customer, ingress_count);
+        let Self { clients, requests, rng, .. } = self;
+        let client = &mut clients[c];
+        let set = client.ingresses.ingress_set(self.workload.spread.min(ingress_count), first);
+        let picked = client.ingresses.pick(self.now, set, &requests[n].tried, &mut || rng.f64());
+        let Some(i) = picked else { return };
+        let incarnation = self.ingresses[i].incarnation;
+        if client.idle[i] > 0 {
+            client.idle[i] -= 1;
+            client.ingresses.try_started(i);
+            return self.send_try(n, i, incarnation);
         }
-        match asker.ingresses.reserve_connection(self.now, i) {
+        match client.ingresses.reserve_connection(self.now, i) {
             Ok(()) => {
-                asker.ingresses.try_started(i);
-                self.asked[n].at = Some(i);
-                self.after(2.0 * self.fleet.hop, What::Connected(n, i, life));
+                client.ingresses.try_started(i);
+                self.requests[n].ingress = Some(i);
+                let done = SimEvent::ConnectDone { request: n, ingress: i, incarnation };
+                self.schedule_after(2.0 * self.fleet.network_delay, done);
             }
-            Err(wait) => self.after(wait.clamp(1.0, 100.0), What::Tries(n)),
+            Err(wait) => self.schedule_after(wait.clamp(1.0, 100.0), SimEvent::StartTry { request: n }),
         }
     }
 
-    fn connected(&mut self, n: usize, i: usize, life: u32) {
-        let c = self.client(n);
-        let well = self.nodes[i].up && self.nodes[i].life == life;
+    fn connect_done(&mut self, n: usize, i: usize, incarnation: u32) {
+        let c = self.client_of(n);
+        let accepted = self.ingresses[i].is_up && self.ingresses[i].incarnation == incarnation;
         let naive = self.fleet.naive;
-        let Self { askers, rng, .. } = self;
-        let asker = &mut askers[c];
-        let mut chance = || if naive { 1.0 } else { rng.f64() };
-        if !well {
-            self.report.refused += 1;
-            asker.ingresses.try_ended(self.now, i, HealthSignal::Unreachable, &mut chance);
-            asker.ingresses.connect_failed(self.now, i, &mut chance);
-            self.asked[n].at = None;
-            if !self.asked[n].tried.contains(&i) {
-                self.asked[n].tried.push(i);
+        let Self { clients, rng, .. } = self;
+        let client = &mut clients[c];
+        let mut random = || if naive { 1.0 } else { rng.f64() };
+        if !accepted {
+            self.report.connections_refused += 1;
+            client.ingresses.try_ended(self.now, i, HealthSignal::Unreachable, &mut random);
+            client.ingresses.connect_failed(self.now, i, &mut random);
+            self.requests[n].ingress = None;
+            if !self.requests[n].tried.contains(&i) {
+                self.requests[n].tried.push(i);
             }
-            return self.tries(n);
+            return self.start_try(n);
         }
-        asker.ingresses.connect_succeeded(i);
-        self.report.connects(self.now);
-        if self.asked[n].done {
-            asker.ingresses.try_ended(self.now, i, HealthSignal::Answered, &mut chance);
-            asker.idle[i] += 1;
+        client.ingresses.connect_succeeded(i);
+        self.report.record_connection(self.now);
+        if self.requests[n].is_done {
+            client.ingresses.try_ended(self.now, i, HealthSignal::Answered, &mut random);
+            client.idle[i] += 1;
             return;
         }
-        self.leaves(n, i, life);
+        self.send_try(n, i, incarnation);
     }
 
-    fn leaves(&mut self, n: usize, i: usize, life: u32) {
-        let c = self.client(n);
-        let asked = &mut self.asked[n];
-        (asked.at, asked.no) = (Some(i), asked.no + 1);
-        asked.tried.push(i);
-        asked.call.try_sent(self.now, &self.fleet.retry_policy, &mut self.askers[c].budget);
+    fn send_try(&mut self, n: usize, i: usize, incarnation: u32) {
+        let c = self.client_of(n);
+        let request = &mut self.requests[n];
+        (request.ingress, request.try_number) = (Some(i), request.try_number + 1);
+        request.tried.push(i);
+        request.retry_state.try_sent(self.now, &self.fleet.retry_policy, &mut self.clients[c].budget);
         self.report.tries += 1;
-        self.after(self.fleet.hop, What::Reaches(n, i, life));
+        let arrived = SimEvent::TryArrived { request: n, ingress: i, incarnation };
+        self.schedule_after(self.fleet.network_delay, arrived);
     }
 
-    fn reaches(&mut self, n: usize, i: usize, life: u32) {
-        let (asked, node) = (&self.asked[n], &mut self.nodes[i]);
-        if !node.up || node.life != life {
-            let no = asked.no;
-            return self.after(self.fleet.hop, What::Ends(n, no, TryOutcome::ConnectionLost));
+    fn try_arrived(&mut self, n: usize, i: usize, incarnation: u32) {
+        let (request, ingress) = (&self.requests[n], &mut self.ingresses[i]);
+        if !ingress.is_up || ingress.incarnation != incarnation {
+            let (try_number, outcome) = (request.try_number, TryOutcome::ConnectionLost);
+            let ended = SimEvent::TryEnded { request: n, try_number, outcome };
+            return self.schedule_after(self.fleet.network_delay, ended);
         }
-        self.seq += 1;
-        let id = RequestId(self.seq);
-        let units = f64::from(asked.arrival.units);
-        node.flows.insert(id, (n, asked.no, units));
+        self.sequence += 1;
+        let id = RequestId(self.sequence);
+        let units = f64::from(request.arrival.units);
+        ingress.requests.insert(id, IngressRequest { request: n, try_number: request.try_number, units });
+        let ingress_count = self.clients[0].idle.len();
         let request = weldhub::interface::Request {
             id,
-            class: ClassId(asked.arrival.class),
+            class: ClassId(request.arrival.class),
             plan: PlanId(0),
-            customer: CustomerId(asked.arrival.customer),
-            left: asked.call.deadline() - self.now,
+            customer: CustomerId(request.arrival.customer),
+            left: request.retry_state.deadline() - self.now,
             units,
-            spread: self.work.spread.min(self.askers[0].idle.len()) as u16,
-            first: GatewayId(self.work.first(asked.arrival.customer, self.askers[0].idle.len()) as u16),
-            repeat: asked.no > 1,
+            spread: self.workload.spread.min(ingress_count) as u16,
+            first: GatewayId(self.workload.first_ingress(request.arrival.customer, ingress_count) as u16),
+            repeat: request.try_number > 1,
         };
         self.feed(i, Event::Request(request));
     }
 
-    /// A try has ended at its client.
-    fn ends(&mut self, n: usize, no: u32, how: TryOutcome) {
-        let c = self.client(n);
-        if self.asked[n].done || self.asked[n].no != no {
+    /// A client learns the end of a try. Does nothing if the request has ended or a later try was sent.
+    fn try_ended(&mut self, n: usize, try_number: u32, outcome: TryOutcome) {
+        let c = self.client_of(n);
+        if self.requests[n].is_done || self.requests[n].try_number != try_number {
             return;
         }
         let naive = self.fleet.naive;
-        let Self { askers, asked, rng, .. } = self;
-        let (asker, asked) = (&mut askers[c], &mut asked[n]);
-        let mut chance = || if naive { 1.0 } else { rng.f64() };
-        if let Some(i) = asked.at.take() {
-            let went = if how.may_have_run() { HealthSignal::Failed } else { HealthSignal::Answered };
-            asker.ingresses.try_ended(self.now, i, went, &mut chance);
-            match how {
-                TryOutcome::ConnectionLost => asker.ingresses.connection_lost(self.now, i, &mut chance),
-                TryOutcome::TimedOut | TryOutcome::NotSent => asker.ingresses.connection_closed(i),
-                _ => asker.idle[i] += 1,
+        let Self { clients, requests, rng, .. } = self;
+        let (client, request) = (&mut clients[c], &mut requests[n]);
+        let mut random = || if naive { 1.0 } else { rng.f64() };
+        if let Some(i) = request.ingress.take() {
+            let signal = if outcome.may_have_run() { HealthSignal::Failed } else { HealthSignal::Answered };
+            client.ingresses.try_ended(self.now, i, signal, &mut random);
+            match outcome {
+                TryOutcome::ConnectionLost => client.ingresses.connection_lost(self.now, i, &mut random),
+                TryOutcome::TimedOut | TryOutcome::NotSent => client.ingresses.connection_closed(i),
+                _ => client.idle[i] += 1,
             }
         }
-        let next =
-            asked.call.try_ended(self.now, how, &self.fleet.retry_policy, &mut asker.budget, &mut chance);
-        match (next, how) {
-            (RetryDecision::RetryAt(at), _) => self.at(at, What::Tries(n)),
-            (RetryDecision::Stop(_), TryOutcome::Served) => self.done(n, End::Served),
-            (RetryDecision::Stop(_), TryOutcome::Rejected { .. }) => self.done(n, End::Refused),
-            (RetryDecision::Stop(_), _) => self.done(n, End::Failed),
+        let policy = &self.fleet.retry_policy;
+        let decision =
+            request.retry_state.try_ended(self.now, outcome, policy, &mut client.budget, &mut random);
+        match (decision, outcome) {
+            (RetryDecision::RetryAt(at), _) => self.schedule_at(at, SimEvent::StartTry { request: n }),
+            (RetryDecision::Stop(_), TryOutcome::Served) => self.request_ended(n, RequestOutcome::Served),
+            (RetryDecision::Stop(_), TryOutcome::Rejected { .. }) => {
+                self.request_ended(n, RequestOutcome::Rejected)
+            }
+            (RetryDecision::Stop(_), _) => self.request_ended(n, RequestOutcome::Failed),
         }
     }
 
-    fn done(&mut self, n: usize, end: End) {
-        let asked = &mut self.asked[n];
-        if !std::mem::replace(&mut asked.done, true) {
-            self.open -= 1;
-            let (class, took) = (asked.arrival.class, self.now - asked.arrival.at);
-            self.report.ended(class, end, took);
+    /// Records the end of a request. Does nothing if it has ended before.
+    fn request_ended(&mut self, n: usize, outcome: RequestOutcome) {
+        let request = &mut self.requests[n];
+        if !std::mem::replace(&mut request.is_done, true) {
+            self.open_requests -= 1;
+            let (class, latency_ms) = (request.arrival.class, self.now - request.arrival.at);
+            self.report.record_request(class, outcome, latency_ms);
         }
     }
 }
--- a/load/src/report.rs
+++ b/load/src/report.rs
@@ -1,51 +1,55 @@
-//! What came of a run: counts and latencies by class, as a table or as JSON.
+//! The results of a run: counts and latencies by class, as a table or as JSON.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt;
 
-/// How a request ended.
+/// How a request ended, after all its tries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// It was served.
     Served,
-    /// It was refused at last.
-    Refused,
-    /// It failed, or its time was up.
+    /// Its last try was rejected.
+    Rejected,
+    /// Its last try failed, or its deadline passed.
     Failed,
 }
 
-/// What came of a class.
+/// The results of a class.
 #[derive(Debug, Clone)]
-pub struct Class {
+pub struct ClassResult {
     name: String,
-    ends: [u64; 3],
-    /// Microseconds from the intended start to the end, of those that were served.
+    /// The number of requests by [`RequestOutcome`].
+    outcomes: [u64; 3],
+    /// The time from the intended start to the end of each request that was served, in microseconds.
     latencies: Histogram<u64>,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    classes: Vec<Class>,
-    /// Tries that left.
+    classes: Vec<ClassResult>,
+    /// The number of tries sent.
     pub tries: u64,
-    /// Connections that came up, or were attempted where only that is known.
-    pub connected: u64,
-    /// Attempts that were refused, where that is known.
-    pub refused: u64,
-    /// The same by interval, where that is known.
-    pub connects: Vec<u64>,
+    /// The number of connections: established ones in the model, attempts to connect on sockets.
+    pub connections: u64,
+    /// The number of refused attempts to connect. 0 on sockets, where it is not known.
+    pub connections_refused: u64,
+    /// Established connections by intervals of [`CONNECTION_INTERVAL_MS`]. Empty on sockets, where they are
+    /// not known.
+    pub connections_by_interval: Vec<u64>,
 }
 
-/// Connections are counted by this interval, in milliseconds.
-pub const INTERVAL: f64 = 250.0;
+/// The interval by which connections are counted, in milliseconds.
+pub const CONNECTION_INTERVAL_MS: f64 = 250.0;
 
+/// The results of a class as written to JSON and to the table.
 #[derive(Serialize)]
-struct Line<'a> {
+struct ClassSummary<'a> {
     class: &'a str,
     served: u64,
-    refused: u64,
+    #[serde(rename = "refused")]
+    rejected: u64,
     failed: u64,
     p50_ms: f64,
     p90_ms: f64,
@@ -54,49 +58,55 @@
 }
 
 impl Report {
-    /// Nothing came yet of classes of these names.
+    /// Creates an empty report for classes with these names.
     pub fn new<'a>(names: impl IntoIterator<Item = &'a str>) -> Result<Self, String> {
         let class = |name: &str| {
-            // Up to an hour, to three digits.
+            // From 1 µs to 1 h, with three significant digits.
             let latencies = Histogram::new_with_bounds(1, 3_600_000_000, 3).map_err(|e| e.to_string())?;
-            Ok(Class { name: name.to_owned(), ends: [0; 3], latencies })
+            Ok(ClassResult { name: name.to_owned(), outcomes: [0; 3], latencies })
         };
         let classes = names.into_iter().map(class).collect::<Result<_, String>>()?;
-        Ok(Self { classes, tries: 0, connected: 0, refused: 0, connects: Vec::new() })
+        Ok(Self {
+            classes,
+            tries: 0,
+            connections: 0,
+            connections_refused: 0,
+            connections_by_interval: Vec::new(),
+        })
     }
 
-    /// A request has ended, so many milliseconds after it was to start.
-    pub fn ended(&mut self, class: usize, end: End, took: f64) {
+    /// Records the end of a request, `latency_ms` milliseconds after its intended start.
+    pub fn record_request(&mut self, class: usize, outcome: RequestOutcome, latency_ms: f64) {
         let class = &mut self.classes[class];
-        class.ends[end as usize] += 1;
-        if end == End::Served {
-            class.latencies.saturating_record((took.max(0.001) * 1000.0) as u64);
+        class.outcomes[outcome as usize] += 1;
+        if outcome == RequestOutcome::Served {
+            class.latencies.saturating_record((latency_ms.max(0.001) * 1000.0) as u64);
         }
     }
 
-    /// A connection came up, at so many milliseconds.
-    pub fn connects(&mut self, at: f64) {
-        self.connected += 1;
-        let i = (at / INTERVAL) as usize;
-        if self.connects.len() <= i {
-            self.connects.resize(i + 1, 0);
+    /// Records a connection established `at` milliseconds after the start of the run.
+    pub fn record_connection(&mut self, at: f64) {
+        self.connections += 1;
+        let i = (at / CONNECTION_INTERVAL_MS) as usize;
+        if self.connections_by_interval.len() <= i {
+            self.connections_by_interval.resize(i + 1, 0);
         }
-        self.connects[i] += 1;
+        self.connections_by_interval[i] += 1;
     }
 
-    /// How many ended like this.
-    pub fn count(&self, end: End) -> u64 {
-        self.classes.iter().map(|class| class.ends[end as usize]).sum()
+    /// Returns the number of requests of all classes with an outcome.
+    pub fn count(&self, outcome: RequestOutcome) -> u64 {
+        self.classes.iter().map(|class| class.outcomes[outcome as usize]).sum()
     }
 
-    /// The part of all that was served.
-    pub fn served(&self) -> f64 {
-        let all: u64 = self.classes.iter().flat_map(|class| class.ends).sum();
-        self.count(End::Served) as f64 / all.max(1) as f64
+    /// Returns the fraction of all requests that were served.
+    pub fn served_fraction(&self) -> f64 {
+        let all: u64 = self.classes.iter().flat_map(|class| class.outcomes).sum();
+        self.count(RequestOutcome::Served) as f64 / all.max(1) as f64
     }
 
-    /// A quantile of the latencies of all that were served, in milliseconds.
-    pub fn latency(&self, quantile: f64) -> f64 {
+    /// Returns a quantile of the latencies of all requests that were served, in milliseconds.
+    pub fn latency_ms(&self, quantile: f64) -> f64 {
         let Ok(mut all) = Histogram::<u64>::new(3) else { return 0.0 };
         self.classes.iter().for_each(|class| {
             let _ = all.add(&class.latencies);
@@ -104,28 +114,31 @@
         all.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    fn lines(&self) -> impl Iterator<Item = Line<'_>> {
+    fn summaries(&self) -> impl Iterator<Item = ClassSummary<'_>> {
         self.classes.iter().map(|class| {
-            let at = |quantile| class.latencies.value_at_quantile(quantile) as f64 / 1000.0;
-            Line {
+            let quantile_ms = |quantile| class.latencies.value_at_quantile(quantile) as f64 / 1000.0;
+            ClassSummary {
                 class: &class.name,
-                served: class.ends[0],
-                refused: class.ends[1],
-                failed: class.ends[2],
-                p50_ms: at(0.5),
-                p90_ms: at(0.9),
-                p99_ms: at(0.99),
+                served: class.outcomes[0],
+                rejected: class.outcomes[1],
+                failed: class.outcomes[2],
+                p50_ms: quantile_ms(0.5),
+                p90_ms: quantile_ms(0.9),
+                p99_ms: quantile_ms(0.99),
                 max_ms: class.latencies.max() as f64 / 1000.0,
             }
         })
     }
 
-    /// As JSON.
+    /// Returns the report as JSON.
     pub fn json(&self) -> String {
-        let classes: Vec<_> = self.lines().collect();
+        let classes: Vec<_> = self.summaries().collect();
         serde_json::json!({
-            "classes": classes, "tries": self.tries, "connections": self.connected, "connections_refused": self.refused,
-            "connections_by": {"interval_ms": INTERVAL, "counts": self.connects},
+            "classes": classes, "tries": self.tries, "connections": self.connections,
+            "connections_refused": self.connections_refused,
+            "connections_by": {
+                "interval_ms": CONNECTION_INTERVAL_MS, "counts": self.connections_by_interval,
+            },
         })
         .to_string()
     }
@@ -138,16 +151,20 @@
             "{:20} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
             "class", "served", "refused", "failed", "p50 ms", "p90 ms", "p99 ms", "max ms"
         )?;
-        for l in self.lines() {
+        for s in self.summaries() {
             writeln!(
                 f,
                 "{:20} {:>9} {:>9} {:>9} {:>9.1} {:>9.1} {:>9.1} {:>9.1}",
-                l.class, l.served, l.refused, l.failed, l.p50_ms, l.p90_ms, l.p99_ms, l.max_ms
+                s.class, s.served, s.rejected, s.failed, s.p50_ms, s.p90_ms, s.p99_ms, s.max_ms
             )?;
         }
-        write!(f, "{} tries; {} connections, {} refused", self.tries, self.connected, self.refused)?;
-        match self.connects.iter().max() {
-            Some(most) => writeln!(f, ", {most} at most in {INTERVAL} ms"),
+        write!(
+            f,
+            "{} tries; {} connections, {} refused",
+            self.tries, self.connections, self.connections_refused
+        )?;
+        match self.connections_by_interval.iter().max() {
+            Some(most) => writeln!(f, ", {most} at most in {CONNECTION_INTERVAL_MS} ms"),
             None => writeln!(f),
         }
     }
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -1,36 +1,39 @@
-//! A run on sockets: every request starts when it is to, whatever has become of the others, and its latency counts
-//! from then (no coordinated omission).
+//! Runs a workload on sockets. Every request starts at its intended time, whatever became of the earlier
+//! ones, and its latency counts from that time (no coordinated omission).
 
-use crate::report::{End, Report};
-use crate::work::Work;
+use crate::report::{Report, RequestOutcome};
+use crate::work::Workload;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 use weldhub_client::{Client, Config, ErrorKind, Request, RetrySafety};
 
-/// Runs it through so many clients, each with connections of its own. Only loopback addresses are loaded.
-pub async fn run(work: &Work, ingresses: &[String], clients: usize) -> Result<Report, String> {
-    work.check()?;
-    for at in ingresses {
-        let address: SocketAddr = at.parse().map_err(|_| format!("{at} is no address"))?;
+/// Runs a workload through `client_count` clients, each with its own connections. `ingresses` are the
+/// addresses (`ip:port`) in the order of the ingresses' numbers. Fails if one of them is not a loopback
+/// address.
+pub async fn run(workload: &Workload, ingresses: &[String], client_count: usize) -> Result<Report, String> {
+    workload.validate()?;
+    for ingress in ingresses {
+        let address: SocketAddr =
+            ingress.parse().map_err(|_| format!("{ingress} is not a socket address"))?;
         if !address.ip().is_loopback() {
-            return Err(format!("{at} is no loopback address: nothing else is loaded"));
+            return Err(format!("{ingress} is not a loopback address; only loopback may be loaded"));
         }
     }
-    let all: Vec<Client> = (0..clients.max(1))
+    let clients: Vec<Client> = (0..client_count.max(1))
         .map(|i| {
             let mut config = Config::new(ingresses.iter().map(String::as_str)).map_err(|e| e.to_string())?;
-            config.seed = work.seed.wrapping_add(i as u64);
+            config.seed = workload.seed.wrapping_add(i as u64);
             Client::new(config).map_err(|e| e.to_string())
         })
         .collect::<Result<_, _>>()?;
     let (start, mut running) = (Instant::now() + Duration::from_millis(50), JoinSet::new());
-    let mut report = Report::new(work.classes.iter().map(|class| class.name.as_str()))?;
-    let spread = work.spread.min(ingresses.len());
-    let mut rng = fastrand::Rng::with_seed(work.seed ^ 1);
-    for (n, arrival) in work.arrivals().into_iter().enumerate() {
-        let class = &work.classes[arrival.class];
+    let mut report = Report::new(workload.classes.iter().map(|class| class.name.as_str()))?;
+    let spread = workload.spread.min(ingresses.len());
+    let mut rng = fastrand::Rng::with_seed(workload.seed ^ 1);
+    for (n, arrival) in workload.arrivals().into_iter().enumerate() {
+        let class = &workload.classes[arrival.class];
         let path = format!("/{}/{n}", class.name);
         let request = match class.retry_safety {
             RetrySafety::Safe => Request::get(&path),
@@ -40,33 +43,33 @@
         };
         let request = request
             .customer(arrival.customer)
-            .plan(&work.plan)
+            .plan(&workload.plan)
             .units(f64::from(arrival.units))
-            .ingress_set(spread, work.first(arrival.customer, ingresses.len()))
-            .timeout_ms(class.timeout);
-        let client = all[arrival.customer as usize % all.len()].clone();
+            .ingress_set(spread, workload.first_ingress(arrival.customer, ingresses.len()))
+            .timeout_ms(class.timeout_ms);
+        let client = clients[arrival.customer as usize % clients.len()].clone();
         let intended = start + Duration::from_secs_f64(arrival.at / 1000.0);
         sleep_until(intended).await;
         running.spawn(async move {
-            let end = match client.send(&request).await {
-                Ok(_) => End::Served,
-                Err(e) if matches!(e.kind, ErrorKind::Rejected(_)) => End::Refused,
-                Err(_) => End::Failed,
+            let outcome = match client.send(&request).await {
+                Ok(_) => RequestOutcome::Served,
+                Err(e) if matches!(e.kind, ErrorKind::Rejected(_)) => RequestOutcome::Rejected,
+                Err(_) => RequestOutcome::Failed,
             };
-            (arrival.class, end, intended.elapsed().as_secs_f64() * 1000.0)
+            (arrival.class, outcome, intended.elapsed().as_secs_f64() * 1000.0)
         });
-        while let Some(Ok((class, end, took))) = running.try_join_next() {
-            report.ended(class, end, took);
+        while let Some(Ok((class, outcome, latency_ms))) = running.try_join_next() {
+            report.record_request(class, outcome, latency_ms);
         }
     }
-    while let Some(done) = running.join_next().await {
-        let (class, end, took) = done.map_err(|e| e.to_string())?;
-        report.ended(class, end, took);
+    while let Some(ended) = running.join_next().await {
+        let (class, outcome, latency_ms) = ended.map_err(|e| e.to_string())?;
+        report.record_request(class, outcome, latency_ms);
     }
-    for client in &all {
+    for client in &clients {
         let counts = client.counts();
         report.tries += counts.tries;
-        report.connected += counts.connection_attempts;
+        report.connections += counts.connection_attempts;
     }
     Ok(report)
 }
--- a/load/src/work/tests.rs
+++ b/load/src/work/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn work() -> Work {
-    Work {
+fn workload() -> Workload {
+    Workload {
         seed: 7,
         steps: vec!["2x100".parse().unwrap(), "1x0".parse().unwrap(), "1x400".parse().unwrap()],
         classes: vec![
@@ -11,14 +11,14 @@
         customers: 10,
         plan: "club".into(),
         spread: 2,
-        units: 3,
+        max_units: 3,
     }
 }
 
 #[test]
-fn arrivals_follow_the_schedule_and_the_mix_and_are_the_same_again() {
-    let all = work().arrivals();
-    assert_eq!(all, work().arrivals());
+fn arrivals_follow_schedule_and_mix_and_are_reproducible() {
+    let all = workload().arrivals();
+    assert_eq!(all, workload().arrivals());
     let within = |from: f64, to: f64| all.iter().filter(|a| (from..to).contains(&a.at)).count();
     assert!((150..250).contains(&within(0.0, 2000.0)) && within(2000.0, 3000.0) == 0);
     assert!((330..470).contains(&within(3000.0, 4000.0)));
@@ -27,14 +27,15 @@
 }
 
 #[test]
-fn what_cannot_be_is_said() {
-    for odd in ["", "a:1:safe", "a:-1:safe:9", "a:1:odd:9", "a:1:keyed=x:9", "a b:1:safe:9", "a:1:safe:0"] {
-        assert!(odd.parse::<Class>().is_err(), "{odd}");
+fn rejects_invalid_classes_steps_and_workloads() {
+    for invalid in ["", "a:1:safe", "a:-1:safe:9", "a:1:odd:9", "a:1:keyed=x:9", "a b:1:safe:9", "a:1:safe:0"]
+    {
+        assert!(invalid.parse::<Class>().is_err(), "{invalid}");
     }
     assert!(
         "5".parse::<Step>().is_err() && "5xnan".parse::<Step>().is_err() && "-1x5".parse::<Step>().is_err()
     );
-    let long = Work { steps: vec![Step { seconds: 4000.0, rate: 1.0 }], ..work() };
-    let many = Work { steps: vec![Step { seconds: 3000.0, rate: 1e6 }], ..work() };
-    assert!(work().check().is_ok() && long.check().is_err() && many.check().is_err());
+    let too_long = Workload { steps: vec![Step { seconds: 4000.0, rate: 1.0 }], ..workload() };
+    let too_many = Workload { steps: vec![Step { seconds: 3000.0, rate: 1e6 }], ..workload() };
+    assert!(workload().validate().is_ok() && too_long.validate().is_err() && too_many.validate().is_err());
 }
--- a/load/tests/compare.rs
+++ b/load/tests/compare.rs
@@ -1,4 +1,4 @@
-//! The same small case on sockets and in the model. A measurement, not part of CI:
+//! Compares a small case on sockets with the model. A measurement, not part of CI:
 //! `cargo test --release -p weldhub-load --test compare -- --ignored --nocapture`
 
 use bytes::BytesMut;
@@ -10,14 +10,14 @@
 use weldhub::config::Config;
 use weldhub::net::http::{Kind, take_message};
 use weldhub_client::{IngressPolicy, RetryPolicy};
-use weldhub_load::model::{Fleet, play};
+use weldhub_load::model::{Fleet, simulate};
 use weldhub_load::run::run;
-use weldhub_load::work::Work;
+use weldhub_load::work::Workload;
 
-/// A real server of so many cores that needs 20 to 60 ms for a unit.
-async fn server(cores: usize) -> String {
+/// Starts a backend that works on `cores` requests at once, 20 to 60 ms each. Returns its address.
+async fn backend(cores: usize) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = listener.local_addr().unwrap().to_string();
+    let address = listener.local_addr().unwrap().to_string();
     let cores = std::rc::Rc::new(Semaphore::new(cores));
     spawn_local(async move {
         loop {
@@ -41,23 +41,23 @@
             });
         }
     });
-    at
+    address
 }
 
 #[test]
 #[ignore = "a measurement"]
-fn sockets_and_model_agree_on_a_small_case() {
+fn sockets_and_model_serve_about_the_same_fraction() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let (mut instances, cores) = (Vec::new(), 4);
         for i in 0..3 {
-            instances.push(serde_json::json!({"instanceId": format!("s{i}"), "hostPort": server(cores).await,
+            instances.push(serde_json::json!({"instanceId": format!("s{i}"), "hostPort": backend(cores).await,
                 "zone": "a", "machineType": "m", "cell": 0, "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0}));
         }
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap().to_string();
-        let told = serde_json::json!({
-            "name": "n0", "listen": at, "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
+        let address = listener.local_addr().unwrap().to_string();
+        let config = serde_json::json!({
+            "name": "n0", "listen": address, "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
             "limits": {"memory_mb": 192, "sockets": 1024},
             "known": {"generation": 1, "reset": true, "instances": instances},
             "settings": {
@@ -70,42 +70,43 @@
                     "neverOverDepth": 0.0}],
             },
         });
-        let config = Config::read(&told.to_string(), |_| None).unwrap();
+        let config = Config::read(&config.to_string(), |_| None).unwrap();
         let settings = config.instance.site.settings.clone();
         let (_ways, ways) = watch::channel(config.ways());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         spawn_local(weldhub::node::serve(config, listener, log, ways, std::future::pending()));
         tokio::time::sleep(Duration::from_millis(1200)).await;
         for rate in [100, 200, 400] {
-            let work = Work {
+            let workload = Workload {
                 seed: 7,
                 steps: vec![format!("10x{rate}").parse().unwrap()],
                 classes: vec!["board-state:1:safe:1500".parse().unwrap()],
                 customers: 50,
                 plan: "club".into(),
                 spread: 1,
-                units: 1,
+                max_units: 1,
             };
-            let sockets = run(&work, std::slice::from_ref(&at), 50).await.unwrap();
+            let sockets = run(&workload, std::slice::from_ref(&address), 50).await.unwrap();
             let fleet = Fleet {
                 settings: settings.clone(),
-                servers: 3,
+                backends: 3,
                 cores,
-                service: 40.0,
-                hop: 0.1,
+                service_time: 40.0,
+                network_delay: 0.1,
                 outages: Vec::new(),
                 clients: 50,
                 retry_policy: RetryPolicy::default(),
                 ingress_policy: IngressPolicy::default(),
                 naive: false,
             };
-            let model = play(&work, &fleet).unwrap();
-            let at = |quantile| (sockets.latency(quantile), model.latency(quantile));
+            let model = simulate(&workload, &fleet).unwrap();
+            let latencies = |quantile| (sockets.latency_ms(quantile), model.latency_ms(quantile));
             println!(
-                "{rate} a second: served {:.3} on sockets, {:.3} modelled; p50 {:?} ms, p99 {:?} ms; tries {} and {}",
-                sockets.served(), model.served(), at(0.5), at(0.99), sockets.tries, model.tries
+                "{rate} requests per second: served {:.3} on sockets, {:.3} in the model; p50 {:?} ms, p99 {:?} ms; tries {} and {}",
+                sockets.served_fraction(), model.served_fraction(), latencies(0.5), latencies(0.99),
+                sockets.tries, model.tries
             );
-            assert!((sockets.served() - model.served()).abs() < 0.1);
+            assert!((sockets.served_fraction() - model.served_fraction()).abs() < 0.1);
         }
     });
 }
--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -1,4 +1,4 @@
-//! Consul's membership under load by weldhub-load: measurements, not part of CI:
+//! Membership by Consul under load by weldhub-load. Measurements, not part of CI:
 //! `cargo test --release -p weldhub-load --test consul -- --ignored --nocapture --test-threads 1`
 
 #[path = "../../tests/stand_ins/consul.rs"]
@@ -18,38 +18,40 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
-use weldhub::config::{Config, Consul as Asked, Service, Ways};
+use weldhub::config::{Config, Consul as ConsulConfig, Service, Ways};
 use weldhub::consul::Watch;
 use weldhub::consul::agent::Counts;
 use weldhub::deadlines::{Clock, Deadlines, Due};
 use weldhub::net::http::{Kind, take_message};
 use weldhub_load::run::run;
-use weldhub_load::work::Work;
+use weldhub_load::work::Workload;
 
-fn local(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
-fn log() -> slog::Logger {
+fn discard_log() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-/// When the first byte of each request came, kept short by who reads it.
-type Came = Rc<RefCell<Option<Instant>>>;
+/// When a backend last received bytes. `None` before the first request.
+type LastReceived = Rc<RefCell<Option<Instant>>>;
 
-/// A real server that answers after a millisecond; ended with its connections by dropping the sender.
-async fn server() -> (SocketAddr, Came, watch::Sender<()>) {
+/// Starts a backend that answers after a millisecond. Sending on the returned sender, or dropping it, stops
+/// the backend and closes its connections.
+async fn backend() -> (SocketAddr, LastReceived, watch::Sender<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (at, came, stop) = (listener.local_addr().unwrap(), Came::default(), watch::Sender::new(()));
-    let (seen, mut stopped) = (came.clone(), stop.subscribe());
+    let (address, last_received, stop) =
+        (listener.local_addr().unwrap(), LastReceived::default(), watch::Sender::new(()));
+    let (received, mut stopped) = (last_received.clone(), stop.subscribe());
     spawn_local(async move {
         loop {
             let (mut stream, _) = tokio::select! {
-                taken = listener.accept() => taken.unwrap(),
+                accepted = listener.accept() => accepted.unwrap(),
                 _ = stopped.changed() => return,
             };
-            let (seen, mut stopped) = (seen.clone(), stopped.clone());
+            let (received, mut stopped) = (received.clone(), stopped.clone());
             spawn_local(async move {
                 let mut buffer = BytesMut::new();
                 loop {
@@ -60,7 +62,7 @@
                     if read == 0 {
                         return;
                     }
-                    *seen.borrow_mut() = Some(Instant::now());
+                    *received.borrow_mut() = Some(Instant::now());
                     while let Ok(Some(_)) = take_message(&mut buffer, Kind::Request, false) {
                         sleep(Duration::from_millis(1)).await;
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").await;
@@ -69,14 +71,14 @@
             });
         }
     });
-    (at, came, stop)
+    (address, last_received, stop)
 }
 
-/// An ingress on a thread of its own.
+/// Starts an ingress on its own thread. Returns its address.
 async fn ingress(consul: SocketAddr) -> String {
-    let at = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-    let told = json!({
-        "name": "n0", "listen": at, "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": 1024},
+    let address = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let config = json!({
+        "name": "n0", "listen": address, "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": 1024},
         "consul": {"address": consul, "service": "boards", "flap_hold_ms": 1, "flap_hold_most_ms": 1, "timeout_ms": 500},
         "settings": {
             "balancers": 1, "myNumber": 0, "zones": ["a"], "flavors": ["m"],
@@ -90,55 +92,64 @@
     });
     std::thread::spawn(move || {
         weldhub::node::block_on(async {
-            let config = Config::read(&told.to_string(), |_| None).unwrap();
-            let listener = TcpListener::bind(at).await?;
+            let config = Config::read(&config.to_string(), |_| None).unwrap();
+            let listener = TcpListener::bind(address).await?;
             let (_ways, ways) = watch::channel(config.ways());
-            weldhub::node::serve(config, listener, log(), ways, std::future::pending()).await
+            weldhub::node::serve(config, listener, discard_log(), ways, std::future::pending()).await
         })
     });
     sleep(Duration::from_millis(500)).await;
-    at.to_string()
+    address.to_string()
 }
 
-fn work(seconds: f64, rate: f64) -> Work {
-    Work {
+fn workload(seconds: f64, rate: f64) -> Workload {
+    Workload {
         seed: 7,
         steps: vec![format!("{seconds}x{rate}").parse().unwrap()],
         classes: vec!["board-state:1:safe:1500".parse().unwrap()],
         customers: 50,
         plan: "club".into(),
         spread: 1,
-        units: 1,
+        max_units: 1,
     }
 }
 
-/// From the moment when the word's last byte is written to the first byte of the last request that still comes.
+/// Measures how long a backend still receives requests after Consul has reported it critical: from the last
+/// byte of Consul's answer to the last bytes of a request that the backend receives.
 #[test]
 #[ignore = "a measurement"]
-fn how_long_after_consuls_word_work_still_reaches_a_drained_real_server() {
-    local(async {
+fn delay_until_a_critical_backend_receives_no_more_requests() {
+    run_local(async {
         for rate in [20.0, 500.0, 2000.0] {
-            let mut all = Vec::new();
+            let mut backends = Vec::new();
             for _ in 0..4 {
-                all.push(server().await);
+                backends.push(backend().await);
             }
             let list = |status: &str| -> Vec<Value> {
                 let status = |i| if i == 0 { status } else { "passing" };
-                all.iter().enumerate().map(|(i, s)| instance(&format!("s{i}"), s.0, 0, status(i))).collect()
+                backends
+                    .iter()
+                    .enumerate()
+                    .map(|(i, b)| instance(&format!("s{i}"), b.0, 0, status(i)))
+                    .collect()
             };
             let consul = Consul::start(list("passing")).await;
             consul.longest.set(Duration::from_secs(60));
-            let at = ingress(consul.at).await;
-            let asked = work(45.0, rate);
-            let load = spawn_local(async move { run(&asked, &[at], 40).await.unwrap() });
+            let ingress = ingress(consul.at).await;
+            let workload = workload(45.0, rate);
+            let load = spawn_local(async move { run(&workload, &[ingress], 40).await.unwrap() });
             sleep(Duration::from_secs(1)).await;
             let mut delays = Vec::new();
             for _ in 0..200 {
                 let before = Instant::now();
                 consul.set(None, list("critical"));
                 sleep(Duration::from_millis(60)).await;
-                let written = consul.written.get().filter(|at| *at >= before).expect("it asks at once");
-                let last = all[0].1.borrow().unwrap_or(before);
+                let written = consul
+                    .written
+                    .get()
+                    .filter(|at| *at >= before)
+                    .expect("the ingress queries Consul again at once");
+                let last = backends[0].1.borrow().unwrap_or(before);
                 delays.push(last.saturating_duration_since(written).as_secs_f64() * 1000.0);
                 consul.set(None, list("passing"));
                 sleep(Duration::from_millis(140)).await;
@@ -146,64 +157,74 @@
             let report = load.await.unwrap();
             delays.sort_by(f64::total_cmp);
             println!(
-                "{rate} a second: median {:.2} ms, 99th {:.2} ms, worst of 200 {:.2} ms; served {:.4}, p99 {:?} ms",
+                "{rate} requests per second: median {:.2} ms, 99th {:.2} ms, worst of 200 {:.2} ms; served {:.4}, p99 {:?} ms",
                 delays[100],
                 delays[198],
                 delays[199],
-                report.served(),
-                report.latency(0.99)
+                report.served_fraction(),
+                report.latency_ms(0.99)
             );
             assert!(delays[199] < 250.0);
         }
     });
 }
 
-/// Served shares while the agent is silent, and one of the real servers goes meanwhile.
+/// Measures the fraction served while the Consul agent does not answer, also when a backend stops meanwhile.
 #[test]
 #[ignore = "a measurement"]
-fn work_lost_while_the_agent_is_silent() {
-    local(async {
-        for (what, silent, goes) in
-            [("as usual", false, false), ("silent", true, false), ("silent, one of four gone", true, true)]
-        {
-            let mut all = Vec::new();
+fn fraction_served_while_the_consul_agent_is_silent() {
+    run_local(async {
+        for (case, silent, stops) in [
+            ("agent answers", false, false),
+            ("agent silent", true, false),
+            ("agent silent, one of four backends stopped", true, true),
+        ] {
+            let mut backends = Vec::new();
             for _ in 0..4 {
-                all.push(server().await);
+                backends.push(backend().await);
             }
-            let list =
-                all.iter().enumerate().map(|(i, s)| instance(&format!("s{i}"), s.0, 0, "passing")).collect();
+            let list = backends
+                .iter()
+                .enumerate()
+                .map(|(i, b)| instance(&format!("s{i}"), b.0, 0, "passing"))
+                .collect();
             let consul = Consul::start(list).await;
-            let at = ingress(consul.at).await;
-            let asked = work(12.0, 500.0);
-            let load = spawn_local(async move { run(&asked, &[at], 40).await.unwrap() });
+            let ingress = ingress(consul.at).await;
+            let workload = workload(12.0, 500.0);
+            let load = spawn_local(async move { run(&workload, &[ingress], 40).await.unwrap() });
             sleep(Duration::from_secs(2)).await;
             if silent {
                 consul.fail(Fault::Silent, Fault::Silent);
                 consul.die();
             }
             sleep(Duration::from_secs(1)).await;
-            if goes {
-                all[0].2.send_replace(());
+            if stops {
+                backends[0].2.send_replace(());
             }
             let report = load.await.unwrap();
-            println!("{what}: served {:.4} of 6,000, p99 {:?} ms", report.served(), report.latency(0.99));
+            println!(
+                "{case}: served {:.4} of 6,000, p99 {:?} ms",
+                report.served_fraction(),
+                report.latency_ms(0.99)
+            );
         }
     });
 }
 
-/// Queries and bytes a minute, by the size of the fleet, with nothing changing and with a change each second.
+/// Measures Consul queries and bytes per minute by the number of ingresses, without changes and with one
+/// change per second.
 #[test]
 #[ignore = "a measurement"]
-fn queries_and_bytes_a_minute() {
-    local(async {
+fn consul_queries_and_bytes_per_minute() {
+    run_local(async {
         let mut runs = Vec::new();
         for instances in [1u16, 10, 100] {
             for changes in [false, true] {
                 runs.push(spawn_local(async move {
                     let list = |n: u64| -> Vec<Value> {
-                        let at = |i| SocketAddr::from(([127, 0, 1, i], 9));
+                        let address = |i| SocketAddr::from(([127, 0, 1, i], 9));
                         let status = |i| if i == 0 && n % 2 == 1 { "warning" } else { "passing" };
-                        (0..20).map(|i| instance(&format!("s{i}"), at(i), 0, status(i))).collect()
+                        (0..20).map(|i| instance(&format!("s{i}"), address(i), 0, status(i))).collect()
                     };
                     let consul = Consul::start(list(0)).await;
                     consul.longest.set(Duration::from_secs(60));
@@ -213,10 +234,11 @@
                         let agents = vec![consul.at];
                         let services = vec![Service { name: "boards".into(), ..Service::default() }];
                         let (wait, timeout) = (55_000.0, 3000.0);
-                        let asked = Arc::new(Asked { agents, services, wait, timeout, ..Asked::default() });
+                        let consul_config =
+                            Arc::new(ConsulConfig { agents, services, wait, timeout, ..ConsulConfig::default() });
                         let (_ways, ways) = watch::channel(Ways::default());
                         let watch = Watch {
-                            consul: asked,
+                            consul: consul_config,
                             ways,
                             places: Default::default(),
                             instances,
@@ -225,10 +247,10 @@
                             witness: Rc::default(),
                             stats: weldhub::stats::Stats::new([]),
                             counts: counts.clone(),
-                            log: log(),
+                            log: discard_log(),
                         };
                         spawn_local(watch.run(drop));
-                        // In an instance the engine sweeps.
+                        // In an ingress the engine removes the deadlines that have expired.
                         spawn_local(async move {
                             loop {
                                 deadlines.first_due().await;
@@ -236,9 +258,9 @@
                             }
                         });
                     }
-                    let begun = Instant::now();
+                    let start = Instant::now();
                     let (mut first, mut n) = ((0, 0), 0);
-                    while begun.elapsed() < Duration::from_secs(65) {
+                    while start.elapsed() < Duration::from_secs(65) {
                         sleep(Duration::from_secs(1)).await;
                         n += 1;
                         if changes {
@@ -250,8 +272,8 @@
                     }
                     let (queries, bytes) = (counts.queries.get() - first.0, counts.bytes.get() - first.1);
                     println!(
-                        "{instances} instances, {}: {queries} queries, {} kB a minute; {} queries in the first 5 s",
-                        if changes { "a change each second" } else { "no change" }, bytes / 1000, first.0
+                        "{instances} ingresses, {}: {queries} queries, {} kB per minute; {} queries in the first 5 s",
+                        if changes { "one change per second" } else { "no change" }, bytes / 1000, first.0
                     );
                 }));
             }
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -22,9 +22,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use weldhub::cluster::packet::{Body, Identity, Packet, fleet_key};
-use weldhub_load::report::End;
+use weldhub_load::report::RequestOutcome;
 use weldhub_load::run::run;
-use weldhub_load::work::{Step, Work};
+use weldhub_load::work::{Step, Workload};
 
 /// The doors are read so often, and once more for each hundredth of a second and ingress.
 const LOOK: Duration = Duration::from_millis(100);
@@ -325,7 +325,7 @@
         let looks: Vec<_> =
             (0..count).map(|n| spawn_local(look(n, self.doors.clone(), start, length))).collect();
         let (work, own) = (work(script), script.own());
-        let arrivals = work.as_ref().map(Work::arrivals).unwrap_or_default();
+        let arrivals = work.as_ref().map(Workload::arrivals).unwrap_or_default();
         let load = work.map(|work| {
             let at: Vec<String> = self.clients[..own].iter().map(SocketAddr::to_string).collect();
             spawn_local(async move { run(&work, &at, 8).await })
@@ -361,7 +361,8 @@
         if let Some(load) = load {
             let report = load.await.map_err(|e| e.to_string())??;
             outcome.asked = arrivals.iter().map(|a| (a.customer, a.units)).collect();
-            outcome.ends = [End::Served, End::Refused, End::Failed].map(|end| report.count(end));
+            outcome.ends = [RequestOutcome::Served, RequestOutcome::Rejected, RequestOutcome::Failed]
+                .map(|outcome| report.count(outcome));
         }
         outcome.record = self.world.record();
         Ok(outcome)
@@ -502,16 +503,16 @@
 }
 
 /// What is asked in a trial; none where nothing is.
-fn work(script: &Script) -> Option<Work> {
+fn work(script: &Script) -> Option<Workload> {
     let own = script.own();
-    (script.rate > 0.0).then(|| Work {
+    (script.rate > 0.0).then(|| Workload {
         seed: script.seed,
         steps: vec![Step { seconds: script.length as f64 / 1000.0 - 2.0, rate: script.rate }],
         classes: CLASSES.iter().filter_map(|class| class.parse().ok()).collect(),
         customers: script.plan.customers,
         plan: PLAN.into(),
         spread: if script.plan.spread == 0 { own } else { script.plan.spread.min(own) },
-        units: script.plan.units,
+        max_units: script.plan.units,
     })
 }
 
