--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -502,25 +502,26 @@
             let mut released = std::pin::pin!(released);
             released.as_mut().enable();
             let now = self.now();
-            let (i, idle, reserved) = {
+            let (ingress, idle, reserved) = {
                 let mut state = self.lock();
                 let State { ingresses, idle, rng, .. } = &mut *state;
                 let set = ingresses.ingress_set(request.spread, request.first_ingress);
                 let picked = ingresses.pick(now, set, tried, &mut || rng.f64());
-                let i = picked.ok_or(())?;
-                let idle = self.take_idle(ingresses, &mut idle[i], i);
-                let reserved = if idle.is_some() { Ok(()) } else { ingresses.reserve_connection(now, i) };
+                let ingress = picked.ok_or(())?;
+                let idle = self.take_idle(ingresses, &mut idle[ingress], ingress);
+                let reserved =
+                    if idle.is_some() { Ok(()) } else { ingresses.reserve_connection(now, ingress) };
                 if reserved.is_ok() {
-                    ingresses.try_started(i);
+                    ingresses.try_started(ingress);
                 }
                 state.counts.connection_attempts += u64::from(reserved.is_ok() && idle.is_none());
-                (i, idle, reserved)
+                (ingress, idle, reserved)
             };
             match (idle, reserved) {
                 (Some(stream), _) => {
                     let lease = Lease {
                         inner: self,
-                        ingress: i,
+                        ingress,
                         signal: None,
                         owns_connection: true,
                         connection_lost: false,
@@ -530,14 +531,14 @@
                 (None, Ok(())) => {
                     let mut lease = Lease {
                         inner: self,
-                        ingress: i,
+                        ingress,
                         signal: None,
                         owns_connection: true,
                         connection_lost: false,
                     };
-                    match timeout(self.config.connect_timeout, self.connect(i)).await {
+                    match timeout(self.config.connect_timeout, self.connect(ingress)).await {
                         Ok(Ok(stream)) => {
-                            self.lock().ingresses.connect_succeeded(i);
+                            self.lock().ingresses.connect_succeeded(ingress);
                             return Ok((lease, stream));
                         }
                         _ => {
@@ -546,9 +547,9 @@
                             let now = self.now();
                             let mut state = self.lock();
                             let State { ingresses, rng, .. } = &mut *state;
-                            ingresses.connect_failed(now, i, &mut || rng.f64());
-                            if !tried.contains(&i) {
-                                tried.push(i);
+                            ingresses.connect_failed(now, ingress, &mut || rng.f64());
+                            if !tried.contains(&ingress) {
+                                tried.push(ingress);
                             }
                         }
                     }
@@ -561,25 +562,25 @@
         }
     }
 
-    /// Takes the most recent idle connection to ingress `i` that is still usable. Closes those that are not.
+    /// Takes the most recent idle connection to `ingress` that is still usable. Closes those that are not.
     fn take_idle(
         &self,
         ingresses: &mut Ingresses,
         idle: &mut Vec<IdleConnection>,
-        i: usize,
+        ingress: usize,
     ) -> Option<Box<dyn Stream>> {
         while let Some(connection) = idle.pop() {
             if connection.since.elapsed() < self.config.idle_timeout && is_quiet(connection.stream.socket()) {
                 return Some(connection.stream);
             }
-            ingresses.connection_closed(i);
+            ingresses.connection_closed(ingress);
         }
         None
     }
 
-    /// Connects to ingress `i`, with TLS if configured.
-    async fn connect(&self, i: usize) -> std::io::Result<Box<dyn Stream>> {
-        let stream = TcpStream::connect(self.config.ingresses[i]).await?;
+    /// Connects to `ingress`, with TLS if configured.
+    async fn connect(&self, ingress: usize) -> std::io::Result<Box<dyn Stream>> {
+        let stream = TcpStream::connect(self.config.ingresses[ingress]).await?;
         stream.set_nodelay(true)?;
         #[cfg(feature = "tls")]
         if let Some(tls) = &self.config.tls {
--- a/client/src/ingresses.rs
+++ b/client/src/ingresses.rs
@@ -116,24 +116,25 @@
     ) -> Option<usize> {
         let mut candidates = Vec::new();
         let mut fallback: Option<((bool, Millis), usize)> = None;
-        for i in set {
-            let ingress = self.ingresses.get(i)?;
-            let rank = (tried.contains(&i), ingress.ejected_until.max(ingress.connect_not_before));
-            if ingress.ejected_until <= now && !tried.contains(&i) {
-                candidates.push(i);
+        for index in set {
+            let ingress = self.ingresses.get(index)?;
+            let rank = (tried.contains(&index), ingress.ejected_until.max(ingress.connect_not_before));
+            if ingress.ejected_until <= now && !tried.contains(&index) {
+                candidates.push(index);
             }
             if fallback.is_none_or(|(lowest, _)| rank < lowest) {
-                fallback = Some((rank, i));
+                fallback = Some((rank, index));
             }
         }
         // Ingresses that have a connection or may open one now are preferred to those that have to wait.
-        let is_ready =
-            |i: &usize| self.ingresses[*i].connections > 0 || self.ingresses[*i].connect_not_before <= now;
+        let is_ready = |index: &usize| {
+            self.ingresses[*index].connections > 0 || self.ingresses[*index].connect_not_before <= now
+        };
         if candidates.iter().any(is_ready) {
             candidates.retain(is_ready);
         }
         match candidates.len() {
-            0 => fallback.map(|(_, i)| i),
+            0 => fallback.map(|(_, index)| index),
             n => {
                 let draw = |random: RandomSource<'_>| candidates[((random() * n as f64) as usize).min(n - 1)];
                 let (one, two) = (draw(random), draw(random));
@@ -142,15 +143,15 @@
         }
     }
 
-    /// Records that a try starts at ingress `i`.
-    pub fn try_started(&mut self, i: usize) {
-        self.ingresses[i].in_flight += 1;
+    /// Records that a try starts at ingress `index`.
+    pub fn try_started(&mut self, index: usize) {
+        self.ingresses[index].in_flight += 1;
     }
 
-    /// Records that a try at ingress `i` has ended, and ejects the ingress after too many failures.
-    pub fn try_ended(&mut self, now: Millis, i: usize, signal: HealthSignal, random: RandomSource<'_>) {
+    /// Records that a try at ingress `index` has ended, and ejects the ingress after too many failures.
+    pub fn try_ended(&mut self, now: Millis, index: usize, signal: HealthSignal, random: RandomSource<'_>) {
         let policy = self.policy;
-        let ingress = &mut self.ingresses[i];
+        let ingress = &mut self.ingresses[index];
         ingress.in_flight = ingress.in_flight.saturating_sub(1);
         match signal {
             HealthSignal::Answered => (ingress.consecutive_failures, ingress.consecutive_ejections) = (0, 0),
@@ -167,15 +168,15 @@
         }
     }
 
-    /// Reserves a new connection to ingress `i`. `Ok` counts the connection as open and takes a token; `Err`
-    /// holds the time after which to try again, which is infinite while the ingress has its maximum number of
-    /// connections.
-    pub fn reserve_connection(&mut self, now: Millis, i: usize) -> Result<(), Millis> {
+    /// Reserves a new connection to ingress `index`. `Ok` counts the connection as open and takes a token;
+    /// `Err` holds the time after which to try again, which is infinite while the ingress has its maximum
+    /// number of connections.
+    pub fn reserve_connection(&mut self, now: Millis, index: usize) -> Result<(), Millis> {
         let (rate, burst) = (self.policy.connect_rate, self.policy.connect_burst);
         self.connect_tokens =
             (self.connect_tokens + rate * (now - self.tokens_updated_at).max(0.0) / 1000.0).min(burst);
         self.tokens_updated_at = self.tokens_updated_at.max(now);
-        let ingress = &mut self.ingresses[i];
+        let ingress = &mut self.ingresses[index];
         if ingress.connect_not_before > now {
             return Err(ingress.connect_not_before - now);
         }
@@ -193,29 +194,29 @@
     /// Records that a reserved connection could not be established. The first delay before the next attempt
     /// is a random part of [`IngressPolicy::reconnect_spread`]; the following ones are all of it, so that
     /// clients stay spread.
-    pub fn connect_failed(&mut self, now: Millis, i: usize, random: RandomSource<'_>) {
-        self.connection_closed(i);
-        let part = if self.ingresses[i].reconnect_drawn { 1.0 } else { random() };
-        (self.ingresses[i].connect_not_before, self.ingresses[i].reconnect_drawn) =
+    pub fn connect_failed(&mut self, now: Millis, index: usize, random: RandomSource<'_>) {
+        self.connection_closed(index);
+        let part = if self.ingresses[index].reconnect_drawn { 1.0 } else { random() };
+        (self.ingresses[index].connect_not_before, self.ingresses[index].reconnect_drawn) =
             (now + self.policy.reconnect_spread * part, true);
     }
 
     /// Records that a reserved connection was established, so that others may follow without delay.
-    pub fn connect_succeeded(&mut self, i: usize) {
-        (self.ingresses[i].connect_not_before, self.ingresses[i].reconnect_drawn) = (0.0, false);
+    pub fn connect_succeeded(&mut self, index: usize) {
+        (self.ingresses[index].connect_not_before, self.ingresses[index].reconnect_drawn) = (0.0, false);
     }
 
     /// Records that a connection was closed between two answers, by either side. No reconnect delay follows.
-    pub fn connection_closed(&mut self, i: usize) {
-        self.ingresses[i].connections = self.ingresses[i].connections.saturating_sub(1);
+    pub fn connection_closed(&mut self, index: usize) {
+        self.ingresses[index].connections = self.ingresses[index].connections.saturating_sub(1);
     }
 
     /// Records that a connection broke. If it was the last one, the ingress may have died and other clients
     /// may have lost their connections as well, so a random delay follows before reconnecting.
-    pub fn connection_lost(&mut self, now: Millis, i: usize, random: RandomSource<'_>) {
-        self.connection_closed(i);
-        if self.ingresses[i].connections == 0 && !self.ingresses[i].reconnect_drawn {
-            (self.ingresses[i].connect_not_before, self.ingresses[i].reconnect_drawn) =
+    pub fn connection_lost(&mut self, now: Millis, index: usize, random: RandomSource<'_>) {
+        self.connection_closed(index);
+        if self.ingresses[index].connections == 0 && !self.ingresses[index].reconnect_drawn {
+            (self.ingresses[index].connect_not_before, self.ingresses[index].reconnect_drawn) =
                 (now + self.policy.reconnect_spread * random(), true);
         }
     }
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -258,7 +258,7 @@
         open_requests: 0,
     };
     for arrival in workload.arrivals() {
-        let n = simulation.requests.len();
+        let request = simulation.requests.len();
         let class = &workload.classes[arrival.class];
         let retry_state = RetryState::new(class.retry_safety, arrival.at + f64::from(class.timeout_ms));
         simulation.requests.push(ClientRequest {
@@ -270,7 +270,7 @@
             is_done: false,
         });
         simulation.open_requests += 1;
-        simulation.schedule_at(arrival.at, SimEvent::Arrival { request: n });
+        simulation.schedule_at(arrival.at, SimEvent::Arrival { request });
     }
     for outage in &fleet.outages {
         simulation.schedule_at(outage.from, SimEvent::IngressDown { ingress: outage.ingress });
@@ -305,7 +305,7 @@
     }
 
     /// Starts the limiter of an ingress and gives it the list of backends.
-    fn start_ingress(&mut self, i: usize) {
+    fn start_ingress(&mut self, ingress_index: usize) {
         let entry = |server| ServerEntry {
             server: ServerId(server),
             state: ServerState::Ready,
@@ -316,33 +316,35 @@
             last_start: None,
         };
         let list = (0..self.fleet.backends).map(entry).collect();
-        self.feed(i, Event::Start);
-        self.feed(i, Event::Servers(ListKind::Cached, list));
+        self.feed(ingress_index, Event::Start);
+        self.feed(ingress_index, Event::Servers(ListKind::Cached, list));
     }
 
     /// Passes an event to the limiter of an ingress and carries out its actions.
-    fn feed(&mut self, i: usize, event: Event) {
+    fn feed(&mut self, ingress_index: usize, event: Event) {
         let mut actions = Vec::new();
-        self.ingresses[i].limiter.handle(EPOCH + self.now, event, &mut actions);
-        let incarnation = self.ingresses[i].incarnation;
+        self.ingresses[ingress_index].limiter.handle(EPOCH + self.now, event, &mut actions);
+        let incarnation = self.ingresses[ingress_index].incarnation;
         for action in actions {
             match action {
-                Action::Send { request, server, wait, .. } => self.send(i, request, server, wait),
-                Action::Refuse(id, after) => self.answer(i, id, TryOutcome::Rejected { retry_after: after }),
-                Action::Fail(id) => self.answer(i, id, TryOutcome::Failed),
+                Action::Send { request, server, wait, .. } => self.send(ingress_index, request, server, wait),
+                Action::Refuse(id, after) => {
+                    self.answer(ingress_index, id, TryOutcome::Rejected { retry_after: after })
+                }
+                Action::Fail(id) => self.answer(ingress_index, id, TryOutcome::Failed),
                 Action::Cancel(request, attempt) => {
-                    let id = AttemptId { ingress: i, incarnation, request, attempt };
+                    let id = AttemptId { ingress: ingress_index, incarnation, request, attempt };
                     self.attempt_ended(id, Outcome::Cancelled);
                 }
                 Action::SetTimer(after, key) => {
-                    let timer = SimEvent::LimiterTimer { ingress: i, incarnation, key };
+                    let timer = SimEvent::LimiterTimer { ingress: ingress_index, incarnation, key };
                     self.schedule_after(after.max(0.0), timer);
                 }
                 Action::Tell(to, bytes) => {
-                    let from = GatewayId(i as u16);
+                    let from = GatewayId(ingress_index as u16);
                     let to = usize::from(to.0);
                     // Peer messages are delivered without delay.
-                    if to != i && self.ingresses.get(to).is_some_and(|ingress| ingress.is_up) {
+                    if to != ingress_index && self.ingresses.get(to).is_some_and(|ingress| ingress.is_up) {
                         self.feed(to, Event::PeerMessage(from, bytes));
                     }
                 }
@@ -352,11 +354,11 @@
     }
 
     /// Sends an attempt to a backend, with the timeout that the limiter has set, if any.
-    fn send(&mut self, i: usize, request: RequestId, server: ServerId, wait: Option<f64>) {
-        let ingress = &mut self.ingresses[i];
+    fn send(&mut self, ingress_index: usize, request: RequestId, server: ServerId, wait: Option<f64>) {
+        let ingress = &mut self.ingresses[ingress_index];
         let next = ingress.next_attempt.entry(request).or_default();
         let attempt = AttemptNo(*next);
-        let id = AttemptId { ingress: i, incarnation: ingress.incarnation, request, attempt };
+        let id = AttemptId { ingress: ingress_index, incarnation: ingress.incarnation, request, attempt };
         *next += 1;
         let units = ingress.requests.get(&request).map_or(1.0, |request| request.units);
         self.in_flight.insert(id, InFlight { backend: server.0 as usize, sent_at: self.now });
@@ -382,13 +384,14 @@
     /// Reports the end of an attempt to its limiter. Does nothing if the attempt has ended before.
     fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(InFlight { backend, sent_at }) = self.in_flight.remove(&id) else { return };
-        let AttemptId { ingress: i, incarnation, request, attempt } = id;
-        if self.ingresses[i].incarnation != incarnation {
+        let AttemptId { ingress: ingress_index, incarnation, request, attempt } = id;
+        if self.ingresses[ingress_index].incarnation != incarnation {
             return;
         }
-        let closed = outcome == Outcome::Served || !self.ingresses[i].requests.contains_key(&request);
+        let closed =
+            outcome == Outcome::Served || !self.ingresses[ingress_index].requests.contains_key(&request);
         if outcome == Outcome::Served {
-            self.answer(i, request, TryOutcome::Served);
+            self.answer(ingress_index, request, TryOutcome::Served);
         }
         let end = AttemptEnd {
             request,
@@ -401,29 +404,31 @@
             settled_units: None,
             load: Load::default(),
         };
-        self.feed(i, Event::AttemptEnded(end));
+        self.feed(ingress_index, Event::AttemptEnded(end));
     }
 
     /// An ingress answers a try.
-    fn answer(&mut self, i: usize, id: RequestId, outcome: TryOutcome) {
-        if let Some(IngressRequest { request, try_number, .. }) = self.ingresses[i].requests.remove(&id) {
+    fn answer(&mut self, ingress_index: usize, id: RequestId, outcome: TryOutcome) {
+        if let Some(IngressRequest { request, try_number, .. }) =
+            self.ingresses[ingress_index].requests.remove(&id)
+        {
             let ended = SimEvent::TryEnded { request, try_number, outcome };
             self.schedule_after(self.fleet.network_delay, ended);
         }
-        self.ingresses[i].next_attempt.remove(&id);
+        self.ingresses[ingress_index].next_attempt.remove(&id);
     }
 
-    /// Returns the index of the client that sends request `n`.
-    fn client_of(&self, n: usize) -> usize {
-        self.requests[n].arrival.customer as usize % self.clients.len()
+    /// Returns the index of the client that sends a request.
+    fn client_of(&self, request_index: usize) -> usize {
+        self.requests[request_index].arrival.customer as usize % self.clients.len()
     }
 
     fn handle(&mut self, event: SimEvent) {
         match event {
-            SimEvent::Arrival { request: n } => {
-                let deadline = self.requests[n].retry_state.deadline();
-                self.schedule_at(deadline, SimEvent::Deadline { request: n });
-                self.start_try(n);
+            SimEvent::Arrival { request: request_index } => {
+                let deadline = self.requests[request_index].retry_state.deadline();
+                self.schedule_at(deadline, SimEvent::Deadline { request: request_index });
+                self.start_try(request_index);
             }
             SimEvent::StartTry { request } => self.start_try(request),
             SimEvent::ConnectDone { request, ingress, incarnation } => {
@@ -435,21 +440,23 @@
             SimEvent::TryEnded { request, try_number, outcome } => {
                 self.try_ended(request, try_number, outcome)
             }
-            SimEvent::Deadline { request: n } => {
-                if !self.requests[n].is_done {
-                    let try_number = self.requests[n].try_number;
-                    let outcome = if self.requests[n].ingress.is_some() {
+            SimEvent::Deadline { request: request_index } => {
+                if !self.requests[request_index].is_done {
+                    let try_number = self.requests[request_index].try_number;
+                    let outcome = if self.requests[request_index].ingress.is_some() {
                         TryOutcome::TimedOut
                     } else {
                         TryOutcome::NotSent
                     };
-                    self.try_ended(n, try_number, outcome);
-                    self.request_ended(n, RequestOutcome::Failed);
+                    self.try_ended(request_index, try_number, outcome);
+                    self.request_ended(request_index, RequestOutcome::Failed);
                 }
             }
-            SimEvent::LimiterTimer { ingress: i, incarnation, key } => {
-                if self.ingresses[i].is_up && self.ingresses[i].incarnation == incarnation {
-                    self.feed(i, Event::Timer(key));
+            SimEvent::LimiterTimer { ingress: ingress_index, incarnation, key } => {
+                if self.ingresses[ingress_index].is_up
+                    && self.ingresses[ingress_index].incarnation == incarnation
+                {
+                    self.feed(ingress_index, Event::Timer(key));
                 }
             }
             SimEvent::BackendDone { backend, job } => {
@@ -460,109 +467,121 @@
                 self.attempt_ended(job.id, Outcome::Served);
             }
             SimEvent::AttemptTimeout(id) => self.attempt_ended(id, Outcome::TimedOut),
-            SimEvent::IngressDown { ingress: i } => {
-                (self.ingresses[i].is_up, self.ingresses[i].incarnation) =
-                    (false, self.ingresses[i].incarnation + 1);
-                self.ingresses[i].next_attempt.clear();
-                for (_, open) in std::mem::take(&mut self.ingresses[i].requests) {
+            SimEvent::IngressDown { ingress: ingress_index } => {
+                (self.ingresses[ingress_index].is_up, self.ingresses[ingress_index].incarnation) =
+                    (false, self.ingresses[ingress_index].incarnation + 1);
+                self.ingresses[ingress_index].next_attempt.clear();
+                for (_, open) in std::mem::take(&mut self.ingresses[ingress_index].requests) {
                     let IngressRequest { request, try_number, .. } = open;
                     let outcome = TryOutcome::ConnectionLost;
                     let ended = SimEvent::TryEnded { request, try_number, outcome };
                     self.schedule_after(self.fleet.network_delay, ended);
                 }
                 for client in &mut self.clients {
-                    (0..std::mem::take(&mut client.idle[i]))
-                        .for_each(|_| client.ingresses.connection_closed(i));
+                    (0..std::mem::take(&mut client.idle[ingress_index]))
+                        .for_each(|_| client.ingresses.connection_closed(ingress_index));
                 }
             }
-            SimEvent::IngressUp { ingress: i } => {
-                let settings = Settings { me: GatewayId(i as u16), ..self.fleet.settings.clone() };
+            SimEvent::IngressUp { ingress: ingress_index } => {
+                let settings =
+                    Settings { me: GatewayId(ingress_index as u16), ..self.fleet.settings.clone() };
                 if let Ok(limiter) = Limiter::new(settings, self.rng.u64(..)) {
-                    (self.ingresses[i].limiter, self.ingresses[i].is_up) = (limiter, true);
-                    self.start_ingress(i);
+                    (self.ingresses[ingress_index].limiter, self.ingresses[ingress_index].is_up) =
+                        (limiter, true);
+                    self.start_ingress(ingress_index);
                 }
             }
         }
     }
 
     /// A client looks for a connection for the next try of a request, and sends it if there is one.
-    fn start_try(&mut self, n: usize) {
-        if self.requests[n].is_done || self.requests[n].ingress.is_some() {
+    fn start_try(&mut self, request_index: usize) {
+        if self.requests[request_index].is_done || self.requests[request_index].ingress.is_some() {
             return;
         }
-        let (c, ingress_count) = (self.client_of(n), self.ingresses.len());
-        let first = self.workload.first_ingress(self.requests[n].arrival.customer, ingress_count);
+        let (client_index, ingress_count) = (self.client_of(request_index), self.ingresses.len());
+        let first = self.workload.first_ingress(self.requests[request_index].arrival.customer, ingress_count);
         let Self { clients, requests, rng, .. } = self;
-        let client = &mut clients[c];
+        let client = &mut clients[client_index];
         let set = client.ingresses.ingress_set(self.workload.spread.min(ingress_count), first);
-        let picked = client.ingresses.pick(self.now, set, &requests[n].tried, &mut || rng.f64());
-        let Some(i) = picked else { return };
-        let incarnation = self.ingresses[i].incarnation;
-        if client.idle[i] > 0 {
-            client.idle[i] -= 1;
-            client.ingresses.try_started(i);
-            return self.send_try(n, i, incarnation);
+        let picked = client.ingresses.pick(self.now, set, &requests[request_index].tried, &mut || rng.f64());
+        let Some(ingress_index) = picked else { return };
+        let incarnation = self.ingresses[ingress_index].incarnation;
+        if client.idle[ingress_index] > 0 {
+            client.idle[ingress_index] -= 1;
+            client.ingresses.try_started(ingress_index);
+            return self.send_try(request_index, ingress_index, incarnation);
         }
-        match client.ingresses.reserve_connection(self.now, i) {
+        match client.ingresses.reserve_connection(self.now, ingress_index) {
             Ok(()) => {
-                client.ingresses.try_started(i);
-                self.requests[n].ingress = Some(i);
-                let done = SimEvent::ConnectDone { request: n, ingress: i, incarnation };
+                client.ingresses.try_started(ingress_index);
+                self.requests[request_index].ingress = Some(ingress_index);
+                let done =
+                    SimEvent::ConnectDone { request: request_index, ingress: ingress_index, incarnation };
                 self.schedule_after(2.0 * self.fleet.network_delay, done);
             }
-            Err(wait) => self.schedule_after(wait.clamp(1.0, 100.0), SimEvent::StartTry { request: n }),
+            Err(wait) => {
+                self.schedule_after(wait.clamp(1.0, 100.0), SimEvent::StartTry { request: request_index })
+            }
         }
     }
 
-    fn connect_done(&mut self, n: usize, i: usize, incarnation: u32) {
-        let c = self.client_of(n);
-        let accepted = self.ingresses[i].is_up && self.ingresses[i].incarnation == incarnation;
+    fn connect_done(&mut self, request_index: usize, ingress_index: usize, incarnation: u32) {
+        let client_index = self.client_of(request_index);
+        let accepted =
+            self.ingresses[ingress_index].is_up && self.ingresses[ingress_index].incarnation == incarnation;
         let naive = self.fleet.naive;
         let Self { clients, rng, .. } = self;
-        let client = &mut clients[c];
+        let client = &mut clients[client_index];
         let mut random = || if naive { 1.0 } else { rng.f64() };
         if !accepted {
             self.report.connections_refused += 1;
-            client.ingresses.try_ended(self.now, i, HealthSignal::Unreachable, &mut random);
-            client.ingresses.connect_failed(self.now, i, &mut random);
-            self.requests[n].ingress = None;
-            if !self.requests[n].tried.contains(&i) {
-                self.requests[n].tried.push(i);
+            client.ingresses.try_ended(self.now, ingress_index, HealthSignal::Unreachable, &mut random);
+            client.ingresses.connect_failed(self.now, ingress_index, &mut random);
+            self.requests[request_index].ingress = None;
+            if !self.requests[request_index].tried.contains(&ingress_index) {
+                self.requests[request_index].tried.push(ingress_index);
             }
-            return self.start_try(n);
+            return self.start_try(request_index);
         }
-        client.ingresses.connect_succeeded(i);
+        client.ingresses.connect_succeeded(ingress_index);
         self.report.record_connection(self.now);
-        if self.requests[n].is_done {
-            client.ingresses.try_ended(self.now, i, HealthSignal::Answered, &mut random);
-            client.idle[i] += 1;
+        if self.requests[request_index].is_done {
+            client.ingresses.try_ended(self.now, ingress_index, HealthSignal::Answered, &mut random);
+            client.idle[ingress_index] += 1;
             return;
         }
-        self.send_try(n, i, incarnation);
+        self.send_try(request_index, ingress_index, incarnation);
     }
 
-    fn send_try(&mut self, n: usize, i: usize, incarnation: u32) {
-        let c = self.client_of(n);
-        let request = &mut self.requests[n];
-        (request.ingress, request.try_number) = (Some(i), request.try_number + 1);
-        request.tried.push(i);
-        request.retry_state.try_sent(self.now, &self.fleet.retry_policy, &mut self.clients[c].budget);
+    fn send_try(&mut self, request_index: usize, ingress_index: usize, incarnation: u32) {
+        let client_index = self.client_of(request_index);
+        let request = &mut self.requests[request_index];
+        (request.ingress, request.try_number) = (Some(ingress_index), request.try_number + 1);
+        request.tried.push(ingress_index);
+        request.retry_state.try_sent(
+            self.now,
+            &self.fleet.retry_policy,
+            &mut self.clients[client_index].budget,
+        );
         self.report.tries += 1;
-        let arrived = SimEvent::TryArrived { request: n, ingress: i, incarnation };
+        let arrived = SimEvent::TryArrived { request: request_index, ingress: ingress_index, incarnation };
         self.schedule_after(self.fleet.network_delay, arrived);
     }
 
-    fn try_arrived(&mut self, n: usize, i: usize, incarnation: u32) {
-        let (request, ingress) = (&self.requests[n], &mut self.ingresses[i]);
+    fn try_arrived(&mut self, request_index: usize, ingress_index: usize, incarnation: u32) {
+        let (request, ingress) = (&self.requests[request_index], &mut self.ingresses[ingress_index]);
         if !ingress.is_up || ingress.incarnation != incarnation {
             let (try_number, outcome) = (request.try_number, TryOutcome::ConnectionLost);
-            let ended = SimEvent::TryEnded { request: n, try_number, outcome };
+            let ended = SimEvent::TryEnded { request: request_index, try_number, outcome };
             return self.schedule_after(self.fleet.network_delay, ended);
         }
         self.sequence += 1;
         let id = RequestId(self.sequence);
         let units = f64::from(request.arrival.units);
-        ingress.requests.insert(id, IngressRequest { request: n, try_number: request.try_number, units });
+        ingress
+            .requests
+            .insert(id, IngressRequest { request: request_index, try_number: request.try_number, units });
         let ingress_count = self.clients[0].idle.len();
         let request = weldhub::interface::Request {
             id,
@@ -575,44 +594,52 @@
             first: GatewayId(self.workload.first_ingress(request.arrival.customer, ingress_count) as u16),
             repeat: request.try_number > 1,
         };
-        self.feed(i, Event::Request(request));
+        self.feed(ingress_index, Event::Request(request));
     }
 
     /// A client learns the end of a try. Does nothing if the request has ended or a later try was sent.
-    fn try_ended(&mut self, n: usize, try_number: u32, outcome: TryOutcome) {
-        let c = self.client_of(n);
-        if self.requests[n].is_done || self.requests[n].try_number != try_number {
+    fn try_ended(&mut self, request_index: usize, try_number: u32, outcome: TryOutcome) {
+        let client_index = self.client_of(request_index);
+        if self.requests[request_index].is_done || self.requests[request_index].try_number != try_number {
             return;
         }
         let naive = self.fleet.naive;
         let Self { clients, requests, rng, .. } = self;
-        let (client, request) = (&mut clients[c], &mut requests[n]);
+        let (client, request) = (&mut clients[client_index], &mut requests[request_index]);
         let mut random = || if naive { 1.0 } else { rng.f64() };
-        if let Some(i) = request.ingress.take() {
+        if let Some(ingress_index) = request.ingress.take() {
             let signal = if outcome.may_have_run() { HealthSignal::Failed } else { HealthSignal::Answered };
-            client.ingresses.try_ended(self.now, i, signal, &mut random);
+            client.ingresses.try_ended(self.now, ingress_index, signal, &mut random);
             match outcome {
-                TryOutcome::ConnectionLost => client.ingresses.connection_lost(self.now, i, &mut random),
-                TryOutcome::TimedOut | TryOutcome::NotSent => client.ingresses.connection_closed(i),
-                _ => client.idle[i] += 1,
+                TryOutcome::ConnectionLost => {
+                    client.ingresses.connection_lost(self.now, ingress_index, &mut random)
+                }
+                TryOutcome::TimedOut | TryOutcome::NotSent => {
+                    client.ingresses.connection_closed(ingress_index)
+                }
+                _ => client.idle[ingress_index] += 1,
             }
         }
         let policy = &self.fleet.retry_policy;
         let decision =
             request.retry_state.try_ended(self.now, outcome, policy, &mut client.budget, &mut random);
         match (decision, outcome) {
-            (RetryDecision::RetryAt(at), _) => self.schedule_at(at, SimEvent::StartTry { request: n }),
-            (RetryDecision::Stop(_), TryOutcome::Served) => self.request_ended(n, RequestOutcome::Served),
+            (RetryDecision::RetryAt(at), _) => {
+                self.schedule_at(at, SimEvent::StartTry { request: request_index })
+            }
+            (RetryDecision::Stop(_), TryOutcome::Served) => {
+                self.request_ended(request_index, RequestOutcome::Served)
+            }
             (RetryDecision::Stop(_), TryOutcome::Rejected { .. }) => {
-                self.request_ended(n, RequestOutcome::Rejected)
+                self.request_ended(request_index, RequestOutcome::Rejected)
             }
-            (RetryDecision::Stop(_), _) => self.request_ended(n, RequestOutcome::Failed),
+            (RetryDecision::Stop(_), _) => self.request_ended(request_index, RequestOutcome::Failed),
         }
     }
 
     /// Records the end of a request. Does nothing if it has ended before.
-    fn request_ended(&mut self, n: usize, outcome: RequestOutcome) {
-        let request = &mut self.requests[n];
+    fn request_ended(&mut self, request_index: usize, outcome: RequestOutcome) {
+        let request = &mut self.requests[request_index];
         if !std::mem::replace(&mut request.is_done, true) {
             self.open_requests -= 1;
             let (class, latency_ms) = (request.arrival.class, self.now - request.arrival.at);
