--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -23,9 +23,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use weldhub::cluster::packet::{Body, Identity, Packet, fleet_key};
-use weldhub_load::report::End;
+use weldhub_load::report::RequestOutcome;
 use weldhub_load::run::run;
-use weldhub_load::work::{Step, Work};
+use weldhub_load::work::{Step, Workload};
 
 /// The pause between two reads of the members at one admin interface; `poll_members` adds 10 ms for each
 /// ingress.
@@ -363,7 +363,7 @@
             .map(|n| spawn_local(poll_members(n, self.admin_addresses.clone(), start, length)))
             .collect();
         let (workload, fleet_size) = (workload(script), script.fleet_size());
-        let arrivals = workload.as_ref().map(Work::arrivals).unwrap_or_default();
+        let arrivals = workload.as_ref().map(Workload::arrivals).unwrap_or_default();
         let load = workload.map(|workload| {
             let addresses: Vec<String> =
                 self.client_addresses[..fleet_size].iter().map(SocketAddr::to_string).collect();
@@ -406,7 +406,9 @@
         if let Some(load) = load {
             let report = load.await.map_err(|e| e.to_string())??;
             outcome.requests = arrivals.iter().map(|a| (a.customer, a.units)).collect();
-            outcome.request_outcomes = [End::Served, End::Refused, End::Failed].map(|end| report.count(end));
+            outcome.request_outcomes =
+                [RequestOutcome::Served, RequestOutcome::Rejected, RequestOutcome::Failed]
+                    .map(|end| report.count(end));
         }
         outcome.record = self.stand_ins.record();
         Ok(outcome)
@@ -575,16 +577,16 @@
 }
 
 /// Returns the load of a script, which ends two seconds before the trial; `None` if its rate is 0.
-fn workload(script: &Script) -> Option<Work> {
+fn workload(script: &Script) -> Option<Workload> {
     let fleet_size = script.fleet_size();
-    (script.rate > 0.0).then(|| Work {
+    (script.rate > 0.0).then(|| Workload {
         seed: script.seed,
         steps: vec![Step { seconds: script.length as f64 / 1000.0 - 2.0, rate: script.rate }],
         classes: LOAD_CLASSES.iter().filter_map(|class| class.parse().ok()).collect(),
         customers: script.plan.customers,
         plan: PLAN_NAME.into(),
         spread: if script.plan.spread == 0 { fleet_size } else { script.plan.spread.min(fleet_size) },
-        units: script.plan.units,
+        max_units: script.plan.units,
     })
 }
 
