--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -30,7 +30,7 @@
     ) {
         let Some(customer) = self.customers.get_mut(&of.customer) else { return };
         let unasked = std::mem::take(&mut customer.unasked);
-        let pressure = Some(self.taken.or(0.0));
+        let pressure = Some(self.taken.value_or(0.0));
         acts.push(Action::SendToPeer(to.0, Mail::Ask { seq: to.1, of: of.ask(), unasked, pressure }.bytes()));
         acts.push(Action::SetTimer(ASK_WAIT, ASKED));
         self.asked.insert(to.1, Asked { request: of.id, home: to.0, at: now, again });
@@ -47,7 +47,7 @@
             Some(Mail::Ask { seq, of, unasked, pressure }) if self.set.defines(of.plan, of.class) => {
                 self.hear_pressure(now, pressure);
                 let (granted, more) = self.decide(now, (from, seq), &of, unasked);
-                let pressure = Some(self.taken.or(0.0));
+                let pressure = Some(self.taken.value_or(0.0));
                 acts.push(Action::SendToPeer(from, Mail::Answer { seq, granted, more, pressure }.bytes()));
             }
             Some(Mail::Answer { seq, granted, more, pressure }) => {
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -166,7 +166,7 @@
     /// Sets aside for the pool what was borrowed and not used in time, and what the full slice did not take in, up to
     /// what the pool had room for (`most` where that is not known), and `least` in any case. Tells whether so much is set aside.
     fn set_aside_unused(&mut self, now: Millis, [least, most]: [f64; 2]) -> bool {
-        let mut unused = std::mem::take(&mut self.slice.spilled);
+        let mut unused = std::mem::take(&mut self.slice.overflow);
         if now >= self.pool.lease_until {
             unused += std::mem::take(&mut self.pool.borrowed);
         }
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -3,14 +3,14 @@
 
 use crate::interface::{BackendId, IngressId, Millis};
 use crate::state::Limiter;
-use crate::window::{Bucket, Rate, SlidingSum};
+use crate::window::{DecayingRate, SlidingSum, TokenBucket};
 use serde::{Deserialize, Serialize};
 
 /// What this ingress has sent a backend since it started cold.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct SlowStart {
     /// Spreads the slice evenly over the window.
-    credit: Bucket,
+    credit: TokenBucket,
     /// Units of attempts that ended.
     ended: SlidingSum,
     /// Units of those that were served without delay, and how many of them since the credit was last filled.
@@ -34,9 +34,9 @@
 /// Units served, and the backend seconds and weight seconds in which they were, older ones counting less.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 struct Served {
-    units: Rate,
-    seconds: Rate,
-    weight_seconds: Rate,
+    units: DecayingRate,
+    seconds: DecayingRate,
+    weight_seconds: DecayingRate,
 }
 
 /// Over how long work is averaged: a fleet's absence, and of late.
@@ -111,7 +111,7 @@
 impl SlowStart {
     /// Nothing sent yet at `now`.
     pub(crate) fn new(now: Millis) -> Self {
-        Self { credit: Bucket::new(0.0, now), ..Self::default() }
+        Self { credit: TokenBucket::new(0.0, now), ..Self::default() }
     }
 
     /// An attempt of these units ended that reached the backend at `arrived` at the latest, however late its connection
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -8,7 +8,7 @@
 use crate::quota_messages::{counter_keep, counter_step};
 use crate::quota_pool::{PoolTerms, has_pool};
 use crate::state::*;
-use crate::window::{Bucket, poisson_below};
+use crate::window::{TokenBucket, poisson_below};
 use std::collections::BTreeSet;
 
 type Acts = Vec<Action>;
@@ -231,14 +231,15 @@
     fn usual(&self, class: ClassId, units: f64) -> Millis {
         let seen = &self.classes[class.0];
         let guess = self.set.classes[class.0].aim * FIRST_GUESS;
-        seen.latency.or(guess) * (units / seen.units.or(units).max(0.01)).clamp(0.2, 5.0)
+        seen.latency.value_or(guess) * (units / seen.units.value_or(units).max(0.01)).clamp(0.2, 5.0)
     }
 
     fn cost(&self, now: Millis, server: &Server) -> f64 {
         // Prevents a server that goes silent from being preferred for its last good answers.
         let slow = server.slowness(now, SLOWNESS_TAU).max(0.2).max(server.waiting(now) * OUTLIER / SILENCE);
         // Prevents a server that tells nothing, as its answers never come, from looking idler.
-        let (own, busy) = (server.out.len() as f64, 1.0 / (1.3 - server.busy.or(self.busy.or(0.3))));
+        let (own, busy) =
+            (server.out.len() as f64, 1.0 / (1.3 - server.busy.value_or(self.busy.value_or(0.3))));
         let far = self.set.cross_zone_cost && server.entry.zone != self.set.zone;
         slow * busy * (IDLE + own / server.weight()) * if far { ZONE_FACTOR } else { 1.0 }
     }
@@ -412,9 +413,9 @@
     /// How much of their aims answers take. Prevents gateways that see few answers each from cutting their
     /// rooms by chance: what many peers see of the same back end counts for more, while it is fresh.
     pub(crate) fn pressure(&self, now: Millis) -> f64 {
-        let own = self.taken.or(0.0);
+        let own = self.taken.value_or(0.0);
         let fresh = if now - self.heard_at < SHORT_TAU { PEERS_SEE } else { 0.0 };
-        own + (self.heard_pressure.or(own) - own) * fresh
+        own + (self.heard_pressure.value_or(own) - own) * fresh
     }
 
     /// The least capacity: a floor for all gateways together.
@@ -444,7 +445,7 @@
             return plan.rate * part * self.mean_latency(class) / 1000.0;
         }
         // A plan without a rate has no rate slice: half its slice of attempts is its own.
-        plan.max_in_flight * part / 2.0 * self.classes[class.0].units.or(1.0)
+        plan.max_in_flight * part / 2.0 * self.classes[class.0].units.value_or(1.0)
     }
 
     fn admit(&mut self, now: Millis, request: &Request, known: Known) -> Verdict {
@@ -482,7 +483,7 @@
             let unheard = self.report_every() / REPORT[0];
             let (hears, out) = (self.hears(now, customer), customer.out);
             let rate = if plan.rate > 0.0 { plan.rate * (1.0 - even) * USED.0 } else { f64::INFINITY };
-            let elsewhere = rate * self.out_for.or(latency) / 1000.0;
+            let elsewhere = rate * self.out_for.value_or(latency) / 1000.0;
             let limit = match self.source {
                 Source::Peers if hears => share.ceil().min(left).max(left - unheard),
                 Source::Counter if hears && counter_step(&plan, customer.spread) > 0.0 => left,
@@ -581,8 +582,10 @@
         let units = of.units.clamp(0.25, self.set.max_request_units.max(1.0));
         let unasked = unasked.max(-self.set.max_request_units);
         let end = now + self.set.classes[of.class.0].aim;
-        let store =
-            Bucket::new((plan.burst * UNKNOWN).max(self.set.max_request_units).min(plan.burst), self.started);
+        let store = TokenBucket::new(
+            (plan.burst * UNKNOWN).max(self.set.max_request_units).min(plan.burst),
+            self.started,
+        );
         let ledger = self.ledgers.entry(of.customer).or_insert_with(|| Ledger::new(store, QUIET[0]));
         ledger.seen = now;
         ledger.asked.add(now, 1.0, SHORT_TAU);
@@ -711,9 +714,9 @@
     fn likely(&mut self, now: Millis, request: &Request) -> (Known, f64, f64) {
         let even = self.plan(request.plan).break_even_probability();
         let fit = self.fit.get(&(request.plan, request.is_retry));
-        let fit = fit.map_or(even, |f| f.read(now, even, FIT_TAU));
+        let fit = fit.map_or(even, |f| f.value(now, even, FIT_TAU));
         // Only what the back end has room for: where it is pressed, tries that are known to fit come first.
-        let free = ((PRESSED - self.taken.or(0.0)) * 2.0 / PRESSED).clamp(0.0, 1.0);
+        let free = ((PRESSED - self.taken.value_or(0.0)) * 2.0 / PRESSED).clamp(0.0, 1.0);
         let likely = ((fit - even) / (1.0 - even)).max(0.0).powi(2) * free;
         let decides = if fit > even { (1.0 - fit) / (1.0 - even) } else { fit / even };
         (if self.rng.unit() < likely { Known::Likely } else { Known::Alone }, likely, decides)
@@ -755,7 +758,7 @@
         let class = &self.set.classes[open.request.class.0];
         let usual = self.usual(open.request.class, open.request.units);
         let left = open.deadline - now;
-        let hurry = if self.lost.or(0.0) > LOST.0 { LOST.1 } else { 1.0 };
+        let hurry = if self.lost.value_or(0.0) > LOST.0 { LOST.1 } else { 1.0 };
         let patience = (usual * PATIENCE.0).max(class.aim * PATIENCE.1) * hurry;
         let well = self.retries >= 1.0 && self.pressure(now) < PRESSED && patience + usual < left;
         let more = open.attempts.len() + 1 < usize::from(self.set.max_attempts);
@@ -893,7 +896,7 @@
         }
         // Prevents a room that rises or stays while attempts hang: Little's law, and age for sudden bursts.
         self.ended.add(now, request.units, SHORT_TAU);
-        let little = self.in_flight * 1000.0 / self.ended.young(now, SHORT_TAU, now - self.started);
+        let little = self.in_flight * 1000.0 / self.ended.per_second_over(now, SHORT_TAU, now - self.started);
         let waits = little.min(HANGING.1 * (now - self.sent_sum / self.in_flight.max(1e-9))) / aim;
         let (capacity, taken) = (self.capacity(), self.pressure(now));
         let pause = self.mean_latency(request.class).min(aim * PRESSED);
@@ -948,8 +951,8 @@
         for (id, news) in self.take_report(now, from, *incarnation, lines(rest), DEMAND_TAU) {
             let Some(customer) = self.customers.get_mut(&id) else { continue };
             let (rate, burst) = self.set.plans.get(customer.plan.0).map_or((0.0, 0.0), |p| (p.rate, p.burst));
-            customer.store.spilled = customer.store.spilled.min(rate * fresh);
-            customer.store.settle(now, rate, burst, news);
+            customer.store.overflow = customer.store.overflow.min(rate * fresh);
+            customer.store.reconcile(now, rate, burst, news);
         }
     }
 
@@ -963,7 +966,7 @@
                 // Prevents a first total, without an earlier one beside it, from letting everybody in.
                 let most = plan.burst + plan.rate * counter_keep(&plan, customer.spread) / 2000.0;
                 let left = most - customer.call.take_alone(now, total, [added, out]);
-                customer.store = Bucket::new(left.clamp(0.0, plan.burst), now);
+                customer.store = TokenBucket::new(left.clamp(0.0, plan.burst), now);
             }
             CounterAnswer::Total(total) if total.is_finite() => {
                 let step = counter_step(&plan, customer.spread);
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 use crate::ramp::{SlowStart, WarmBackends};
 use crate::slow_start::SERVED_OVER;
 use crate::stats::BackendCounts;
-use crate::window::{Bucket, Ewma, Fading, Rate, Share};
+use crate::window::{DecayingAverage, DecayingRate, Ewma, SuccessShare, TokenBucket};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,11 +63,11 @@
     /// The part of the tries that call the counter.
     pub(crate) calls: f64,
     /// The part of the tries judged by a total that fit, by plan and by whether the client repeats itself.
-    pub(crate) fit: BTreeMap<(PlanId, bool), Share>,
+    pub(crate) fit: BTreeMap<(PlanId, bool), SuccessShare>,
     /// The part of their cores in use that servers tell of.
     pub(crate) busy: Ewma,
     /// Units of attempts that end.
-    pub(crate) ended: Rate,
+    pub(crate) ended: DecayingRate,
     /// How long an attempt is out, however it ends.
     pub(crate) out_for: Ewma,
     /// The part of the attempts that time out.
@@ -127,7 +127,7 @@
             fit: BTreeMap::new(),
             lost: Ewma::default(),
             busy: Ewma::default(),
-            ended: Rate::default(),
+            ended: DecayingRate::default(),
             out_for: Ewma::default(),
             in_flight: 0.0,
             sent_sum: 0.0,
@@ -164,7 +164,7 @@
 
     /// Units of a request on average over the classes that were served; none before any was.
     pub(crate) fn mean_units(&self) -> Option<f64> {
-        let seen = self.classes.iter().map(|class| class.units.or(0.0)).filter(|units| *units > 0.0);
+        let seen = self.classes.iter().map(|class| class.units.value_or(0.0)).filter(|units| *units > 0.0);
         let (sum, count) = seen.fold((0.0, 0.0), |(sum, count), units| (sum + units, count + 1.0));
         (count > 0.0).then(|| sum / count)
     }
@@ -231,13 +231,13 @@
 
     /// How long requests of a class take; its aim before any did.
     pub(crate) fn mean_latency(&self, class: ClassId) -> Millis {
-        self.classes[class.0].latency.or(self.set.classes[class.0].aim)
+        self.classes[class.0].latency.value_or(self.set.classes[class.0].aim)
     }
 
     /// What a class is worth for the time that a unit of it takes, as a part of the class that is worth the most.
     pub(crate) fn worth_for_work(&self, class: ClassId) -> f64 {
         let worth = |class: usize| {
-            let units = self.classes[class].units.or(1.0).max(0.01);
+            let units = self.classes[class].units.value_or(1.0).max(0.01);
             self.set.classes[class].worth * units / self.mean_latency(ClassId(class)).max(0.01)
         };
         let most = (0..self.classes.len()).map(worth).fold(0.0, f64::max);
@@ -289,7 +289,7 @@
     /// How fast servers that have as much in common with this one are for a class, as a part of the fastest, and
     /// as much as its weight is of the largest.
     pub(crate) fn speed(&self, now: Millis, server: &Server, class: ClassId, tau: Millis) -> f64 {
-        let takes = |at: &Taken| at.read(now, tau);
+        let takes = |at: &Taken| at.value(now, tau);
         let part = |scope: Scope| {
             let own = self.scopes.get(&(scope, class)).map_or(1.0, takes);
             let like = |s: &Scope| std::mem::discriminant(s) == std::mem::discriminant(&scope);
@@ -414,8 +414,8 @@
 
 impl Ledger {
     /// A ledger with a store, whose denied askers are to keep away for `quiet`.
-    pub(crate) fn new(store: Bucket, quiet: Millis) -> Self {
-        Self { store, asked: Rate::default(), quiet, out: BTreeMap::new(), seen: 0.0 }
+    pub(crate) fn new(store: TokenBucket, quiet: Millis) -> Self {
+        Self { store, asked: DecayingRate::default(), quiet, out: BTreeMap::new(), seen: 0.0 }
     }
 
     /// What was granted has ended.
@@ -470,9 +470,9 @@
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct Taken {
     /// Usual times beyond the first.
-    times: Fading,
+    times: DecayingAverage,
     /// The part that fails.
-    failed: Fading,
+    failed: DecayingAverage,
     /// What it counts for, if all fails, in usual times.
     most: f64,
 }
@@ -487,8 +487,8 @@
 
     /// The usual times that it takes. Prevents failures that come from all alike, now here and now there, from driving
     /// the traffic about: a small part that fails counts for next to nothing, a large one for nearly all.
-    fn read(&self, now: Millis, tau: Millis) -> f64 {
-        (1.0 + self.times.read(now, tau)).max(0.1) * (1.0 + self.most * self.failed.read(now, tau).powi(3))
+    fn value(&self, now: Millis, tau: Millis) -> f64 {
+        (1.0 + self.times.value(now, tau)).max(0.1) * (1.0 + self.most * self.failed.value(now, tau).powi(3))
     }
 }
 
@@ -530,9 +530,9 @@
 /// What a home holds of a customer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Ledger {
-    pub(crate) store: Bucket,
+    pub(crate) store: TokenBucket,
     /// Asks.
-    pub(crate) asked: Rate,
+    pub(crate) asked: DecayingRate,
     /// How long those who are denied ask no more.
     pub(crate) quiet: Millis,
     /// Tries granted, and when each is taken for ended.
@@ -553,7 +553,7 @@
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct Told {
     pub(crate) drawn: Option<u64>,
-    pub(crate) asked: Rate,
+    pub(crate) asked: DecayingRate,
     pub(crate) out: f64,
 }
 
@@ -566,12 +566,12 @@
     pub(crate) living: u16,
     pub(crate) first: IngressId,
     /// The customer's whole store as far as known.
-    pub(crate) store: Bucket,
+    pub(crate) store: TokenBucket,
     /// The even slice, for when nothing is heard.
-    pub(crate) slice: Bucket,
+    pub(crate) slice: TokenBucket,
     /// The even slice of the hard ceiling; no talk may raise it.
-    pub(crate) ceiling: Bucket,
-    pub(crate) asked: Rate,
+    pub(crate) ceiling: TokenBucket,
+    pub(crate) asked: DecayingRate,
     pub(crate) drawn: f64,
     pub(crate) asked_untold: f64,
     pub(crate) told: BTreeMap<IngressId, Told>,
@@ -579,7 +579,7 @@
     pub(crate) units_out: f64,
     pub(crate) call: Call,
     pub(crate) pool: PoolAccount,
-    pub(crate) others: Rate,
+    pub(crate) others: DecayingRate,
     pub(crate) seen: Millis,
     /// Units granted ahead, and until when.
     pub(crate) credit: f64,
@@ -805,10 +805,10 @@
             spread,
             living: 0,
             first: request.first_ingress,
-            store: Bucket::new(store, started),
-            slice: Bucket::new(store, started),
-            ceiling: Bucket::new(ceiling, started),
-            asked: Rate::default(),
+            store: TokenBucket::new(store, started),
+            slice: TokenBucket::new(store, started),
+            ceiling: TokenBucket::new(ceiling, started),
+            asked: DecayingRate::default(),
             drawn: 0.0,
             asked_untold: 0.0,
             told: BTreeMap::new(),
@@ -816,7 +816,7 @@
             units_out: 0.0,
             call: Call::default(),
             pool: PoolAccount::default(),
-            others: Rate::default(),
+            others: DecayingRate::default(),
             seen: now,
             credit: 0.0,
             credit_until: 0.0,
@@ -843,7 +843,7 @@
         (self.credit, self.quiet_until) = (0.0, 0.0);
         (self.call.total, self.call.heard) = (None, None);
         // What was borrowed or set aside under the old plan is forgotten: nothing of it is used.
-        (self.pool, self.slice.spilled) = (PoolAccount::default(), 0.0);
+        (self.pool, self.slice.overflow) = (PoolAccount::default(), 0.0);
     }
 }
 
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,41 +1,43 @@
-//! Statistics over time: plain mechanism, without a default or a tuned value.
+//! Statistics over time: token bucket, moving averages and sums. Time constants (`tau`) and weights are
+//! passed in by the caller.
 
 use crate::interface::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A level that fills at a rate up to a bound, as a token bucket does.
+/// A token bucket whose rate and burst are passed in on each fill.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Bucket {
-    /// What it holds now.
+pub(crate) struct TokenBucket {
+    /// The number of tokens, in units; may be set below 0.
     pub(crate) level: f64,
-    /// What could not be filled in because it was full, since this was last set to 0.
-    pub(crate) spilled: f64,
-    at: Millis,
+    /// Tokens that did not fit in because the bucket was full, since this was last reset to 0.
+    pub(crate) overflow: f64,
+    /// When the bucket was last filled.
+    updated_at: Millis,
 }
 
-impl Bucket {
-    /// A bucket that holds `level` at `now`.
+impl TokenBucket {
+    /// Returns a bucket that holds `level` tokens at `now`.
     pub(crate) fn new(level: f64, now: Millis) -> Self {
-        Self { level, spilled: 0.0, at: now }
+        Self { level, overflow: 0.0, updated_at: now }
     }
 
-    /// Fills up to `now` at `rate` a second, to `depth` at the most, and tells the level.
-    pub(crate) fn fill(&mut self, now: Millis, rate: f64, depth: f64) -> f64 {
-        let raised = self.level + rate * (now - self.at).max(0.0) / 1000.0;
-        self.level = raised.min(depth);
-        self.spilled += raised - self.level;
-        self.at = self.at.max(now);
+    /// Fills the bucket up to `now` at `rate` tokens a second, to at most `burst`, and returns the level.
+    pub(crate) fn fill(&mut self, now: Millis, rate: f64, burst: f64) -> f64 {
+        let filled = self.level + rate * (now - self.updated_at).max(0.0) / 1000.0;
+        self.level = filled.min(burst);
+        self.overflow += filled - self.level;
+        self.updated_at = self.updated_at.max(now);
         self.level
     }
 
-    /// Takes out what others are now known to have drawn, or puts in what they gave back; what had spilled
-    /// over pays first.
-    pub(crate) fn settle(&mut self, now: Millis, rate: f64, depth: f64, drawn: f64) {
-        self.fill(now, rate, depth);
-        let net = if drawn > 0.0 { (drawn - self.spilled).max(0.0) } else { drawn };
-        self.level = (self.level - net).clamp(0.0, depth.max(0.0));
-        self.spilled = 0.0;
+    /// Removes `drawn` tokens that others are now known to have drawn, or adds them if `drawn` is negative.
+    /// The overflow since the last call is used up first.
+    pub(crate) fn reconcile(&mut self, now: Millis, rate: f64, burst: f64, drawn: f64) {
+        self.fill(now, rate, burst);
+        let net = if drawn > 0.0 { (drawn - self.overflow).max(0.0) } else { drawn };
+        self.level = (self.level - net).clamp(0.0, burst.max(0.0));
+        self.overflow = 0.0;
     }
 }
 
@@ -44,142 +46,145 @@
 pub(crate) struct Ewma(Option<f64>);
 
 impl Ewma {
-    /// Takes in `sample` with the given weight.
+    /// Adds `sample` with the given weight, from 0 to 1.
     pub(crate) fn add(&mut self, sample: f64, weight: f64) {
         self.0 = Some(self.0.map_or(sample, |old| old + (sample - old) * weight));
     }
 
-    /// The average, or `otherwise` before any sample.
-    pub(crate) fn or(&self, otherwise: f64) -> f64 {
-        self.0.unwrap_or(otherwise)
+    /// Returns the average, or `default` before the first sample.
+    pub(crate) fn value_or(&self, default: f64) -> f64 {
+        self.0.unwrap_or(default)
     }
 }
 
-/// A share that fades to nothing while nothing is seen.
+/// A moving average that decays to 0 while there are no samples.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingAverage {
     value: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Fading {
-    /// Takes in `sample` with the given weight.
+impl DecayingAverage {
+    /// Adds `sample` with the given weight, from 0 to 1.
     pub(crate) fn add(&mut self, now: Millis, sample: f64, weight: f64, tau: Millis) {
-        let old = self.read(now, tau);
-        (self.value, self.at) = (old + (sample - old) * weight, now);
+        let old = self.value(now, tau);
+        (self.value, self.updated_at) = (old + (sample - old) * weight, now);
     }
 
-    /// What is left of it at `now`.
-    pub(crate) fn read(&self, now: Millis, tau: Millis) -> f64 {
-        self.value * (-(now - self.at).max(0.0) / tau).exp()
+    /// Returns the average at `now`, decayed with the time constant `tau`.
+    pub(crate) fn value(&self, now: Millis, tau: Millis) -> f64 {
+        self.value * (-(now - self.updated_at).max(0.0) / tau).exp()
     }
 }
 
-/// The part of the samples that were good, older ones counting exponentially less.
+/// The fraction of samples that were successes, with exponentially decaying weights.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Share {
-    good: Rate,
-    all: Rate,
+pub(crate) struct SuccessShare {
+    successes: DecayingRate,
+    samples: DecayingRate,
 }
 
-impl Share {
-    /// Takes in a sample.
-    pub(crate) fn add(&mut self, now: Millis, good: bool, tau: Millis) {
-        self.good.add(now, f64::from(good), tau);
-        self.all.add(now, 1.0, tau);
+impl SuccessShare {
+    /// Adds a sample.
+    pub(crate) fn add(&mut self, now: Millis, success: bool, tau: Millis) {
+        self.successes.add(now, f64::from(success), tau);
+        self.samples.add(now, 1.0, tau);
     }
 
-    /// The share, as if one more sample had been worth `prior`.
-    pub(crate) fn read(&self, now: Millis, prior: f64, tau: Millis) -> f64 {
-        (self.good.decayed(now, tau) + prior) / (self.all.decayed(now, tau) + 1.0)
+    /// Returns the fraction, with one more sample of the value `prior` added.
+    pub(crate) fn value(&self, now: Millis, prior: f64, tau: Millis) -> f64 {
+        (self.successes.decayed(now, tau) + prior) / (self.samples.decayed(now, tau) + 1.0)
     }
 }
 
-/// Amounts a second, older ones counting exponentially less.
+/// A rate estimated from amounts with exponentially decaying weights.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Rate {
+pub(crate) struct DecayingRate {
     sum: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Rate {
-    /// Adds `amount` at `now`, with the memory `tau`.
+impl DecayingRate {
+    /// Adds `amount` at `now`, with the time constant `tau`.
     pub(crate) fn add(&mut self, now: Millis, amount: f64, tau: Millis) {
         self.sum = self.decayed(now, tau) + amount;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// The rate a second at `now`.
+    /// Returns the rate a second at `now`.
     pub(crate) fn per_second(&self, now: Millis, tau: Millis) -> f64 {
         self.decayed(now, tau) * 1000.0 / tau
     }
 
-    /// The rate a second at `now`, of amounts that have been added for `life` only.
-    pub(crate) fn young(&self, now: Millis, tau: Millis, life: Millis) -> f64 {
-        self.per_second(now, tau) / (1.0 - (-life / tau).exp())
+    /// Returns the rate a second at `now`, corrected for amounts having been added for `observed`
+    /// milliseconds only.
+    pub(crate) fn per_second_over(&self, now: Millis, tau: Millis, observed: Millis) -> f64 {
+        self.per_second(now, tau) / (1.0 - (-observed / tau).exp())
     }
 
-    /// What is left of the amounts at `now`.
+    /// Returns the decayed sum of the amounts at `now`.
     pub(crate) fn total(&self, now: Millis, tau: Millis) -> f64 {
         self.decayed(now, tau)
     }
 
     fn decayed(&self, now: Millis, tau: Millis) -> f64 {
-        self.sum * (-(now - self.at).max(0.0) / tau).exp()
+        self.sum * (-(now - self.updated_at).max(0.0) / tau).exp()
     }
 }
 
-/// Amounts that are kept for a span after they were added, in at most [`SlidingSum::PARTS`] parts.
+/// The sum of the amounts of a sliding window, kept in segments of at least one
+/// [`SlidingSum::MAX_SEGMENTS`]th of the window.
 ///
-/// A part is kept until the span after its last amount is over, so the sum is never below the true one.
+/// A segment is kept until the window after its last amount is over, so the sum is never below the true one.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct SlidingSum {
-    parts: VecDeque<Part>,
+    segments: VecDeque<Segment>,
 }
 
 /// Amounts that were added close together.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Part {
+struct Segment {
     first: Millis,
     last: Millis,
     amount: f64,
 }
 
 impl SlidingSum {
-    /// The parts that a span is kept in, at the most and one more.
-    const PARTS: f64 = 32.0;
+    /// The number of segments of a window; one more may be partly outside it.
+    const MAX_SEGMENTS: f64 = 32.0;
 
     /// Adds `amount` at `now`.
-    pub(crate) fn add(&mut self, now: Millis, amount: f64, span: Millis) {
-        self.drop_before(now - span);
-        match self.parts.back_mut().filter(|part| now - part.first < span / Self::PARTS) {
-            Some(part) => {
-                part.last = part.last.max(now);
-                part.amount += amount;
+    pub(crate) fn add(&mut self, now: Millis, amount: f64, window: Millis) {
+        self.drop_before(now - window);
+        match self.segments.back_mut().filter(|segment| now - segment.first < window / Self::MAX_SEGMENTS) {
+            Some(segment) => {
+                segment.last = segment.last.max(now);
+                segment.amount += amount;
             }
-            None => self.parts.push_back(Part { first: now, last: now, amount }),
+            None => self.segments.push_back(Segment { first: now, last: now, amount }),
         }
     }
 
-    /// What was added in the span that ends at `now`.
-    pub(crate) fn sum(&mut self, now: Millis, span: Millis) -> f64 {
-        self.drop_before(now - span);
-        self.parts.iter().map(|part| part.amount).sum()
+    /// Returns the sum of the window that ends at `now`.
+    pub(crate) fn sum(&mut self, now: Millis, window: Millis) -> f64 {
+        self.drop_before(now - window);
+        self.segments.iter().map(|segment| segment.amount).sum()
     }
 
     fn drop_before(&mut self, oldest: Millis) {
-        while self.parts.front().is_some_and(|part| part.last < oldest) {
-            self.parts.pop_front();
+        while self.segments.front().is_some_and(|segment| segment.last < oldest) {
+            self.segments.pop_front();
         }
     }
 }
 
-/// The chance that a Poisson variable with this mean is below `most`.
-pub(crate) fn poisson_below(most: f64, mean: f64) -> f64 {
+/// Returns the probability that a Poisson variable with this mean is below `limit`. Limits over 100 count as
+/// 100.
+pub(crate) fn poisson_below(limit: f64, mean: f64) -> f64 {
     let term = |last: &mut f64, k: u32| {
         let now = *last;
         *last *= mean / f64::from(k + 1);
         Some(now)
     };
-    (0..most.clamp(0.0, 100.0).ceil() as u32).scan((-mean).exp(), term).sum()
+    (0..limit.clamp(0.0, 100.0).ceil() as u32).scan((-mean).exp(), term).sum()
 }
