--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -2,7 +2,7 @@
 //! answers and ends, and calls to the shared counter. What they decide is in `src/rules.rs`.
 
 use crate::interface::*;
-use crate::mail::Mail;
+use crate::peer_messages::QuotaMessage;
 use crate::quota_pool::has_pool;
 use crate::rules::{ASK_WAIT, FEW, WEIGHT, sparse};
 use crate::state::*;
@@ -31,7 +31,10 @@
         let Some(customer) = self.customers.get_mut(&of.customer) else { return };
         let unasked = std::mem::take(&mut customer.unasked);
         let pressure = Some(self.taken.value_or(0.0));
-        acts.push(Action::SendToPeer(to.0, Mail::Ask { seq: to.1, of: of.ask(), unasked, pressure }.bytes()));
+        acts.push(Action::SendToPeer(
+            to.0,
+            QuotaMessage::Request { seq: to.1, request: of.ask(), drawn: unasked, pressure }.encode(),
+        ));
         acts.push(Action::SetTimer(ASK_WAIT, ASKED));
         self.asked.insert(to.1, Asked { request: of.id, home: to.0, at: now, again });
     }
@@ -40,21 +43,26 @@
         &mut self,
         now: Millis,
         from: IngressId,
-        mail: Option<Mail>,
+        mail: Option<QuotaMessage>,
         acts: &mut Vec<Action>,
     ) {
         match mail {
-            Some(Mail::Ask { seq, of, unasked, pressure }) if self.set.defines(of.plan, of.class) => {
+            Some(QuotaMessage::Request { seq, request: of, drawn: unasked, pressure })
+                if self.set.defines(of.plan, of.class) =>
+            {
                 self.hear_pressure(now, pressure);
                 let (granted, more) = self.decide(now, (from, seq), &of, unasked);
                 let pressure = Some(self.taken.value_or(0.0));
-                acts.push(Action::SendToPeer(from, Mail::Answer { seq, granted, more, pressure }.bytes()));
+                acts.push(Action::SendToPeer(
+                    from,
+                    QuotaMessage::Answer { seq, granted, credit_or_pause: more, pressure }.encode(),
+                ));
             }
-            Some(Mail::Answer { seq, granted, more, pressure }) => {
+            Some(QuotaMessage::Answer { seq, granted, credit_or_pause: more, pressure }) => {
                 self.hear_pressure(now, pressure);
                 self.on_answer(now, (from, seq), granted, more, acts)
             }
-            Some(Mail::Done { seq, customer }) => {
+            Some(QuotaMessage::Released { seq, customer }) => {
                 self.ledgers.entry(customer).and_modify(|ledger| ledger.end((from, seq)));
             }
             _ => {}
@@ -64,10 +72,10 @@
     /// Tells the home that a granted try has ended, where it counts what is out.
     pub(crate) fn release(&mut self, open: &Open, acts: &mut Vec<Action>) {
         let Some((home, seq)) = open.home else { return };
-        let done = Mail::Done { seq, customer: open.request.customer };
+        let done = QuotaMessage::Released { seq, customer: open.request.customer };
         match home == self.set.ingress {
             true => self.on_home_mail(0.0, home, Some(done), acts),
-            false => acts.push(Action::SendToPeer(home, done.bytes())),
+            false => acts.push(Action::SendToPeer(home, done.encode())),
         }
     }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,7 +4,7 @@
 //! The ordinary path: the customer's rate bucket, then its in-flight limit, its reservation, the shared room.
 
 use crate::interface::*;
-use crate::mail::{Ask, Mail, lines};
+use crate::peer_messages::{QuotaMessage, QuotaRequest, decode_report_lines};
 use crate::quota_messages::{counter_keep, counter_step};
 use crate::quota_pool::{PoolTerms, has_pool};
 use crate::state::*;
@@ -574,7 +574,7 @@
         &mut self,
         now: Millis,
         who: (IngressId, u64),
-        of: &Ask,
+        of: &QuotaRequest,
         unasked: f64,
     ) -> (bool, f64) {
         let plan = self.plan(of.plan);
@@ -945,10 +945,10 @@
             return;
         }
         if self.homes() {
-            return self.on_home_mail(now, from, Mail::read(bytes), acts);
+            return self.on_home_mail(now, from, QuotaMessage::decode(bytes), acts);
         }
         let fresh = 2.0 * self.report_every() / 1000.0;
-        for (id, news) in self.take_report(now, from, *incarnation, lines(rest), DEMAND_TAU) {
+        for (id, news) in self.take_report(now, from, *incarnation, decode_report_lines(rest), DEMAND_TAU) {
             let Some(customer) = self.customers.get_mut(&id) else { continue };
             let (rate, burst) = self.set.plans.get(customer.plan.0).map_or((0.0, 0.0), |p| (p.rate, p.burst));
             customer.store.overflow = customer.store.overflow.min(rate * fresh);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What a limiter remembers: plain records, without a decision or a figure.
 
 use crate::interface::*;
-use crate::mail::{Ask, quarters, report};
+use crate::peer_messages::{QuotaRequest, encode_report_line, quarters};
 use crate::prng::Prng;
 use crate::quota_pool::PoolAccount;
 use crate::ramp::{SlowStart, WarmBackends};
@@ -308,7 +308,7 @@
         for id in &self.untold {
             let Some(customer) = self.customers.get_mut(id) else { continue };
             let asked = quarters(std::mem::take(&mut customer.asked_untold));
-            let line = report([id.0, quarters(customer.drawn), asked, customer.out as u64]);
+            let line = encode_report_line([id.0, quarters(customer.drawn), asked, customer.out as u64]);
             let customer = &self.customers[id];
             for peer in self.set_of(customer) {
                 if let Some(bytes) =
@@ -444,8 +444,8 @@
 
 impl Request {
     /// What a home is to know of it.
-    pub(crate) fn ask(&self) -> Ask {
-        Ask { customer: self.customer, plan: self.plan, class: self.class, units: self.units }
+    pub(crate) fn ask(&self) -> QuotaRequest {
+        QuotaRequest { customer: self.customer, plan: self.plan, class: self.class, units: self.units }
     }
 
     /// The gateways of its set that are to keep its customer's quota, in turn; all agree on them.
--- a/src/window.rs
+++ b/src/window.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// The sum of the amounts of a sliding window, kept in segments of at least one
-/// [`SlidingSum::MAX_SEGMENTS`]th of the window.
+/// The sum of the amounts of a sliding window, kept in segments that start at least
+/// 1 / [`SlidingSum::MAX_SEGMENTS`] of the window apart.
 ///
 /// A segment is kept until the window after its last amount is over, so the sum is never below the true one.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
