--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -1,152 +1,167 @@
-//! What an ingress has sent a backend that started cold, and the order in which the ingresses of a fleet fill it:
-//! records and arithmetic. How much may be sent is decided in `src/slow_start.rs`.
+//! State and arithmetic of slow start: what an ingress has sent a backend that started cold, what the warm
+//! backends served, and the order in which the ingresses of a fleet send to a cold backend. The limits are
+//! set in `src/slow_start.rs`.
 
 use crate::interface::{BackendId, IngressId, Millis};
 use crate::state::Limiter;
 use crate::window::{DecayingRate, SlidingSum, TokenBucket};
 use serde::{Deserialize, Serialize};
 
-/// What this ingress has sent a backend since it started cold.
+/// What this ingress has sent a backend since that started cold.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct SlowStart {
     /// Spreads the slice evenly over the window.
-    credit: TokenBucket,
-    /// Units of attempts that ended.
+    tokens: TokenBucket,
+    /// Units of attempts that ended within the window.
     ended: SlidingSum,
-    /// Units of those that were served without delay, and how many of them since the credit was last filled.
+    /// Units served without delay within the window.
     served: SlidingSum,
-    again: f64,
+    /// Units served without delay since the tokens were last refilled.
+    served_since_refill: f64,
 }
 
-/// What the warm backends of one sort served of an ingress's work, beside how long they were there to do so. While
-/// there are none the two fade alike, so what is known of one backend stays.
+/// The work of this ingress that a group of warm backends served, and for how long they were ready. While
+/// there are no warm backends both decay alike, so the rate of one backend stays known.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct WarmBackends {
-    /// How many there are.
+    /// The number of warm backends.
     pub(crate) count: f64,
     /// The sum of their listed weights.
-    weight: f64,
+    total_weight: f64,
+    /// When they were last counted.
     counted_at: Option<Millis>,
-    long: Served,
-    short: Served,
+    /// Work averaged over [`AveragingTimes::long`].
+    long_term: ServedWork,
+    /// Work averaged over [`AveragingTimes::short`].
+    short_term: ServedWork,
 }
 
-/// Units served, and the backend seconds and weight seconds in which they were, older ones counting less.
+/// Units served, and the seconds of backends, and of weight, in which they were served; all decay
+/// exponentially.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-struct Served {
+struct ServedWork {
     units: DecayingRate,
     seconds: DecayingRate,
     weight_seconds: DecayingRate,
 }
 
-/// Over how long work is averaged: a fleet's absence, and of late.
+/// Time constants over which served work is averaged.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Averaging {
+pub(crate) struct AveragingTimes {
+    /// Longer than a fleet of ingresses is absent.
     pub(crate) long: Millis,
+    /// For recent work.
     pub(crate) short: Millis,
-    /// Less than so long tells nothing.
-    pub(crate) least: Millis,
+    /// Shorter observations count as this long.
+    pub(crate) min_observed: Millis,
 }
 
 impl WarmBackends {
-    /// Accounts for the time since the last count, and begins a new one.
-    pub(crate) fn recount(&mut self, now: Millis, over: Averaging) {
+    /// Accounts for the time since the last count and starts a new count at zero.
+    pub(crate) fn recount(&mut self, now: Millis, averaging: AveragingTimes) {
         let seconds = self.counted_at.map_or(0.0, |at| (now - at).max(0.0) / 1000.0);
-        for (served, tau) in [(&mut self.long, over.long), (&mut self.short, over.short)] {
+        for (served, tau) in [(&mut self.long_term, averaging.long), (&mut self.short_term, averaging.short)]
+        {
             served.seconds.add(now, seconds * self.count, tau);
-            served.weight_seconds.add(now, seconds * self.weight, tau);
+            served.weight_seconds.add(now, seconds * self.total_weight, tau);
         }
-        (self.count, self.weight, self.counted_at) = (0.0, 0.0, Some(now));
+        (self.count, self.total_weight, self.counted_at) = (0.0, 0.0, Some(now));
     }
 
-    /// One of this listed weight is there.
-    pub(crate) fn join(&mut self, weight: f64) {
+    /// Counts a backend of this listed weight.
+    pub(crate) fn add_backend(&mut self, weight: f64) {
         self.count += 1.0;
-        self.weight += weight;
+        self.total_weight += weight;
     }
 
-    /// One of them served so many units.
-    pub(crate) fn served(&mut self, now: Millis, units: f64, over: Averaging) {
-        self.long.units.add(now, units, over.long);
-        self.short.units.add(now, units, over.short);
+    /// Records that one of the backends served these units.
+    pub(crate) fn record_served(&mut self, now: Millis, units: f64, averaging: AveragingTimes) {
+        self.long_term.units.add(now, units, averaging.long);
+        self.short_term.units.add(now, units, averaging.short);
     }
 
-    /// Units a second that one of this listed weight serves; none where that is not known. The weight, perhaps a guess
-    /// or of the moment, may lower that and not raise it.
-    pub(crate) fn one_serves(&self, now: Millis, weight: f64, over: Averaging) -> Option<f64> {
-        let rate = |served: &Served, tau: Millis| {
-            let least = self.count.max(1.0) * over.least / 1000.0;
+    /// Returns the units a second that one backend of this listed weight serves; `None` if no warm backend
+    /// was observed. A listed weight may be an estimate or momentary, so it may lower the rate but not raise
+    /// it.
+    pub(crate) fn rate_of_one(&self, now: Millis, weight: f64, averaging: AveragingTimes) -> Option<f64> {
+        let rate = |served: &ServedWork, tau: Millis| {
+            let min_seconds = self.count.max(1.0) * averaging.min_observed / 1000.0;
             let units = served.units.total(now, tau);
-            let each = units / served.seconds.total(now, tau).max(least);
-            let least_weight = self.weight.max(0.01) * over.least / 1000.0;
-            let by_weight = units / served.weight_seconds.total(now, tau).max(least_weight);
-            each.min(by_weight * weight)
+            let per_backend = units / served.seconds.total(now, tau).max(min_seconds);
+            let min_weight_seconds = self.total_weight.max(0.01) * averaging.min_observed / 1000.0;
+            let per_weight = units / served.weight_seconds.total(now, tau).max(min_weight_seconds);
+            per_backend.min(per_weight * weight)
         };
-        let long = rate(&self.long, over.long);
-        let rising = rate(&self.short, over.short);
-        (self.long.seconds.total(now, over.long) > 0.0).then(|| long.max(rising))
+        let long_term = rate(&self.long_term, averaging.long);
+        let short_term = rate(&self.short_term, averaging.short);
+        (self.long_term.seconds.total(now, averaging.long) > 0.0).then(|| long_term.max(short_term))
     }
 }
 
-/// The part of the fleet's budget that one ingress has.
+/// One ingress's share of the fleet's budget for a cold backend.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Slice {
     /// Units a second.
     pub(crate) rate: f64,
     /// Units of a mean request.
-    pub(crate) request: f64,
-    /// What was served in a window may be sent so many times in the next, in place of the slice ...
+    pub(crate) mean_request: f64,
+    /// In place of the slice, this multiple of what was served in a window may be sent in the next.
     pub(crate) served_growth: f64,
-    /// ... up to so many slices.
-    pub(crate) most_slices: f64,
-    /// The part of what was served that may be sent again at once.
-    pub(crate) served_again: f64,
-    /// What may be saved up: so many requests, or this part of the slice of a window if that is more.
-    pub(crate) saved: f64,
-    pub(crate) saved_share: f64,
-    /// The window that the settings name.
+    /// The most that may be sent in a window because of that, in slices.
+    pub(crate) max_slices: f64,
+    /// The fraction of the served units that is added to the tokens at once.
+    pub(crate) served_refill: f64,
+    /// The most tokens that are saved up, in requests.
+    pub(crate) saved_requests: f64,
+    /// The same as a fraction of the slice of a window; the larger of the two counts.
+    pub(crate) saved_window_share: f64,
+    /// The backend's overload window ([`ColdStart::overload_window`](crate::interface::ColdStart)).
     pub(crate) window: Millis,
 }
 
 impl SlowStart {
-    /// Nothing sent yet at `now`.
+    /// Returns the state of a backend to which nothing was sent as of `now`.
     pub(crate) fn new(now: Millis) -> Self {
-        Self { credit: TokenBucket::new(0.0, now), ..Self::default() }
+        Self { tokens: TokenBucket::new(0.0, now), ..Self::default() }
     }
 
-    /// An attempt of these units ended that reached the backend at `arrived` at the latest, however late its connection
-    /// came up.
-    pub(crate) fn ended(&mut self, arrived: Millis, units: f64, window: Millis) {
+    /// Records the end of an attempt that reached the backend at `arrived` at the latest, even if its
+    /// connection came up late.
+    pub(crate) fn record_ended(&mut self, arrived: Millis, units: f64, window: Millis) {
         self.ended.add(arrived, units, window);
     }
 
-    /// The backend served these units without delay.
-    pub(crate) fn served(&mut self, now: Millis, units: f64, window: Millis) {
+    /// Records units that the backend served without delay.
+    pub(crate) fn record_served(&mut self, now: Millis, units: f64, window: Millis) {
         self.served.add(now, units, window);
-        self.again += units;
+        self.served_since_refill += units;
     }
 
-    /// Whether a request of these units may be sent beside `out` units; a yes uses its part of the slice.
-    pub(crate) fn admits(&mut self, now: Millis, units: f64, out: f64, slice: Slice) -> bool {
-        self.credit.level += slice.served_again * std::mem::take(&mut self.again);
-        let base = slice.rate * slice.window / 1000.0;
-        let depth = (slice.saved * units.max(slice.request)).max(slice.saved_share * base);
-        let credit = self.credit.fill(now, slice.rate, depth);
+    /// Returns whether a request of `units` may be sent while `in_flight` units are, and if so takes its
+    /// tokens.
+    pub(crate) fn try_admit(&mut self, now: Millis, units: f64, in_flight: f64, slice: Slice) -> bool {
+        self.tokens.level += slice.served_refill * std::mem::take(&mut self.served_since_refill);
+        let slice_units = slice.rate * slice.window / 1000.0;
+        let max_tokens = (slice.saved_requests * units.max(slice.mean_request))
+            .max(slice.saved_window_share * slice_units);
+        let tokens = self.tokens.fill(now, slice.rate, max_tokens);
         let served = self.served.sum(now, slice.window);
-        let budget = (served * slice.served_growth).clamp(base, base * slice.most_slices.max(1.0));
-        let sent = out + self.ended.sum(now, slice.window);
-        // To the nearest whole request, and to one at the least.
+        let budget =
+            (served * slice.served_growth).clamp(slice_units, slice_units * slice.max_slices.max(1.0));
+        let sent = in_flight + self.ended.sum(now, slice.window);
+        // Rounds to the nearest whole request; at least one is allowed.
         let fits = sent <= 0.0 || sent + units / 2.0 <= budget;
-        let admitted = credit >= units && fits;
+        let admitted = tokens >= units && fits;
         if admitted {
-            self.credit.level -= units;
+            self.tokens.level -= units;
         }
         admitted
     }
 }
 
 impl Limiter {
-    /// How many living ingresses come before this one in the order in which they fill a cold backend.
+    /// Returns the number of live ingresses that come before this one in the order in which they send to a
+    /// cold backend.
     pub(crate) fn slow_start_rank(&self, id: BackendId) -> u16 {
         let order = FillOrder::new(id, self.set.ingress_count);
         let own = order.rank(self.set.ingress);
@@ -160,8 +175,8 @@
     }
 }
 
-/// A backend's own order of all ingresses: an affine permutation, so that neighbours, which may all see several times the
-/// mean traffic, do not come first together.
+/// A backend's own order of all ingresses: an affine permutation, so that neighbouring ingresses, all of
+/// which may see several times the mean traffic, do not come first together.
 struct FillOrder {
     ingresses: u64,
     stride: u64,
@@ -169,23 +184,24 @@
 }
 
 impl FillOrder {
-    /// The order of this backend over so many ingresses.
+    /// Returns the order for this backend.
     fn new(backend: BackendId, ingresses: u16) -> Self {
         let ingresses = u64::from(ingresses.max(1));
-        let mixed = split_mix(backend.0);
+        let mixed = split_mix_64(backend.0);
         let coprime = |stride: &u64| greatest_common_divisor(*stride, ingresses) == 1;
         let stride = (1 + (mixed >> 32) % ingresses..).find(coprime).unwrap_or(1);
         Self { ingresses, stride, offset: mixed & 0xffff_ffff }
     }
 
-    /// The place of an ingress.
+    /// Returns the position of an ingress, counted from 0.
     fn rank(&self, ingress: IngressId) -> u16 {
         ((u64::from(ingress.0) * self.stride + self.offset) % self.ingresses) as u16
     }
 }
 
-/// The first number of the SplitMix64 generator from this seed: the same in all versions, whatever the ids look like.
-fn split_mix(seed: u64) -> u64 {
+/// Returns the first output of the SplitMix64 generator for this seed. All versions of the program must agree
+/// on it; it mixes well whatever the ids look like.
+fn split_mix_64(seed: u64) -> u64 {
     let mixed = seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -293,7 +293,7 @@
             let cold = self.warmth(now, server) < 1.0;
             let bad = self.passed_over(now, server) && !self.shared;
             if (tried && from.len() > 1)
-                || (cold && (own || !self.slow_start_admits(now, from[k], open.request.units)))
+                || (cold && (own || !self.try_slow_start_admit(now, from[k], open.request.units)))
             {
                 continue;
             }
@@ -323,7 +323,7 @@
         let fits = |this: &mut Self, id: BackendId| {
             let tried = open.attempts.iter().any(|a| a.server == id) && this.ready.len() != 1;
             let well = this.servers.get(&id).is_some_and(|s| this.shared || !this.passed_over(now, s));
-            !tried && well && this.slow_start_admits(now, id, open.request.units)
+            !tried && well && this.try_slow_start_admit(now, id, open.request.units)
         };
         let found = (0..cold.len()).map(|i| cold[(start + i) % cold.len()]).find(|id| fits(self, *id));
         self.cold = cold;
@@ -866,10 +866,10 @@
             }
             // A warm backend needs no account: it begins anew where it starts cold.
             if !cold.is_warm(server.started, now) {
-                server.slow_start.ended(now - end.elapsed.min(usual), request.units, window);
+                server.slow_start.record_ended(now - end.elapsed.min(usual), request.units, window);
                 // One that could do more does not idle where the warm ones served little, or are dead.
                 if served && end.elapsed < UNDELAYED * usual {
-                    server.slow_start.served(now, request.units, window);
+                    server.slow_start.record_served(now, request.units, window);
                 }
             }
             if served {
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
 use crate::prng::Prng;
 use crate::quota_pool::PoolAccount;
 use crate::ramp::{SlowStart, WarmBackends};
-use crate::slow_start::SERVED_OVER;
+use crate::slow_start::SERVED_AVERAGING;
 use crate::stats::BackendCounts;
 use crate::window::{DecayingAverage, DecayingRate, Ewma, SuccessShare, TokenBucket};
 use serde::{Deserialize, Serialize};
@@ -153,12 +153,12 @@
 
     /// Counts the warm backends that are ready, in all and by their kind.
     pub(crate) fn count_warm(&mut self, now: Millis) {
-        self.warm.recount(now, SERVED_OVER);
-        self.warm_by_kind.values_mut().for_each(|warm| warm.recount(now, SERVED_OVER));
+        self.warm.recount(now, SERVED_AVERAGING);
+        self.warm_by_kind.values_mut().for_each(|warm| warm.recount(now, SERVED_AVERAGING));
         let ready = self.ready.iter().filter_map(|id| self.servers.get(id));
         for server in ready.filter(|server| self.set.cold.is_warm(server.started, now)) {
-            self.warm.join(server.weight());
-            self.warm_by_kind.entry(server.entry.kind).or_default().join(server.weight());
+            self.warm.add_backend(server.weight());
+            self.warm_by_kind.entry(server.entry.kind).or_default().add_backend(server.weight());
         }
     }
 
