--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -4,7 +4,7 @@
 use crate::interface::*;
 use crate::peer_messages::QuotaMessage;
 use crate::quota_pool::has_pool;
-use crate::rules::{ASK_WAIT, FEW, WEIGHT, sparse};
+use crate::rules::{QUOTA_ANSWER_TIMEOUT, SAMPLE_WEIGHT, SMALL_FLEET_INGRESSES, sparse};
 use crate::state::*;
 
 /// The counter keeps a name as long as it may; less where it holds attempts that a killed gateway had out.
@@ -16,7 +16,7 @@
     /// A peer told its pressure.
     pub(crate) fn hear_pressure(&mut self, now: Millis, pressure: Option<f64>) {
         let Some(pressure) = pressure else { return };
-        self.heard_pressure.add(pressure, WEIGHT);
+        self.heard_pressure.add(pressure, SAMPLE_WEIGHT);
         self.heard_at = now;
     }
 
@@ -35,7 +35,7 @@
             to.0,
             QuotaMessage::Request { seq: to.1, request: of.ask(), drawn: unasked, pressure }.encode(),
         ));
-        acts.push(Action::SetTimer(ASK_WAIT, ASKED));
+        acts.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, ASKED));
         self.asked.insert(to.1, Asked { request: of.id, home: to.0, at: now, again });
     }
 
@@ -120,7 +120,7 @@
 /// What one attempt out counts beside units in one number; 0 where a slice of the cap is far below one.
 pub(crate) fn counter_step(plan: &Plan, spread: u16) -> f64 {
     let most = plan.rate.max(1.0) * COUNTER_KEEP[0] / 1000.0 + plan.burst;
-    let counts = plan.max_in_flight > 0.0 && f64::from(spread) <= FEW;
+    let counts = plan.max_in_flight > 0.0 && f64::from(spread) <= SMALL_FLEET_INGRESSES;
     if counts { (2.0 * most).log2().ceil().exp2() } else { 0.0 }
 }
 
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -23,15 +23,16 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PoolTerms {
     /// What the pool holds at the most, as a part of the plan's burst.
-    pub(crate) most: f64,
+    pub(crate) max_burst_share: f64,
     /// Borrowed units that are not used within this time go back.
     pub(crate) lease: Millis,
     /// How long nothing more is borrowed after the pool was short.
     pub(crate) short_pause: Millis,
     /// The least and the longest time between calls that only lend.
-    pub(crate) lend_pause: [Millis; 2],
+    pub(crate) min_lend_interval: Millis,
+    pub(crate) max_lend_interval: Millis,
     /// The least that such a call lends, in largest requests.
-    pub(crate) lend_least: f64,
+    pub(crate) min_lend_requests: f64,
 }
 
 /// Units that one call moves.
@@ -117,8 +118,8 @@
         let too_much = (-owed - most).clamp(0.0, call.lend);
         self.next.take_back += too_much;
         self.room = Some((most + owed).max(0.0));
-        let longer = (2.0 * self.lend_pause).clamp(terms.lend_pause[0], terms.lend_pause[1]);
-        self.lend_pause = if too_much > 0.0 { longer } else { terms.lend_pause[0] };
+        let longer = (2.0 * self.lend_pause).clamp(terms.min_lend_interval, terms.max_lend_interval);
+        self.lend_pause = if too_much > 0.0 { longer } else { terms.min_lend_interval };
     }
 
     /// The call added nothing: all but what it was to borrow is left to the next.
@@ -203,8 +204,9 @@
         let (plan, largest) = (self.plan(plan), self.set.max_request_units.max(1.0));
         let Some(customer) = self.customers.get_mut(&id) else { return false };
         customer.fill(now, plan.rate, &plan, largest);
-        let enough = customer.set_aside_unused(now, [POOL.lend_least * largest, POOL.most * plan.burst]);
-        let rested = now - customer.call.sent >= customer.pool.lend_pause.max(POOL.lend_pause[0]);
+        let enough = customer
+            .set_aside_unused(now, [POOL.min_lend_requests * largest, POOL.max_burst_share * plan.burst]);
+        let rested = now - customer.call.sent >= customer.pool.lend_pause.max(POOL.min_lend_interval);
         // As seldom as calls are to be made: what is borrowed is worth more to callers than what is lent.
         let due = enough && rested || customer.pool.corrects();
         if due && self.rng.unit() < self.calls * self.calls {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,108 +11,144 @@
 use crate::window::{TokenBucket, poisson_below};
 use std::collections::BTreeSet;
 
-type Acts = Vec<Action>;
-type Rank = (bool, bool, f64);
+/// The order of candidate backends, smallest first: whether the backend is passed over, whether those of other
+/// zones, kinds or weights come first, and its cost.
+type CandidateRank = (bool, bool, f64);
 
-/// Memory of demand: long enough for a few requests of a small customer, short beside a shift of traffic.
+/// Time constant of demand: covers a few requests of a small customer, but is shorter than a shift of traffic.
 const DEMAND_TAU: Millis = 3000.0;
-/// Part of the peers' mail limit that reports may use, so that a late burst of them is not dropped.
-const MAIL_SHARE: f64 = 0.8;
-/// Reports more often than the first tell nothing new, less often than the second are no use to a bucket.
-const REPORT: [Millis; 2] = [25.0, 200.0];
-/// So many report intervals without a word are silence; two lost in a row are chance.
-const SILENT_REPORTS: f64 = 6.0;
-/// What a failed call leaves of the part of tries that call, what others add, and the time-outs left to wait.
-const CALLS: (f64, f64, f64) = (0.7, 0.02, 3.0);
-/// Calls that take more than this part of their time-out wait in a line: fewer are made, before any fails.
-const CALL_DELAY: f64 = 0.4;
-/// The part of their rates that others are taken to use, and attempts out for each that a rate tells of.
-const USED: (f64, f64) = (0.5, 1.3);
-/// What others ask for in so long may be granted there before it is heard of.
-const AHEAD: Millis = 300.0;
-/// Part of its aim after which a try that nothing was known of may come again.
-const SOON: f64 = 0.1;
-/// Memory of how many counted tries fit, which is taken to hold for the others of their plan.
-const FIT_TAU: Millis = 20_000.0;
-/// By what a customer's unused units are lent and borrowed. The slices hold whole bursts beside the pool.
+/// Fraction of the peers' message limit that reports may use, so that a late burst of them is not dropped.
+const REPORT_MESSAGE_SHARE: f64 = 0.8;
+/// The shortest time between usage reports: reports that are more frequent carry nothing new.
+const MIN_REPORT_INTERVAL: Millis = 25.0;
+/// The longest time between usage reports: reports that are less frequent are of no use to a token bucket.
+const MAX_REPORT_INTERVAL: Millis = 200.0;
+/// Report intervals without a report after which a peer is silent: two lost in a row may be chance.
+const MISSED_REPORTS_LIMIT: f64 = 6.0;
+/// Factor by which a failed counter call lowers the fraction of tries that call the counter.
+const CALL_SHARE_DECREASE: f64 = 0.7;
+/// The most that a fast counter call adds to the fraction of tries that call the counter; a slow call lowers
+/// that by five times this fraction of itself.
+const CALL_SHARE_INCREASE: f64 = 0.02;
+/// The least fraction of tries that call the counter.
+const MIN_CALL_SHARE: f64 = CALL_SHARE_INCREASE;
+/// The least time left for a try to wait for the counter, in time-outs of a call.
+const MIN_TIME_LEFT_TIMEOUTS: f64 = 3.0;
+/// Fraction of the time-out over which a call is slow: calls queue then, and fewer are made before any fails.
+const SLOW_CALL_SHARE: f64 = 0.4;
+/// Fraction of their rates that the other ingresses are assumed to use.
+const ASSUMED_RATE_USE: f64 = 0.5;
+/// Assumed attempts in flight for each one that a rate and a mean duration account for.
+const ASSUMED_IN_FLIGHT_FACTOR: f64 = 1.3;
+/// Time in which other ingresses may grant their demand before this one is notified.
+const UNREPORTED_DEMAND_TIME: Millis = 300.0;
+/// Fraction of its aim after which a try may come back that was rejected for lack of information.
+const UNINFORMED_RETRY_AIM_SHARE: f64 = 0.1;
+/// Time constant of the fraction of counted tries that fit, which is used for the other tries of their plan.
+const COUNTED_FIT_TAU: Millis = 20_000.0;
+/// How a customer's unused units are lent and borrowed. The slices hold whole bursts in addition to the pool.
 pub(crate) const POOL: PoolTerms = PoolTerms {
-    most: 0.25,
-    lease: CREDIT_TIME,
+    max_burst_share: 0.25,
+    lease: CREDIT_LIFETIME,
     short_pause: 400.0,
-    lend_pause: [4000.0, 16_000.0],
-    lend_least: 1.0,
+    min_lend_interval: 4000.0,
+    max_lend_interval: 16_000.0,
+    min_lend_requests: 1.0,
 };
-/// Up to so many gateways each has floors of its own; beyond, floors shrink so that their sum stays.
-pub(crate) const FEW: f64 = 12.0;
-/// A home silent for this long is asked once more, then done without: most round trips are less.
-pub(crate) const ASK_WAIT: Millis = 120.0;
-/// After so many asks in a row without an answer a home is passed over for this long.
-const HOME_LOST: (u32, Millis) = (3, 2000.0);
-/// Units granted ahead are to be used within this time: what lapses is lost to the customer.
-const CREDIT_TIME: Millis = 1000.0;
-/// The part of a home's mail that the asks for one customer may be.
-const ASKS: f64 = 0.3;
-/// The part of a burst that a home takes an unknown store to hold: a heavy customer's is empty, most full.
-const UNKNOWN: f64 = 0.6;
-/// The shortest and the longest time that a gateway told of an empty store asks no more.
-const QUIET: [Millis; 2] = [30.0, 3000.0];
-/// Memory of asks, and of pressure where answers are few.
+/// Number of ingresses up to which a fleet is small, and each ingress has minimums of its own. In a larger
+/// fleet the minimums shrink so that their sum stays.
+pub(crate) const SMALL_FLEET_INGRESSES: f64 = 12.0;
+/// Capacity, in requests of the size at hand, below which a request that only partly fits gets a chance.
+const SMALL_CAPACITY_REQUESTS: f64 = SMALL_FLEET_INGRESSES;
+/// Time after which an unanswered quota request is sent once more, then dropped: most round trips take less.
+pub(crate) const QUOTA_ANSWER_TIMEOUT: Millis = 120.0;
+/// Quota requests in a row without an answer after which a quota owner is skipped.
+const OWNER_LOST_AFTER: u32 = 3;
+/// Time for which such an owner is skipped.
+const OWNER_SKIP_TIME: Millis = 2000.0;
+/// Time within which units granted in advance must be used: the customer loses those that expire.
+const CREDIT_LIFETIME: Millis = 1000.0;
+/// Fraction of a quota owner's message limit that the quota requests for one customer may use.
+const QUOTA_REQUEST_SHARE: f64 = 0.3;
+/// Fraction of a burst that an owner assumes in the bucket of an unknown customer: the bucket of a heavy
+/// customer is empty, most others are full.
+const INITIAL_BUCKET_SHARE: f64 = 0.6;
+/// The shortest time for which an ingress sends no quota requests after a denial.
+const MIN_DENIAL_PAUSE: Millis = 30.0;
+/// The longest time for which an ingress sends no quota requests after a denial.
+const MAX_DENIAL_PAUSE: Millis = 3000.0;
+/// Time constant of quota requests, and of latency pressure while answers are rare.
 const SHORT_TAU: Millis = 1000.0;
-/// Units in flight for each ready server at first, over all gateways.
-const FIRST_UNITS: f64 = 4.0;
-/// Mean requests in flight for each ready server at the least, over all gateways, to go on learning.
-const LEAST_REQUESTS: f64 = 4.0;
-/// Part of the room that is kept for the class of the most worth for its work, as far as another's is less.
+/// Initial capacity in units for each ready backend, over all ingresses.
+const INITIAL_UNITS_PER_BACKEND: f64 = 4.0;
+/// The least capacity, in mean requests for each ready backend over all ingresses; keeps answers coming to
+/// learn from.
+const MIN_REQUESTS_PER_BACKEND: f64 = 4.0;
+/// Fraction of the capacity that is reserved for the class with the highest worth for its work. Other classes
+/// are kept out of it in proportion to how much less they are worth.
 const WORTH_HEADROOM: f64 = 0.4;
-/// What a cut leaves of the capacity.
-const CUT: f64 = 0.85;
-/// What the pressure that peers tell counts beside one's own.
-const PEERS_SEE: f64 = 0.8;
-/// Answers that take this part of their aims on average: pressure. An idle back end takes far less.
-const PRESSED: f64 = 0.3;
-/// What is out hangs where it takes this part of the aim to end, and that over so many is its mean age.
-const HANGING: (f64, f64) = (1.0, 3.0);
-/// Weight of one answer or load report in the averages.
-pub(crate) const WEIGHT: f64 = 0.1;
-/// Requests beyond the quota that earn something are let in up to this part of the capacity.
-const EXTRA_ROOM: f64 = 0.5;
-/// Before any answer, the part of the aim that an answer is taken to need.
-const FIRST_GUESS: f64 = 0.25;
-/// A repeatable attempt is given up after this multiple of the usual time, or this part of its aim if longer.
-const PATIENCE: (f64, f64) = (8.0, 0.8);
-/// Where more than this part of the attempts time out, answers get lost, and patience shrinks by this factor.
-const LOST: (f64, f64) = (0.06, 0.55);
-/// Further attempts for each first one in the long run, and the most saved up.
-const RETRIES: (f64, f64) = (0.15, 20.0);
-/// What was seen of a server's speed counts less with this time constant.
+/// Factor by which a cut reduces the capacity.
+const CAPACITY_DECREASE_FACTOR: f64 = 0.85;
+/// Weight of the latency pressure that peers report; this ingress's own has the rest.
+const PEER_PRESSURE_WEIGHT: f64 = 0.8;
+/// Latency pressure (mean fraction of their aims that answers take) over which the capacity is cut. Idle
+/// backends take far less.
+const PRESSURE_THRESHOLD: f64 = 0.3;
+/// Estimated time that attempts in flight need to end, in aims, over which the capacity is cut.
+const STALL_AIM_MULTIPLE: f64 = 1.0;
+/// Upper bound of that estimate, as a multiple of the mean age of the units in flight.
+const MAX_MEAN_AGE_MULTIPLE: f64 = 3.0;
+/// Weight of one answer or load report in the moving averages.
+pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
+/// Fraction of the capacity up to which requests beyond the quota are admitted, if they are worth anything.
+const EXCESS_CAPACITY_SHARE: f64 = 0.5;
+/// Expected latency of a class before its first answer, as a fraction of its aim.
+const INITIAL_LATENCY_AIM_SHARE: f64 = 0.25;
+/// Time-out of a repeatable attempt, in expected latencies.
+const ATTEMPT_TIMEOUT_LATENCIES: f64 = 8.0;
+/// The least such time-out, as a fraction of the class's aim.
+const ATTEMPT_TIMEOUT_AIM_SHARE: f64 = 0.8;
+/// Fraction of attempts that time out over which answers are assumed to get lost.
+const LOST_ANSWERS_THRESHOLD: f64 = 0.06;
+/// Factor by which attempt time-outs shrink while answers get lost.
+const LOST_ANSWERS_TIMEOUT_FACTOR: f64 = 0.55;
+/// Retries that each request adds to the retry budget.
+const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
+/// The most retries that the budget saves up.
+const MAX_RETRY_BUDGET: f64 = 20.0;
+/// Time constant with which the observed latencies of a backend, a zone or a kind of machine fade.
 const SLOWNESS_TAU: Millis = 6000.0;
-/// How many servers are compared for each attempt (power of d choices), and how many are looked at for that.
-const CHOICES: (usize, usize) = (6, 24);
-/// What an idle server counts beside attempts out by weight: little, so that one more out tells much.
-const IDLE: f64 = 0.4;
-/// So many of the warm servers a gateway of many sends to, as long as any of them is well.
-const NEAR: f64 = 16.0;
-/// A server in another zone must be better by this factor, where crossing has a price.
-const ZONE_FACTOR: f64 = 1.25;
-/// Failures in a row that eject a server (a failed connection at once), for how long at first and at most.
-const EJECT: (u32, Millis, Millis) = (3, 500.0, 4000.0);
-/// At most this part of the servers is passed over (a zone and some more): beyond it the trouble is shared.
-const EJECT_SHARE: f64 = 0.75;
-/// A server that answers nothing for this multiple of the usual time, with work out, is passed over.
-const SILENCE: f64 = 6.0;
-/// A server this many times slower than the usual says nothing of the others' room.
-const OUTLIER: f64 = 2.0;
-/// A server unreachable this long may have restarted unlisted: it is taken for cold when it answers.
-const UNLISTED_RESTART: Millis = 400.0;
-/// A cold backend served without delay what took no more than so many usual times.
-const UNDELAYED: f64 = 1.3;
-/// What an attempt counts for at most in the time that a zone or a kind of machine takes, and what all would
-/// count for if all failed, in usual times.
-const FAILED: (f64, f64) = (8.0, 32.0);
-/// Customers not heard of for this long are forgotten.
-const FORGET: Millis = 60_000.0;
-/// A failed subscription is asked for again after this: sooner would add to what made it fail.
-const SUBSCRIBE_PAUSE: Millis = 1000.0;
+/// Number of backends that are compared for each attempt (power of d choices).
+const MAX_CANDIDATES: usize = 6;
+/// Number of backends that are sampled to find these.
+const MAX_SAMPLES: usize = 24;
+/// Load of an idle backend in its cost, in attempts in flight by weight: small, so that one more weighs much.
+const IDLE_LOAD: f64 = 0.4;
+/// Number of warm backends that an ingress of a large fleet prefers while any of them is healthy.
+const PREFERRED_BACKENDS: f64 = 16.0;
+/// Factor by which a backend in another zone must be better if crossing zones has a cost.
+const CROSS_ZONE_FACTOR: f64 = 1.25;
+/// When a failing backend is ejected, and for how long.
+const EJECTION: EjectionPolicy = EjectionPolicy { after_failures: 3, min_time: 500.0, max_time: 4000.0 };
+/// The most backends that are passed over, as a fraction of all (a zone and some more): beyond it the fault
+/// is not the backends' own.
+const MAX_PASSED_OVER_SHARE: f64 = 0.75;
+/// Time without any answer after which a backend with work in flight is silent, in expected latencies.
+const SILENCE_LATENCIES: f64 = 6.0;
+/// Latency of a backend, in expected latencies, over which it is an outlier and says nothing of the others.
+const OUTLIER_LATENCIES: f64 = 2.0;
+/// Time for which a backend must be unreachable to count as restarted, and so as cold, when it answers again.
+const ASSUMED_RESTART_AFTER: Millis = 400.0;
+/// Latency, in expected latencies, up to which a cold backend served without delay.
+const MAX_UNDELAYED_LATENCIES: f64 = 1.3;
+/// The most that one attempt counts in the latency of a zone or a kind of machine, in expected latencies.
+const MAX_ATTEMPT_LATENCIES: f64 = 8.0;
+/// Latency of a zone or a kind of machine of which all attempts fail, in expected latencies.
+const ALL_FAILED_LATENCIES: f64 = 32.0;
+/// Time after which a customer without requests is forgotten.
+const CUSTOMER_RETENTION: Millis = 60_000.0;
+/// Time after which a failed subscription is retried: an earlier retry would add to what made it fail.
+const SUBSCRIBE_RETRY_PAUSE: Millis = 1000.0;
 
 impl Limiter {
     /// A gateway's limiter; the seed is to be a fresh one at every start.
@@ -125,7 +161,7 @@
             _ => Source::Nowhere,
         };
         let mut this = Self::blank(set, source, seed);
-        (this.retries, this.calls) = (RETRIES.1 * this.few(), this.few().sqrt());
+        (this.retries, this.calls) = (MAX_RETRY_BUDGET * this.few(), this.few().sqrt());
         Ok(this)
     }
 
@@ -155,22 +191,22 @@
 
     /// The part of a floor for each gateway that keeps the sum of all within that of a few.
     fn few(&self) -> f64 {
-        FEW / FEW.max(f64::from(self.set.ingress_count))
+        SMALL_FLEET_INGRESSES / SMALL_FLEET_INGRESSES.max(f64::from(self.set.ingress_count))
     }
 
     /// The interval at which the peers' mail limit takes in reports of all.
     fn report_gap(&self) -> Millis {
         let listeners = f64::from(self.set.ingress_count.max(2) - 1);
-        1000.0 * listeners / (self.set.peer_messages_per_second.max(1.0) * MAIL_SHARE)
+        1000.0 * listeners / (self.set.peer_messages_per_second.max(1.0) * REPORT_MESSAGE_SHARE)
     }
 
     pub(crate) fn report_every(&self) -> Millis {
-        self.report_gap().clamp(REPORT[0], REPORT[1])
+        self.report_gap().clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
     }
 
     /// Reports to all would come too late or flood the mail: each customer's quota is then kept by a home.
     fn homes(&self) -> bool {
-        self.source == Source::Peers && self.report_gap() > REPORT[1]
+        self.source == Source::Peers && self.report_gap() > MAX_REPORT_INTERVAL
     }
 
     /// The gateway of the set that keeps the customer's quota, or the next in line while that is silent.
@@ -180,9 +216,9 @@
         in_line.into_iter().find(|id| *id == self.set.ingress || well(id))
     }
 
-    fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<BackendEntry>, acts: &mut Acts) {
+    fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<BackendEntry>, acts: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            acts.push(Action::SetTimer(SUBSCRIBE_PAUSE, SUBSCRIBE));
+            acts.push(Action::SetTimer(SUBSCRIBE_RETRY_PAUSE, SUBSCRIBE));
             return;
         }
         if kind != ListKind::Changes {
@@ -221,8 +257,9 @@
         self.count_warm(now);
         // Prevents many gateways, each of which meets a server once in a while, from a handshake for every
         // other request. Each server is near to as many of them, so the load stays even.
-        let near = f64::from(self.set.ingress_count) * NEAR / self.warm.count.max(NEAR);
-        let few = f64::from(self.set.ingress_count) <= FEW;
+        let near = f64::from(self.set.ingress_count) * PREFERRED_BACKENDS
+            / self.warm.count.max(PREFERRED_BACKENDS);
+        let few = f64::from(self.set.ingress_count) <= SMALL_FLEET_INGRESSES;
         let place = |id: BackendId| f64::from(self.set.ingress.place_after(id, self.set.ingress_count));
         let is_near = |id: &&BackendId| !few && !self.cold.contains(id) && place(**id) < near;
         self.near = self.ready.iter().filter(is_near).copied().collect();
@@ -230,24 +267,27 @@
 
     fn usual(&self, class: ClassId, units: f64) -> Millis {
         let seen = &self.classes[class.0];
-        let guess = self.set.classes[class.0].aim * FIRST_GUESS;
+        let guess = self.set.classes[class.0].aim * INITIAL_LATENCY_AIM_SHARE;
         seen.latency.value_or(guess) * (units / seen.units.value_or(units).max(0.01)).clamp(0.2, 5.0)
     }
 
     fn cost(&self, now: Millis, server: &Server) -> f64 {
         // Prevents a server that goes silent from being preferred for its last good answers.
-        let slow = server.slowness(now, SLOWNESS_TAU).max(0.2).max(server.waiting(now) * OUTLIER / SILENCE);
+        let slow = server
+            .slowness(now, SLOWNESS_TAU)
+            .max(0.2)
+            .max(server.waiting(now) * OUTLIER_LATENCIES / SILENCE_LATENCIES);
         // Prevents a server that tells nothing, as its answers never come, from looking idler.
         let (own, busy) =
             (server.out.len() as f64, 1.0 / (1.3 - server.busy.value_or(self.busy.value_or(0.3))));
         let far = self.set.cross_zone_cost && server.entry.zone != self.set.zone;
-        slow * busy * (IDLE + own / server.weight()) * if far { ZONE_FACTOR } else { 1.0 }
+        slow * busy * (IDLE_LOAD + own / server.weight()) * if far { CROSS_ZONE_FACTOR } else { 1.0 }
     }
 
     /// Whether a server is ejected, is on trial after that with work out, or has gone silent.
     pub(crate) fn passed_over(&self, now: Millis, server: &Server) -> bool {
         let trial = server.ejections > 0 && server.failures > 0 && !server.out.is_empty();
-        server.ejected_until > now || trial || server.silence(now) > SILENCE
+        server.ejected_until > now || trial || server.silence(now) > SILENCE_LATENCIES
     }
 
     fn pick(&mut self, now: Millis, open: &Open) -> Option<BackendId> {
@@ -283,9 +323,9 @@
         from: &mut [BackendId],
         (own, all): (bool, bool),
     ) -> Option<BackendId> {
-        let (mut best, mut choices, mut bads): (Option<(Rank, BackendId)>, _, _) = (None, 0, 0);
+        let (mut best, mut choices, mut bads): (Option<(CandidateRank, BackendId)>, _, _) = (None, 0, 0);
         // Sampled before ranking: no pass over all servers for each request.
-        for k in 0..from.len().min(CHOICES.1) {
+        for k in 0..from.len().min(MAX_SAMPLES) {
             let other = k + self.rng.below(from.len() - k);
             from.swap(k, other);
             let server = &self.servers[&from[k]];
@@ -306,12 +346,12 @@
                 best = Some((cost, from[k]));
             }
             (choices, bads) = (choices + usize::from(!bad && !last), bads + u8::from(bad));
-            if choices == CHOICES.0 || (cold && !bad) {
+            if choices == MAX_CANDIDATES || (cold && !bad) {
                 break;
             }
         }
         // Prevents the ejection of the whole fleet: when nearly all look bad, the trouble is shared.
-        let all_bad = f64::from(bads) > EJECT_SHARE * from.len().min(CHOICES.1) as f64;
+        let all_bad = f64::from(bads) > MAX_PASSED_OVER_SHARE * from.len().min(MAX_SAMPLES) as f64;
         best.filter(|((bad, ..), _)| !bad || (all && all_bad)).map(|(_, id)| id)
     }
 
@@ -336,7 +376,8 @@
         let (n, least) = (f64::from(spread), self.set.max_request_units.max(1.0).min(plan.burst));
         // An unknown store is not a full one, nor is a whole request each gateway's part where they are many.
         let chance = request.units * self.rng.unit();
-        let store = if n > FEW { plan.burst / n + chance } else { (plan.burst / n).max(least) };
+        let store =
+            if n > SMALL_FLEET_INGRESSES { plan.burst / n + chance } else { (plan.burst / n).max(least) };
         // A ceiling holds what a life before may not have drawn: it kept the quota.
         let ceiling = (plan.ceiling_burst - plan.burst).max(0.0) / n;
         let fresh = Customer::new(request, spread, (store, ceiling), started, now);
@@ -347,7 +388,7 @@
 
     /// Whether the use at the others is known well enough to go by it.
     fn hears(&self, now: Millis, customer: &Customer) -> bool {
-        let silence = self.report_every() * SILENT_REPORTS;
+        let silence = self.report_every() * MISSED_REPORTS_LIMIT;
         customer.spread <= 1
             || match self.source {
                 Source::Peers => self.heard_all(customer, now - silence),
@@ -382,7 +423,7 @@
         // what others may draw meanwhile stays in the store, so that a second grant still finds its units.
         let most = f64::from(self.source == Source::Peers)
             * self.set.max_request_units.max(1.0).min(plan.burst / 3.0);
-        let ahead = (customer.asked_elsewhere(now, DEMAND_TAU) * AHEAD / 1000.0).min(most);
+        let ahead = (customer.asked_elsewhere(now, DEMAND_TAU) * UNREPORTED_DEMAND_TIME / 1000.0).min(most);
         let rate = if self.source == Source::Meter { plan.rate * part } else { plan.rate };
         let Some(customer) = self.customers.get_mut(&id) else { return 0.0 };
         customer.living = living;
@@ -406,7 +447,7 @@
 
     pub(crate) fn capacity(&self) -> f64 {
         // To begin with there is room for a few requests: what all can do is not known yet.
-        let start = FIRST_UNITS * self.able.max(1.0) * self.few();
+        let start = INITIAL_UNITS_PER_BACKEND * self.able.max(1.0) * self.few();
         self.capacity.unwrap_or(start.max(2.0 * self.set.max_request_units.max(1.0))).max(self.least())
     }
 
@@ -414,13 +455,14 @@
     /// rooms by chance: what many peers see of the same back end counts for more, while it is fresh.
     pub(crate) fn pressure(&self, now: Millis) -> f64 {
         let own = self.taken.value_or(0.0);
-        let fresh = if now - self.heard_at < SHORT_TAU { PEERS_SEE } else { 0.0 };
+        let fresh = if now - self.heard_at < SHORT_TAU { PEER_PRESSURE_WEIGHT } else { 0.0 };
         own + (self.heard_pressure.value_or(own) - own) * fresh
     }
 
     /// The least capacity: a floor for all gateways together.
     fn least(&self) -> f64 {
-        let least = self.mean_units().map_or(FIRST_UNITS, |units| units * LEAST_REQUESTS);
+        let least =
+            self.mean_units().map_or(INITIAL_UNITS_PER_BACKEND, |units| units * MIN_REQUESTS_PER_BACKEND);
         (self.ready.len() as f64).max(1.0) * least / f64::from(self.set.ingress_count)
     }
 
@@ -428,12 +470,12 @@
     fn has_room(&mut self, now: Millis, request: &Request) -> bool {
         let capacity = self.capacity();
         // Prevents silent servers from pinning the tokens, and reservations from passing the capacity.
-        let in_flight = self.in_flight - self.pinned.min(self.in_flight * EJECT_SHARE);
+        let in_flight = self.in_flight - self.pinned.min(self.in_flight * MAX_PASSED_OVER_SHARE);
         let fit = (capacity / self.reserved.max(1e-9)).min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
         let reservation = self.reservation(self.part(now, customer), customer, request.class) * fit;
         // sum(inflight - request) + W <= capacity - sum(request); a chance for the part of one that fits.
-        let chance = if capacity < FEW * request.units { self.rng.unit() } else { 1.0 };
+        let chance = if capacity < SMALL_CAPACITY_REQUESTS * request.units { self.rng.unit() } else { 1.0 };
         // Work of more worth finds room in overload: the rest of the room is full for others by then.
         let room = capacity * (1.0 - WORTH_HEADROOM * (1.0 - self.worth_for_work(request.class)));
         customer.units_out + request.units <= reservation || in_flight + request.units * chance <= room
@@ -471,29 +513,34 @@
             let refill = 1000.0 * (weight - available) / (plan.rate * part.max(0.05));
             // Who was turned away for want of news may come again while an answer is still of use.
             let unknown = known == Known::Alone && self.source == Source::Counter && self.calls < 1.0;
-            let soon = if unknown { self.set.classes[request.class.0].aim * SOON } else { f64::INFINITY };
+            let soon = if unknown {
+                self.set.classes[request.class.0].aim * UNINFORMED_RETRY_AIM_SHARE
+            } else {
+                f64::INFINITY
+            };
             return Verdict::Refused(refill.max(customer.quiet_until - now).min(soon));
         }
         // 1. The in-flight limit; a small cap must not round to nothing.
         if plan.max_in_flight > 0.0 && inside {
             let share = plan.max_in_flight * part.max(even);
-            let others = self.out_elsewhere(customer, now - self.report_every() * SILENT_REPORTS);
+            let others = self.out_elsewhere(customer, now - self.report_every() * MISSED_REPORTS_LIMIT);
             // Prevents floors that together pass the cap: what peers have out, or may have begun, counts.
             let left = plan.max_in_flight - others;
-            let unheard = self.report_every() / REPORT[0];
+            let unheard = self.report_every() / MIN_REPORT_INTERVAL;
             let (hears, out) = (self.hears(now, customer), customer.out);
-            let rate = if plan.rate > 0.0 { plan.rate * (1.0 - even) * USED.0 } else { f64::INFINITY };
+            let rate =
+                if plan.rate > 0.0 { plan.rate * (1.0 - even) * ASSUMED_RATE_USE } else { f64::INFINITY };
             let elsewhere = rate * self.out_for.value_or(latency) / 1000.0;
             let limit = match self.source {
                 Source::Peers if hears => share.ceil().min(left).max(left - unheard),
                 Source::Counter if hears && counter_step(&plan, customer.spread) > 0.0 => left,
                 // By what the others' rate lets them have out it is more likely to fit than not to pay.
-                Source::Counter if even * FEW < 1.0 && elsewhere.is_finite() => {
-                    let fits = poisson_below(plan.max_in_flight - out, elsewhere * USED.1);
+                Source::Counter if even * SMALL_FLEET_INGRESSES < 1.0 && elsewhere.is_finite() => {
+                    let fits = poisson_below(plan.max_in_flight - out, elsewhere * ASSUMED_IN_FLIGHT_FACTOR);
                     if fits > plan.break_even_probability() { plan.max_in_flight } else { share }
                 }
                 // Over many gateways a chance stands for the part of one.
-                _ if even * FEW < 1.0 && share < 1.0 => f64::from(self.rng.unit() < share),
+                _ if even * SMALL_FLEET_INGRESSES < 1.0 && share < 1.0 => f64::from(self.rng.unit() < share),
                 _ => share.round().max(1.0),
             };
             if out + 1.0 > limit {
@@ -501,20 +548,21 @@
             }
         }
         if !inside {
-            let room = self.in_flight + weight <= self.capacity() * EXTRA_ROOM;
+            let room = self.in_flight + weight <= self.capacity() * EXCESS_CAPACITY_SHARE;
             return if room { Verdict::Beyond } else { Verdict::Refused(latency) };
         }
         // 2. and 3. The reservation, then the shared room.
         if self.has_room(now, request) { Verdict::Inside } else { Verdict::Refused(latency) }
     }
 
-    fn on_request(&mut self, now: Millis, mut request: Request, acts: &mut Acts) {
+    fn on_request(&mut self, now: Millis, mut request: Request, acts: &mut Vec<Action>) {
         request.sanitize();
         if request.class.0 >= self.set.classes.len() || self.requests.contains_key(&request.id) {
             acts.push(Action::Reject(request.id, None));
             return;
         }
-        self.retries = (self.retries + RETRIES.0).min((RETRIES.1 * self.few()).max(1.0));
+        self.retries =
+            (self.retries + RETRY_BUDGET_PER_REQUEST).min((MAX_RETRY_BUDGET * self.few()).max(1.0));
         let customer = self.customer(now, &request);
         customer.asked.add(now, request.units, DEMAND_TAU);
         customer.asked_untold += request.units;
@@ -530,7 +578,7 @@
 
     /// Asks the customer's home; none while the answer is awaited. Prevents gateways that each see too little
     /// of a customer from granting a quota many times over; a silent home leaves the even slice.
-    fn ask(&mut self, now: Millis, open: &mut Open, acts: &mut Acts) -> Option<Known> {
+    fn ask(&mut self, now: Millis, open: &mut Open, acts: &mut Vec<Action>) -> Option<Known> {
         let request = open.request;
         let plan = self.plan(request.plan);
         let (spread, out, quiet) =
@@ -561,7 +609,7 @@
             (customer.unasked, customer.quiet_until) = (0.0, if granted { 0.0 } else { now + quiet });
             return Some(if granted { Known::Granted } else { Known::Denied });
         }
-        if request.time_left < 2.0 * ASK_WAIT + self.mean_latency(request.class) {
+        if request.time_left < 2.0 * QUOTA_ANSWER_TIMEOUT + self.mean_latency(request.class) {
             open.home = None;
             return Some(Known::Alone);
         }
@@ -583,10 +631,10 @@
         let unasked = unasked.max(-self.set.max_request_units);
         let end = now + self.set.classes[of.class.0].aim;
         let store = TokenBucket::new(
-            (plan.burst * UNKNOWN).max(self.set.max_request_units).min(plan.burst),
+            (plan.burst * INITIAL_BUCKET_SHARE).max(self.set.max_request_units).min(plan.burst),
             self.started,
         );
-        let ledger = self.ledgers.entry(of.customer).or_insert_with(|| Ledger::new(store, QUIET[0]));
+        let ledger = self.ledgers.entry(of.customer).or_insert_with(|| Ledger::new(store, MIN_DENIAL_PAUSE));
         ledger.seen = now;
         ledger.asked.add(now, 1.0, SHORT_TAU);
         let level = ledger.store.fill(now, plan.rate, plan.burst) - unasked;
@@ -598,8 +646,9 @@
         let (level, asked) = (ledger.store.level, ledger.asked.per_second(now, SHORT_TAU));
         // Prevents a flood of asks beyond what the mail limit bears. Every ask tells: a home that grants most
         // of them denies too few to learn from these alone that the flood is over.
-        let most = (self.set.peer_messages_per_second * ASKS).max(1.0);
-        ledger.quiet = (ledger.quiet * if asked > most { 1.1 } else { 0.9 }).clamp(QUIET[0], QUIET[1]);
+        let most = (self.set.peer_messages_per_second * QUOTA_REQUEST_SHARE).max(1.0);
+        ledger.quiet =
+            (ledger.quiet * if asked > most { 1.1 } else { 0.9 }).clamp(MIN_DENIAL_PAUSE, MAX_DENIAL_PAUSE);
         let fits = plan.rate <= 0.0 || level >= units;
         if fits && (plan.max_in_flight <= 0.0 || (ledger.out.len() as f64) < plan.max_in_flight) {
             ledger.store.level -= units;
@@ -608,21 +657,22 @@
             return (true, if plan.max_in_flight > 0.0 { 0.0 } else { ahead });
         }
         let refill = if fits { 0.0 } else { 1000.0 * (units - level) / plan.rate };
-        (false, ledger.quiet.max(refill).min(QUIET[1]))
+        (false, ledger.quiet.max(refill).min(MAX_DENIAL_PAUSE))
     }
 
     /// An ask is put once more, then done without.
-    fn on_unanswered(&mut self, now: Millis, acts: &mut Acts) {
-        let due: Vec<_> = self.asked.extract_if(.., |_, a| now - a.at >= ASK_WAIT - 1.0).collect();
+    fn on_unanswered(&mut self, now: Millis, acts: &mut Vec<Action>) {
+        let due: Vec<_> =
+            self.asked.extract_if(.., |_, a| now - a.at >= QUOTA_ANSWER_TIMEOUT - 1.0).collect();
         for (seq, asked) in due {
             let Some(mut open) = self.requests.remove(&asked.request) else { continue };
             // Prevents judging a peer by one's own standstill.
-            if now - asked.at < 2.0 * ASK_WAIT {
-                self.peers.entry(asked.home).or_default().lose(HOME_LOST.0, now + HOME_LOST.1);
+            if now - asked.at < 2.0 * QUOTA_ANSWER_TIMEOUT {
+                self.peers.entry(asked.home).or_default().lose(OWNER_LOST_AFTER, now + OWNER_SKIP_TIME);
             }
             let left = open.deadline - now - self.mean_latency(open.request.class);
             let home = self.home(now, &open.request).filter(|home| *home == asked.home);
-            if let (Some(home), false, true) = (home, asked.again, left > 2.0 * ASK_WAIT) {
+            if let (Some(home), false, true) = (home, asked.again, left > 2.0 * QUOTA_ANSWER_TIMEOUT) {
                 let request = open.request;
                 self.requests.insert(request.id, open);
                 self.put_ask(now, &request, (home, seq), true, acts);
@@ -639,7 +689,7 @@
         of: (IngressId, u64),
         granted: bool,
         more: f64,
-        acts: &mut Acts,
+        acts: &mut Vec<Action>,
     ) {
         let (from, seq) = of;
         let Some(asked) = self.asked.get(&seq).filter(|a| a.home == from).copied() else { return };
@@ -650,9 +700,9 @@
         if let Some(customer) = self.customers.get_mut(&open.request.customer) {
             if granted {
                 let ahead = if now < customer.credit_until { customer.credit } else { 0.0 };
-                (customer.credit, customer.credit_until) = (ahead.max(more), now + CREDIT_TIME);
+                (customer.credit, customer.credit_until) = (ahead.max(more), now + CREDIT_LIFETIME);
             } else {
-                customer.quiet_until = now + more.min(QUIET[1]) * jitter;
+                customer.quiet_until = now + more.min(MAX_DENIAL_PAUSE) * jitter;
             }
         }
         open.home = open.home.filter(|_| granted);
@@ -661,10 +711,10 @@
 
     /// Where only the counter tells of the others, a try waits for its call's answer: none. Prevents gateways
     /// that each see a part from granting the same units.
-    fn hold(&mut self, now: Millis, request: &Request, acts: &mut Acts) -> Option<Known> {
+    fn hold(&mut self, now: Millis, request: &Request, acts: &mut Vec<Action>) -> Option<Known> {
         let plan = self.plan(request.plan);
         let quota = plan.rate > 0.0 || plan.max_in_flight > 0.0;
-        let short = request.time_left < CALLS.2 * self.set.counter_timeout;
+        let short = request.time_left < MIN_TIME_LEFT_TIMEOUTS * self.set.counter_timeout;
         // Prevents calls for tries that the ceiling or the full room turns away: floods would use them up.
         let shut = self.in_flight + request.units > self.capacity()
             || self.ceiling(now, request.customer, &plan) < request.units;
@@ -693,7 +743,7 @@
             (true, false) => self.calls.powi(4),
             (false, _) => 2.0 * self.calls,
         };
-        let part = if single { (part * decides.max(self.calls)).clamp(CALLS.1, 1.0) } else { part };
+        let part = if single { (part * decides.max(self.calls)).clamp(MIN_CALL_SHARE, 1.0) } else { part };
         if self.rng.unit() >= part {
             return Some(if single { known } else { Known::Alone });
         }
@@ -714,15 +764,16 @@
     fn likely(&mut self, now: Millis, request: &Request) -> (Known, f64, f64) {
         let even = self.plan(request.plan).break_even_probability();
         let fit = self.fit.get(&(request.plan, request.is_retry));
-        let fit = fit.map_or(even, |f| f.value(now, even, FIT_TAU));
+        let fit = fit.map_or(even, |f| f.value(now, even, COUNTED_FIT_TAU));
         // Only what the back end has room for: where it is pressed, tries that are known to fit come first.
-        let free = ((PRESSED - self.taken.value_or(0.0)) * 2.0 / PRESSED).clamp(0.0, 1.0);
+        let free =
+            ((PRESSURE_THRESHOLD - self.taken.value_or(0.0)) * 2.0 / PRESSURE_THRESHOLD).clamp(0.0, 1.0);
         let likely = ((fit - even) / (1.0 - even)).max(0.0).powi(2) * free;
         let decides = if fit > even { (1.0 - fit) / (1.0 - even) } else { fit / even };
         (if self.rng.unit() < likely { Known::Likely } else { Known::Alone }, likely, decides)
     }
 
-    fn judge(&mut self, now: Millis, mut open: Open, known: Known, acts: &mut Acts) {
+    fn judge(&mut self, now: Millis, mut open: Open, known: Known, acts: &mut Vec<Action>) {
         let (request, counted) = (open.request, known == Known::Counted);
         let plan = self.plan(request.plan);
         open.counted = counted;
@@ -731,7 +782,7 @@
         let single =
             self.source == Source::Counter && sparse(&plan, request.spread.min(self.set.ingress_count));
         if counted && single {
-            self.fit.entry((request.plan, request.is_retry)).or_default().add(now, inside, FIT_TAU);
+            self.fit.entry((request.plan, request.is_retry)).or_default().add(now, inside, COUNTED_FIT_TAU);
         }
         let wait = match verdict {
             Verdict::Refused(wait) => wait,
@@ -746,21 +797,22 @@
         }
         match self.customers.get_mut(&request.customer) {
             Some(customer) if counted && !single => customer.call.set_aside(0.0, -1.0),
-            Some(customer) if counted => customer.quiet_until = now + wait.min(QUIET[1]),
+            Some(customer) if counted => customer.quiet_until = now + wait.min(MAX_DENIAL_PAUSE),
             Some(customer) if known == Known::Granted => customer.unasked -= request.units,
             _ => {}
         }
         acts.push(Action::Reject(request.id, self.advice(wait)));
     }
 
-    fn send(&mut self, now: Millis, open: &mut Open, acts: &mut Acts) -> bool {
+    fn send(&mut self, now: Millis, open: &mut Open, acts: &mut Vec<Action>) -> bool {
         let Some(id) = self.pick(now, open) else { return false };
         let class = &self.set.classes[open.request.class.0];
         let usual = self.usual(open.request.class, open.request.units);
         let left = open.deadline - now;
-        let hurry = if self.lost.value_or(0.0) > LOST.0 { LOST.1 } else { 1.0 };
-        let patience = (usual * PATIENCE.0).max(class.aim * PATIENCE.1) * hurry;
-        let well = self.retries >= 1.0 && self.pressure(now) < PRESSED && patience + usual < left;
+        let hurry =
+            if self.lost.value_or(0.0) > LOST_ANSWERS_THRESHOLD { LOST_ANSWERS_TIMEOUT_FACTOR } else { 1.0 };
+        let patience = (usual * ATTEMPT_TIMEOUT_LATENCIES).max(class.aim * ATTEMPT_TIMEOUT_AIM_SHARE) * hurry;
+        let well = self.retries >= 1.0 && self.pressure(now) < PRESSURE_THRESHOLD && patience + usual < left;
         let more = open.attempts.len() + 1 < usize::from(self.set.max_attempts);
         let again = class.retry_safety != RetrySafety::Unsafe && well && more;
         // Prevents an answer that never comes from pinning a capped customer's attempts.
@@ -781,7 +833,7 @@
         true
     }
 
-    fn on_end(&mut self, now: Millis, end: AttemptEnd, acts: &mut Acts) {
+    fn on_end(&mut self, now: Millis, end: AttemptEnd, acts: &mut Vec<Action>) {
         let no = usize::from(end.attempt.0);
         let Some(mut open) = self.requests.remove(&end.request) else { return };
         let Some(attempt) = open.attempts.get_mut(no).filter(|a| a.out) else {
@@ -848,69 +900,74 @@
             self.warm_backend_served(now, server.entry.kind, request.units);
         }
         if let Some(server) = self.servers.get_mut(&end.backend) {
-            let times = served.then(|| (end.elapsed / usual).min(FAILED.0));
+            let times = served.then(|| (end.elapsed / usual).min(MAX_ATTEMPT_LATENCIES));
             for scope in server.scopes().into_iter().filter(|_| judged) {
                 let takes = self.scopes.entry((scope, request.class)).or_default();
-                takes.add(now, times, FAILED.1, WEIGHT, SLOWNESS_TAU);
+                takes.add(now, times, ALL_FAILED_LATENCIES, SAMPLE_WEIGHT, SLOWNESS_TAU);
             }
-            silent = server.strays(now, end.outcome, [SILENCE, OUTLIER, SLOWNESS_TAU]);
+            silent = server.strays(now, end.outcome, [SILENCE_LATENCIES, OUTLIER_LATENCIES, SLOWNESS_TAU]);
             overtaken = server.ended((request.id, end.attempt), end.outcome);
             if judged && end.outcome != Outcome::TimedOut {
                 server.answered = now;
             }
-            if let Some(busy) = server.report(&end.load, WEIGHT) {
-                self.busy.add(busy, WEIGHT);
+            if let Some(busy) = server.report(&end.load, SAMPLE_WEIGHT) {
+                self.busy.add(busy, SAMPLE_WEIGHT);
             }
             if served || end.outcome == Outcome::TimedOut {
-                server.took((end.elapsed / usual).clamp(0.05, 20.0), 2.0 * WEIGHT, now, SLOWNESS_TAU);
+                server.took((end.elapsed / usual).clamp(0.05, 20.0), 2.0 * SAMPLE_WEIGHT, now, SLOWNESS_TAU);
             }
             // A warm backend needs no account: it begins anew where it starts cold.
             if !cold.is_warm(server.started, now) {
                 server.slow_start.record_ended(now - end.elapsed.min(usual), request.units, window);
                 // One that could do more does not idle where the warm ones served little, or are dead.
-                if served && end.elapsed < UNDELAYED * usual {
+                if served && end.elapsed < MAX_UNDELAYED_LATENCIES * usual {
                     server.slow_start.record_served(now, request.units, window);
                 }
             }
             if served {
                 // Prevents pushing over a server that died and came back before the list said so.
-                server.well(now, UNLISTED_RESTART);
+                server.well(now, ASSUMED_RESTART_AFTER);
             } else if (failed && end.outcome != Outcome::Cancelled) || unreached || full {
                 // Silence alone is no evidence of a restart: a healed link would make a whole zone cold.
                 if unreached {
                     server.unreachable(now);
                 }
-                server.fail(now, silent || unreached, EJECT);
+                server.fail(now, silent || unreached, EJECTION);
             }
         }
-        self.lost.add(f64::from(end.outcome == Outcome::TimedOut), WEIGHT / 2.0);
-        self.out_for.add(end.elapsed, WEIGHT / 2.0);
+        self.lost.add(f64::from(end.outcome == Outcome::TimedOut), SAMPLE_WEIGHT / 2.0);
+        self.out_for.add(end.elapsed, SAMPLE_WEIGHT / 2.0);
         if served {
-            self.classes[request.class.0].add(end.elapsed, request.units, WEIGHT);
+            self.classes[request.class.0].add(end.elapsed, request.units, SAMPLE_WEIGHT);
         }
         silent = (silent || overtaken) && !self.shared; // The mean: a count is held low by a few long ones.
         if judged && !unreached && !silent {
             let taken = if full { 1.0 } else { (end.elapsed / aim).min(1.0) };
             // By time where answers are few: prevents many gateways from learning of a trouble after it.
-            self.press(now, taken, SHORT_TAU, [WEIGHT / 2.0, WEIGHT]);
+            self.press(now, taken, SHORT_TAU, [SAMPLE_WEIGHT / 2.0, SAMPLE_WEIGHT]);
         }
         // Prevents a room that rises or stays while attempts hang: Little's law, and age for sudden bursts.
         self.ended.add(now, request.units, SHORT_TAU);
         let little = self.in_flight * 1000.0 / self.ended.per_second_over(now, SHORT_TAU, now - self.started);
-        let waits = little.min(HANGING.1 * (now - self.sent_sum / self.in_flight.max(1e-9))) / aim;
+        let waits =
+            little.min(MAX_MEAN_AGE_MULTIPLE * (now - self.sent_sum / self.in_flight.max(1e-9))) / aim;
         let (capacity, taken) = (self.capacity(), self.pressure(now));
-        let pause = self.mean_latency(request.class).min(aim * PRESSED);
-        if (taken > PRESSED || waits > HANGING.0) && !silent && now - self.cut_at > pause {
+        let pause = self.mean_latency(request.class).min(aim * PRESSURE_THRESHOLD);
+        if (taken > PRESSURE_THRESHOLD || waits > STALL_AIM_MULTIPLE) && !silent && now - self.cut_at > pause
+        {
             // From what is out, not from an estimate that was never tried: prevents one stuck high.
             let tried = capacity.min((self.in_flight + request.units).max(2.0 * self.set.max_request_units));
-            self.capacity = Some((tried * CUT).max(self.least()));
+            self.capacity = Some((tried * CAPACITY_DECREASE_FACTOR).max(self.least()));
             self.cut_at = now;
-        } else if served && taken.max(waits) < PRESSED && self.in_flight + request.units > capacity / 2.0 {
+        } else if served
+            && taken.max(waits) < PRESSURE_THRESHOLD
+            && self.in_flight + request.units > capacity / 2.0
+        {
             self.capacity = Some(capacity + 1.0);
         }
     }
 
-    fn on_tick(&mut self, now: Millis, acts: &mut Acts) {
+    fn on_tick(&mut self, now: Millis, acts: &mut Vec<Action>) {
         acts.push(Action::SetTimer(self.next_tick(), TICK));
         if self.source == Source::Peers && !self.homes() {
             acts.extend(self.reports());
@@ -926,20 +983,20 @@
         }
         self.size_up(now);
         let bad = self.ready.iter().filter(|id| self.passed_over(now, &self.servers[*id])).count();
-        let silent = self.servers.values().filter(|s| s.silence(now) > SILENCE);
+        let silent = self.servers.values().filter(|s| s.silence(now) > SILENCE_LATENCIES);
         self.pinned = silent.map(Server::units_out).sum();
-        self.shared = bad as f64 > EJECT_SHARE * self.ready.len() as f64;
+        self.shared = bad as f64 > MAX_PASSED_OVER_SHARE * self.ready.len() as f64;
         let most = |c| {
             let (part, classes) = (self.part(now, c), 0..self.classes.len());
             classes.map(|i| self.reservation(part, c, ClassId(i))).fold(0.0, f64::max)
         };
         self.reserved = self.customers.values().filter(|c| now - c.seen < DEMAND_TAU).map(most).sum();
-        let forget = FORGET.max(2.0 * self.set.longest_refill());
+        let forget = CUSTOMER_RETENTION.max(2.0 * self.set.longest_refill());
         self.customers.retain(|_, c| c.out > 0.0 || now - c.seen < forget);
         self.ledgers.retain(|_, l| now - l.seen < forget);
     }
 
-    fn on_message(&mut self, now: Millis, from: IngressId, bytes: &[u8], acts: &mut Acts) {
+    fn on_message(&mut self, now: Millis, from: IngressId, bytes: &[u8], acts: &mut Vec<Action>) {
         let Some((incarnation, rest)) = bytes.split_first() else { return };
         if from == self.set.ingress || from.0 >= self.set.ingress_count {
             return;
@@ -956,7 +1013,7 @@
         }
     }
 
-    fn on_counted(&mut self, now: Millis, id: CustomerId, answer: CounterAnswer, acts: &mut Acts) {
+    fn on_counted(&mut self, now: Millis, id: CustomerId, answer: CounterAnswer, acts: &mut Vec<Action>) {
         let (me, name) = (self.set.ingress, id);
         let Some(customer) = self.customers.get_mut(&id) else { return };
         let Some([added, out]) = customer.call.waiting.take() else { return };
@@ -972,7 +1029,7 @@
                 let step = counter_step(&plan, customer.spread);
                 let (owed, others) = customer.call.take_in(now, total, out, step);
                 customer.told.entry(me).or_default().out = others;
-                customer.pool.counted(now, owed, POOL.most * plan.burst, &POOL);
+                customer.pool.counted(now, owed, POOL.max_burst_share * plan.burst, &POOL);
             }
             CounterAnswer::NotAdded => customer.call_not_counted([added, out]),
             _ => customer.call_unknown(),
@@ -980,13 +1037,15 @@
         // Prevents judging the counter by one's own standstill: what takes longer was not read at once.
         let waited = (now - customer.call.sent) / self.set.counter_timeout.max(1.0);
         self.calls = match answer {
-            CounterAnswer::Total(_) if waited > CALL_DELAY && waited < 1.2 => {
-                self.calls * (1.0 - 5.0 * CALLS.1)
+            CounterAnswer::Total(_) if waited > SLOW_CALL_SHARE && waited < 1.2 => {
+                self.calls * (1.0 - 5.0 * CALL_SHARE_INCREASE)
+            }
+            CounterAnswer::Total(_) => {
+                self.calls + CALL_SHARE_INCREASE * (1.0 - waited / SLOW_CALL_SHARE).max(0.0)
             }
-            CounterAnswer::Total(_) => self.calls + CALLS.1 * (1.0 - waited / CALL_DELAY).max(0.0),
-            _ => self.calls * CALLS.0,
+            _ => self.calls * CALL_SHARE_DECREASE,
         }
-        .clamp(CALLS.1, 1.0);
+        .clamp(MIN_CALL_SHARE, 1.0);
         let told = matches!(answer, CounterAnswer::Total(_)) || !sparse(&plan, customer.spread);
         for (id, units) in std::mem::take(&mut customer.call.held) {
             if let Some(open) = self.requests.remove(&id) {
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -8,7 +8,7 @@
 
 use crate::interface::{BackendId, KindId, Millis};
 use crate::ramp::{AveragingTimes, Slice, WarmBackends};
-use crate::rules::FEW;
+use crate::rules::SMALL_FLEET_INGRESSES;
 use crate::state::Limiter;
 
 /// Fraction of a backend's overload threshold that the fleet sends while the warm backends are fully busy.
@@ -84,7 +84,7 @@
     /// little.
     fn slow_start_max_slices(&self) -> f64 {
         let large_fleet = self.set.cold.overload_multiple * OVERLOAD_SHARE_SERVED / self.slow_start_share();
-        if f64::from(self.set.ingress_count) <= FEW { f64::INFINITY } else { large_fleet }
+        if f64::from(self.set.ingress_count) <= SMALL_FLEET_INGRESSES { f64::INFINITY } else { large_fleet }
     }
 
     /// Records that a warm backend has served some of this ingress's work.
--- a/src/state.rs
+++ b/src/state.rs
@@ -670,6 +670,18 @@
     pub(crate) gone_until: Millis,
 }
 
+/// When a failing backend is ejected, and for how long.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct EjectionPolicy {
+    /// Failures in a row after which the backend is ejected; a failed connection or a silent backend counts
+    /// as all of them.
+    pub(crate) after_failures: u32,
+    /// Time of the first ejection; each further one takes twice as long.
+    pub(crate) min_time: Millis,
+    /// The longest time of an ejection.
+    pub(crate) max_time: Millis,
+}
+
 impl Server {
     /// Its listed weight, as far as it is a figure.
     pub(crate) fn weight(&self) -> f64 {
@@ -766,10 +778,10 @@
     }
 
     /// An attempt failed, for good (`lost`) or as one of `most` in a row; after these it is ejected.
-    pub(crate) fn fail(&mut self, now: Millis, lost: bool, (most, first, longest): (u32, Millis, Millis)) {
-        self.failures += if lost { most } else { 1 };
-        if self.failures >= most {
-            self.eject(now, first, longest);
+    pub(crate) fn fail(&mut self, now: Millis, lost: bool, policy: EjectionPolicy) {
+        self.failures += if lost { policy.after_failures } else { 1 };
+        if self.failures >= policy.after_failures {
+            self.eject(now, policy.min_time, policy.max_time);
         }
     }
 
--- a/src/view.rs
+++ b/src/view.rs
@@ -15,7 +15,7 @@
     pub pinned: f64,
     /// The sum of all reservations.
     pub reserved: f64,
-    /// How much of their aims answers take; from `PRESSED` on the room is cut.
+    /// How much of their aims answers take; from `PRESSURE_THRESHOLD` on the room is cut.
     pub pressure: f64,
     /// Real servers on the list that are ready.
     pub ready: usize,
