--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -36,7 +36,7 @@
             QuotaMessage::Request { seq: to.1, request: of.ask(), drawn: unasked, pressure }.encode(),
         ));
         acts.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, ASKED));
-        self.asked.insert(to.1, Asked { request: of.id, home: to.0, at: now, again });
+        self.asked.insert(to.1, PendingQuotaRequest { request: of.id, home: to.0, at: now, again });
     }
 
     pub(crate) fn on_home_mail(
@@ -70,7 +70,7 @@
     }
 
     /// Tells the home that a granted try has ended, where it counts what is out.
-    pub(crate) fn release(&mut self, open: &Open, acts: &mut Vec<Action>) {
+    pub(crate) fn release(&mut self, open: &OpenRequest, acts: &mut Vec<Action>) {
         let Some((home, seq)) = open.home else { return };
         let done = QuotaMessage::Released { seq, customer: open.request.customer };
         match home == self.set.ingress {
@@ -95,7 +95,7 @@
 
     /// The time to the next tick. Prevents gateways that started together from calling the counter all at once.
     pub(crate) fn next_tick(&mut self) -> Millis {
-        let spread = if self.source == Source::Counter { 0.5 + self.rng.unit() } else { 1.0 };
+        let spread = if self.source == UsageSource::Counter { 0.5 + self.rng.unit() } else { 1.0 };
         self.report_every() * spread
     }
 
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -11,7 +11,7 @@
 
 use crate::interface::{Action, CustomerId, Millis, Plan, PlanId};
 use crate::rules::{POOL, sparse};
-use crate::state::{Customer, Limiter, Source};
+use crate::state::{Customer, Limiter, UsageSource};
 use serde::{Deserialize, Serialize};
 
 /// Whether the counter keeps a pool of a quota that so many ingresses share.
@@ -180,13 +180,13 @@
     /// Whether a customer's unused units are pooled at the counter.
     pub(crate) fn pooled(&self, plan: PlanId, spread: u16) -> bool {
         let (plan, spread) = (self.plan(plan), spread.min(self.set.ingress_count));
-        self.source == Source::Counter && spread > 1 && has_pool(&plan, spread)
+        self.source == UsageSource::Counter && spread > 1 && has_pool(&plan, spread)
     }
 
     /// Lends what is not needed here. Prevents units from lying idle at ingresses that see little of a customer while
     /// those that see more of it refuse its requests.
     pub(crate) fn lend(&mut self, now: Millis, acts: &mut Vec<Action>) {
-        if self.source != Source::Counter {
+        if self.source != UsageSource::Counter {
             return;
         }
         let mut lenders = std::mem::take(&mut self.lenders);
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,11 +11,11 @@
 use crate::window::{TokenBucket, poisson_below};
 use std::collections::BTreeSet;
 
-/// The order of candidate backends, smallest first: whether the backend is passed over, whether those of other
-/// zones, kinds or weights come first, and its cost.
+/// The order of candidate backends, smallest first: whether the backend is passed over, whether those of
+/// other zones, kinds or weights come first, and its cost.
 type CandidateRank = (bool, bool, f64);
 
-/// Time constant of demand: covers a few requests of a small customer, but is shorter than a shift of traffic.
+/// Time constant of demand: covers a few requests of a small customer, but less than a shift of traffic.
 const DEMAND_TAU: Millis = 3000.0;
 /// Fraction of the peers' message limit that reports may use, so that a late burst of them is not dropped.
 const REPORT_MESSAGE_SHARE: f64 = 0.8;
@@ -155,10 +155,10 @@
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.check()?;
         let source = match &set {
-            s if s.peers && s.peer_messages_per_second > 0.0 => Source::Peers,
-            s if s.counter => Source::Counter,
-            s if s.meter_period > 0.0 => Source::Meter,
-            _ => Source::Nowhere,
+            s if s.peers && s.peer_messages_per_second > 0.0 => UsageSource::Peers,
+            s if s.counter => UsageSource::Counter,
+            s if s.meter_period > 0.0 => UsageSource::Meter,
+            _ => UsageSource::None,
         };
         let mut this = Self::blank(set, source, seed);
         (this.retries, this.calls) = (MAX_RETRY_BUDGET * this.few(), this.few().sqrt());
@@ -206,7 +206,7 @@
 
     /// Reports to all would come too late or flood the mail: each customer's quota is then kept by a home.
     fn homes(&self) -> bool {
-        self.source == Source::Peers && self.report_gap() > MAX_REPORT_INTERVAL
+        self.source == UsageSource::Peers && self.report_gap() > MAX_REPORT_INTERVAL
     }
 
     /// The gateway of the set that keeps the customer's quota, or the next in line while that is silent.
@@ -231,7 +231,7 @@
             // Prevents a server that comes back, on a stale list or a fresh one, from being taken for warm.
             let late_comer = self.listed.then_some(now);
             let fresh = entry.last_start.or(late_comer).filter(|at| now - at < self.set.cold.warm_after);
-            let server = self.servers.entry(entry.backend).or_insert_with(|| Server::new(entry, fresh, now));
+            let server = self.servers.entry(entry.backend).or_insert_with(|| Backend::new(entry, fresh, now));
             let restarted = entry.last_start.is_some() && entry.last_start != server.entry.last_start;
             if restarted || (server.entry.state == BackendState::Gone && entry.state == BackendState::Ready) {
                 server.started = fresh;
@@ -257,8 +257,8 @@
         self.count_warm(now);
         // Prevents many gateways, each of which meets a server once in a while, from a handshake for every
         // other request. Each server is near to as many of them, so the load stays even.
-        let near = f64::from(self.set.ingress_count) * PREFERRED_BACKENDS
-            / self.warm.count.max(PREFERRED_BACKENDS);
+        let near =
+            f64::from(self.set.ingress_count) * PREFERRED_BACKENDS / self.warm.count.max(PREFERRED_BACKENDS);
         let few = f64::from(self.set.ingress_count) <= SMALL_FLEET_INGRESSES;
         let place = |id: BackendId| f64::from(self.set.ingress.place_after(id, self.set.ingress_count));
         let is_near = |id: &&BackendId| !few && !self.cold.contains(id) && place(**id) < near;
@@ -271,7 +271,7 @@
         seen.latency.value_or(guess) * (units / seen.units.value_or(units).max(0.01)).clamp(0.2, 5.0)
     }
 
-    fn cost(&self, now: Millis, server: &Server) -> f64 {
+    fn cost(&self, now: Millis, server: &Backend) -> f64 {
         // Prevents a server that goes silent from being preferred for its last good answers.
         let slow = server
             .slowness(now, SLOWNESS_TAU)
@@ -285,12 +285,12 @@
     }
 
     /// Whether a server is ejected, is on trial after that with work out, or has gone silent.
-    pub(crate) fn passed_over(&self, now: Millis, server: &Server) -> bool {
+    pub(crate) fn passed_over(&self, now: Millis, server: &Backend) -> bool {
         let trial = server.ejections > 0 && server.failures > 0 && !server.out.is_empty();
         server.ejected_until > now || trial || server.silence(now) > SILENCE_LATENCIES
     }
 
-    fn pick(&mut self, now: Millis, open: &Open) -> Option<BackendId> {
+    fn pick(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
         let effect = self.set.classes[open.request.class.0].retry_safety;
         let home = open.risky.and_then(|i| self.servers.get(&open.attempts[i].server)).map(|s| s.entry);
         let in_group = |id: &&BackendId| effect.allows_backend(home.as_ref(), &self.servers[*id].entry);
@@ -319,7 +319,7 @@
     fn best_of(
         &mut self,
         now: Millis,
-        open: &Open,
+        open: &OpenRequest,
         from: &mut [BackendId],
         (own, all): (bool, bool),
     ) -> Option<BackendId> {
@@ -357,7 +357,7 @@
 
     /// A cold server whose turn it is. They come first: the few gateways that fill one see too little to do
     /// so by the way.
-    fn cold_turn(&mut self, now: Millis, open: &Open) -> Option<BackendId> {
+    fn cold_turn(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
         let cold = std::mem::take(&mut self.cold);
         let start = self.rng.below(cold.len());
         let fits = |this: &mut Self, id: BackendId| {
@@ -391,11 +391,11 @@
         let silence = self.report_every() * MISSED_REPORTS_LIMIT;
         customer.spread <= 1
             || match self.source {
-                Source::Peers => self.heard_all(customer, now - silence),
+                UsageSource::Peers => self.heard_all(customer, now - silence),
                 // Where not every try can call, a total of long ago is no news.
-                Source::Counter => customer.call.tells(now, self.calls >= 1.0),
-                Source::Meter => customer.others.per_second(now, DEMAND_TAU) > 0.0,
-                Source::Nowhere => false,
+                UsageSource::Counter => customer.call.tells(now, self.calls >= 1.0),
+                UsageSource::Meter => customer.others.per_second(now, DEMAND_TAU) > 0.0,
+                UsageSource::None => false,
             }
     }
 
@@ -421,10 +421,10 @@
         let pooled = self.pooled(customer.plan, customer.spread);
         // Prevents gateways that see the same units from all granting them before they hear of each other:
         // what others may draw meanwhile stays in the store, so that a second grant still finds its units.
-        let most = f64::from(self.source == Source::Peers)
+        let most = f64::from(self.source == UsageSource::Peers)
             * self.set.max_request_units.max(1.0).min(plan.burst / 3.0);
         let ahead = (customer.asked_elsewhere(now, DEMAND_TAU) * UNREPORTED_DEMAND_TIME / 1000.0).min(most);
-        let rate = if self.source == Source::Meter { plan.rate * part } else { plan.rate };
+        let rate = if self.source == UsageSource::Meter { plan.rate * part } else { plan.rate };
         let Some(customer) = self.customers.get_mut(&id) else { return 0.0 };
         customer.living = living;
         let (store, slice) = customer.fill(now, rate, &plan, self.set.max_request_units.max(1.0));
@@ -490,35 +490,38 @@
         plan.max_in_flight * part / 2.0 * self.classes[class.0].units.value_or(1.0)
     }
 
-    fn admit(&mut self, now: Millis, request: &Request, known: Known) -> Verdict {
+    fn admit(&mut self, now: Millis, request: &Request, known: QuotaEvidence) -> AdmissionDecision {
         let plan = self.plan(request.plan);
         let available = self.available(now, request.customer);
         let ceiling = self.ceiling(now, request.customer, &plan);
         let latency = self.mean_latency(request.class);
-        let Some(customer) = self.customers.get(&request.customer) else { return Verdict::Refused(0.0) };
+        let Some(customer) = self.customers.get(&request.customer) else {
+            return AdmissionDecision::Rejected(0.0);
+        };
         let (part, weight) = (self.part(now, customer), request.units);
         let even = 1.0 / f64::from(customer.spread.max(1));
         // Prevents the gateways together from passing a hard ceiling, whatever has been heard.
         if ceiling < weight {
-            return Verdict::Refused(1000.0 * (weight - ceiling) / (plan.ceiling_rate * even));
+            return AdmissionDecision::Rejected(1000.0 * (weight - ceiling) / (plan.ceiling_rate * even));
         }
         // What a home has granted was counted there, and there was room before it was asked.
-        if known == Known::Granted {
-            return Verdict::Inside;
+        if known == QuotaEvidence::Granted {
+            return AdmissionDecision::WithinQuota;
         }
-        let inside =
-            known != Known::Denied && (plan.rate <= 0.0 || available >= weight || known == Known::Likely);
+        let inside = known != QuotaEvidence::Denied
+            && (plan.rate <= 0.0 || available >= weight || known == QuotaEvidence::Likely);
         let soft = plan.ceiling_rate <= 0.0 && plan.excess_worth > plan.excess_cost;
         if !inside && !soft {
             let refill = 1000.0 * (weight - available) / (plan.rate * part.max(0.05));
             // Who was turned away for want of news may come again while an answer is still of use.
-            let unknown = known == Known::Alone && self.source == Source::Counter && self.calls < 1.0;
+            let unknown =
+                known == QuotaEvidence::LocalOnly && self.source == UsageSource::Counter && self.calls < 1.0;
             let soon = if unknown {
                 self.set.classes[request.class.0].aim * UNINFORMED_RETRY_AIM_SHARE
             } else {
                 f64::INFINITY
             };
-            return Verdict::Refused(refill.max(customer.quiet_until - now).min(soon));
+            return AdmissionDecision::Rejected(refill.max(customer.quiet_until - now).min(soon));
         }
         // 1. The in-flight limit; a small cap must not round to nothing.
         if plan.max_in_flight > 0.0 && inside {
@@ -532,10 +535,10 @@
                 if plan.rate > 0.0 { plan.rate * (1.0 - even) * ASSUMED_RATE_USE } else { f64::INFINITY };
             let elsewhere = rate * self.out_for.value_or(latency) / 1000.0;
             let limit = match self.source {
-                Source::Peers if hears => share.ceil().min(left).max(left - unheard),
-                Source::Counter if hears && counter_step(&plan, customer.spread) > 0.0 => left,
+                UsageSource::Peers if hears => share.ceil().min(left).max(left - unheard),
+                UsageSource::Counter if hears && counter_step(&plan, customer.spread) > 0.0 => left,
                 // By what the others' rate lets them have out it is more likely to fit than not to pay.
-                Source::Counter if even * SMALL_FLEET_INGRESSES < 1.0 && elsewhere.is_finite() => {
+                UsageSource::Counter if even * SMALL_FLEET_INGRESSES < 1.0 && elsewhere.is_finite() => {
                     let fits = poisson_below(plan.max_in_flight - out, elsewhere * ASSUMED_IN_FLIGHT_FACTOR);
                     if fits > plan.break_even_probability() { plan.max_in_flight } else { share }
                 }
@@ -544,15 +547,19 @@
                 _ => share.round().max(1.0),
             };
             if out + 1.0 > limit {
-                return Verdict::Refused(latency);
+                return AdmissionDecision::Rejected(latency);
             }
         }
         if !inside {
             let room = self.in_flight + weight <= self.capacity() * EXCESS_CAPACITY_SHARE;
-            return if room { Verdict::Beyond } else { Verdict::Refused(latency) };
+            return if room { AdmissionDecision::BeyondQuota } else { AdmissionDecision::Rejected(latency) };
         }
         // 2. and 3. The reservation, then the shared room.
-        if self.has_room(now, request) { Verdict::Inside } else { Verdict::Refused(latency) }
+        if self.has_room(now, request) {
+            AdmissionDecision::WithinQuota
+        } else {
+            AdmissionDecision::Rejected(latency)
+        }
     }
 
     fn on_request(&mut self, now: Millis, mut request: Request, acts: &mut Vec<Action>) {
@@ -567,7 +574,7 @@
         customer.asked.add(now, request.units, DEMAND_TAU);
         customer.asked_untold += request.units;
         self.untold.insert(request.customer);
-        let mut open = Open::new(request, now);
+        let mut open = OpenRequest::new(request, now);
         let known =
             if self.homes() { self.ask(now, &mut open, acts) } else { self.hold(now, &request, acts) };
         match known {
@@ -578,28 +585,28 @@
 
     /// Asks the customer's home; none while the answer is awaited. Prevents gateways that each see too little
     /// of a customer from granting a quota many times over; a silent home leaves the even slice.
-    fn ask(&mut self, now: Millis, open: &mut Open, acts: &mut Vec<Action>) -> Option<Known> {
+    fn ask(&mut self, now: Millis, open: &mut OpenRequest, acts: &mut Vec<Action>) -> Option<QuotaEvidence> {
         let request = open.request;
         let plan = self.plan(request.plan);
         let (spread, out, quiet) =
             self.customers.get(&request.customer).map(|c| (c.spread, c.out, c.quiet_until))?;
         let quota = spread > 1 && (plan.rate > 0.0 || plan.max_in_flight > 0.0);
         if !quota || self.ceiling(now, request.customer, &plan) < request.units {
-            return Some(Known::Alone);
+            return Some(QuotaEvidence::LocalOnly);
         }
         // Prevents asks whose answer cannot help: the refusal goes out at once.
         let full = plan.max_in_flight > 0.0 && out >= plan.max_in_flight;
         if now < quiet || full || !self.has_room(now, &request) {
-            return Some(Known::Denied);
+            return Some(QuotaEvidence::Denied);
         }
         let customer = self.customers.get_mut(&request.customer)?;
         if now < customer.credit_until && customer.credit >= request.units {
             customer.credit -= request.units;
             customer.unasked += request.units;
-            return Some(Known::Granted);
+            return Some(QuotaEvidence::Granted);
         }
         let unasked = customer.unasked;
-        let Some(home) = self.home(now, &request) else { return Some(Known::Alone) };
+        let Some(home) = self.home(now, &request) else { return Some(QuotaEvidence::LocalOnly) };
         self.asks = (self.asks + 1) & 0x3fff;
         let seq = self.asks;
         open.home = (plan.max_in_flight > 0.0).then_some((home, seq));
@@ -607,11 +614,11 @@
             let (granted, quiet) = self.decide(now, (home, seq), &request.ask(), unasked);
             let customer = self.customers.get_mut(&request.customer)?;
             (customer.unasked, customer.quiet_until) = (0.0, if granted { 0.0 } else { now + quiet });
-            return Some(if granted { Known::Granted } else { Known::Denied });
+            return Some(if granted { QuotaEvidence::Granted } else { QuotaEvidence::Denied });
         }
         if request.time_left < 2.0 * QUOTA_ANSWER_TIMEOUT + self.mean_latency(request.class) {
             open.home = None;
-            return Some(Known::Alone);
+            return Some(QuotaEvidence::LocalOnly);
         }
         self.put_ask(now, &request, (home, seq), false, acts);
         None
@@ -634,7 +641,8 @@
             (plan.burst * INITIAL_BUCKET_SHARE).max(self.set.max_request_units).min(plan.burst),
             self.started,
         );
-        let ledger = self.ledgers.entry(of.customer).or_insert_with(|| Ledger::new(store, MIN_DENIAL_PAUSE));
+        let ledger =
+            self.ledgers.entry(of.customer).or_insert_with(|| OwnedQuota::new(store, MIN_DENIAL_PAUSE));
         ledger.seen = now;
         ledger.asked.add(now, 1.0, SHORT_TAU);
         let level = ledger.store.fill(now, plan.rate, plan.burst) - unasked;
@@ -678,7 +686,7 @@
                 self.put_ask(now, &request, (home, seq), true, acts);
             } else {
                 open.home = None;
-                self.judge(now, open, Known::Alone, acts);
+                self.judge(now, open, QuotaEvidence::LocalOnly, acts);
             }
         }
     }
@@ -706,35 +714,35 @@
             }
         }
         open.home = open.home.filter(|_| granted);
-        self.judge(now, open, if granted { Known::Granted } else { Known::Denied }, acts);
+        self.judge(now, open, if granted { QuotaEvidence::Granted } else { QuotaEvidence::Denied }, acts);
     }
 
     /// Where only the counter tells of the others, a try waits for its call's answer: none. Prevents gateways
     /// that each see a part from granting the same units.
-    fn hold(&mut self, now: Millis, request: &Request, acts: &mut Vec<Action>) -> Option<Known> {
+    fn hold(&mut self, now: Millis, request: &Request, acts: &mut Vec<Action>) -> Option<QuotaEvidence> {
         let plan = self.plan(request.plan);
         let quota = plan.rate > 0.0 || plan.max_in_flight > 0.0;
         let short = request.time_left < MIN_TIME_LEFT_TIMEOUTS * self.set.counter_timeout;
         // Prevents calls for tries that the ceiling or the full room turns away: floods would use them up.
         let shut = self.in_flight + request.units > self.capacity()
             || self.ceiling(now, request.customer, &plan) < request.units;
-        if self.source != Source::Counter || !quota || short || shut {
-            return Some(Known::Alone);
+        if self.source != UsageSource::Counter || !quota || short || shut {
+            return Some(QuotaEvidence::LocalOnly);
         }
         let (known, likely, decides) = self.likely(now, request);
         let customer = self.customers.get_mut(&request.customer)?;
         // Nor does a call help where the last answer holds, or all that the cap allows is out here.
         if now < customer.quiet_until || (plan.max_in_flight > 0.0 && customer.out >= plan.max_in_flight) {
-            return Some(Known::Denied);
+            return Some(QuotaEvidence::Denied);
         }
         let single = sparse(&plan, customer.spread);
         let (_, slice) = customer.fill(now, plan.rate, &plan, self.set.max_request_units.max(1.0));
         if customer.spread <= 1 {
-            return Some(Known::Alone);
+            return Some(QuotaEvidence::LocalOnly);
         }
         let own = if single { slice } else { customer.pooled_units() } >= request.units || plan.rate <= 0.0;
         if !own && !single && customer.pool.is_short(now) {
-            return Some(Known::Alone);
+            return Some(QuotaEvidence::LocalOnly);
         }
         // Prevents more calls than the counter takes in from all failing: they go where the answer decides.
         let part = match (own, single) {
@@ -745,7 +753,7 @@
         };
         let part = if single { (part * decides.max(self.calls)).clamp(MIN_CALL_SHARE, 1.0) } else { part };
         if self.rng.unit() >= part {
-            return Some(if single { known } else { Known::Alone });
+            return Some(if single { known } else { QuotaEvidence::LocalOnly });
         }
         let stands_for = if single { 1.0 + likely * (1.0 - part) / part } else { 0.0 };
         customer.call.held.push((request.id, request.units * stands_for.min(1.0)));
@@ -761,7 +769,7 @@
     /// What the calls that fit tell of a try without one, its chance and how much a call would decide.
     /// Prevents customers that each gateway sees once a day from being refused for slices far below one
     /// request. It could harm where a few customers ask most of what is asked.
-    fn likely(&mut self, now: Millis, request: &Request) -> (Known, f64, f64) {
+    fn likely(&mut self, now: Millis, request: &Request) -> (QuotaEvidence, f64, f64) {
         let even = self.plan(request.plan).break_even_probability();
         let fit = self.fit.get(&(request.plan, request.is_retry));
         let fit = fit.map_or(even, |f| f.value(now, even, COUNTED_FIT_TAU));
@@ -770,41 +778,45 @@
             ((PRESSURE_THRESHOLD - self.taken.value_or(0.0)) * 2.0 / PRESSURE_THRESHOLD).clamp(0.0, 1.0);
         let likely = ((fit - even) / (1.0 - even)).max(0.0).powi(2) * free;
         let decides = if fit > even { (1.0 - fit) / (1.0 - even) } else { fit / even };
-        (if self.rng.unit() < likely { Known::Likely } else { Known::Alone }, likely, decides)
+        (
+            if self.rng.unit() < likely { QuotaEvidence::Likely } else { QuotaEvidence::LocalOnly },
+            likely,
+            decides,
+        )
     }
 
-    fn judge(&mut self, now: Millis, mut open: Open, known: Known, acts: &mut Vec<Action>) {
-        let (request, counted) = (open.request, known == Known::Counted);
+    fn judge(&mut self, now: Millis, mut open: OpenRequest, known: QuotaEvidence, acts: &mut Vec<Action>) {
+        let (request, counted) = (open.request, known == QuotaEvidence::Counted);
         let plan = self.plan(request.plan);
         open.counted = counted;
         let verdict = self.admit(now, &request, known);
-        let inside = verdict == Verdict::Inside;
+        let inside = verdict == AdmissionDecision::WithinQuota;
         let single =
-            self.source == Source::Counter && sparse(&plan, request.spread.min(self.set.ingress_count));
+            self.source == UsageSource::Counter && sparse(&plan, request.spread.min(self.set.ingress_count));
         if counted && single {
             self.fit.entry((request.plan, request.is_retry)).or_default().add(now, inside, COUNTED_FIT_TAU);
         }
         let wait = match verdict {
-            Verdict::Refused(wait) => wait,
+            AdmissionDecision::Rejected(wait) => wait,
             _ if self.send(now, &mut open, acts) => {
                 self.requests.insert(request.id, open);
                 return self.draw(&request, inside, single);
             }
             _ => self.mean_latency(request.class),
         };
-        if known == Known::Granted {
+        if known == QuotaEvidence::Granted {
             self.release(&open, acts);
         }
         match self.customers.get_mut(&request.customer) {
             Some(customer) if counted && !single => customer.call.set_aside(0.0, -1.0),
             Some(customer) if counted => customer.quiet_until = now + wait.min(MAX_DENIAL_PAUSE),
-            Some(customer) if known == Known::Granted => customer.unasked -= request.units,
+            Some(customer) if known == QuotaEvidence::Granted => customer.unasked -= request.units,
             _ => {}
         }
         acts.push(Action::Reject(request.id, self.advice(wait)));
     }
 
-    fn send(&mut self, now: Millis, open: &mut Open, acts: &mut Vec<Action>) -> bool {
+    fn send(&mut self, now: Millis, open: &mut OpenRequest, acts: &mut Vec<Action>) -> bool {
         let Some(id) = self.pick(now, open) else { return false };
         let class = &self.set.classes[open.request.class.0];
         let usual = self.usual(open.request.class, open.request.units);
@@ -895,7 +907,7 @@
         let (cold, window) = (self.set.cold, self.set.cold.overload_window.max(1.0));
         let judged = !matches!(end.outcome, Outcome::NotSent | Outcome::Cancelled);
         // Work that cold, drained or gone ones finish says nothing of what a warm one takes.
-        let warm = |s: &Server| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
+        let warm = |s: &Backend| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
         if let Some(server) = self.servers.get(&end.backend).filter(|s| served && warm(s)) {
             self.warm_backend_served(now, server.entry.kind, request.units);
         }
@@ -969,7 +981,7 @@
 
     fn on_tick(&mut self, now: Millis, acts: &mut Vec<Action>) {
         acts.push(Action::SetTimer(self.next_tick(), TICK));
-        if self.source == Source::Peers && !self.homes() {
+        if self.source == UsageSource::Peers && !self.homes() {
             acts.extend(self.reports());
         }
         self.lend(now, acts);
@@ -977,14 +989,14 @@
             let Some(customer) = self.customers.get_mut(&id) else { continue };
             let plan = self.set.plans.get(customer.plan.0).cloned().unwrap_or_default();
             let told = customer.call.pending[1] != 0.0 && customer.spread > 1;
-            if told && self.source == Source::Counter && counter_step(&plan, customer.spread) > 0.0 {
+            if told && self.source == UsageSource::Counter && counter_step(&plan, customer.spread) > 0.0 {
                 Self::call(now, id, customer, &plan, acts);
             }
         }
         self.size_up(now);
         let bad = self.ready.iter().filter(|id| self.passed_over(now, &self.servers[*id])).count();
         let silent = self.servers.values().filter(|s| s.silence(now) > SILENCE_LATENCIES);
-        self.pinned = silent.map(Server::units_out).sum();
+        self.pinned = silent.map(Backend::units_out).sum();
         self.shared = bad as f64 > MAX_PASSED_OVER_SHARE * self.ready.len() as f64;
         let most = |c| {
             let (part, classes) = (self.part(now, c), 0..self.classes.len());
@@ -1049,7 +1061,7 @@
         let told = matches!(answer, CounterAnswer::Total(_)) || !sparse(&plan, customer.spread);
         for (id, units) in std::mem::take(&mut customer.call.held) {
             if let Some(open) = self.requests.remove(&id) {
-                let known = if told { Known::Counted } else { self.likely(now, &open.request).0 };
+                let known = if told { QuotaEvidence::Counted } else { self.likely(now, &open.request).0 };
                 self.judge(now, open, known, acts);
             } else if let Some(customer) = self.customers.get_mut(&name) {
                 // The client left meanwhile: what was set aside for it goes back.
--- a/src/state.rs
+++ b/src/state.rs
@@ -25,9 +25,9 @@
     pub(crate) set: Settings,
     pub(crate) rng: Prng,
     pub(crate) started: Millis,
-    pub(crate) source: Source,
+    pub(crate) source: UsageSource,
     pub(crate) incarnation: u8,
-    pub(crate) servers: BTreeMap<BackendId, Server>,
+    pub(crate) servers: BTreeMap<BackendId, Backend>,
     /// The ready ones, in the order in which they were last sampled.
     pub(crate) ready: Vec<BackendId>,
     /// Those of the warm ones that come first here.
@@ -37,20 +37,20 @@
     /// The largest listed weight among them.
     pub(crate) heaviest: f64,
     /// How much longer than usual a zone or a kind of machine takes for a class, in usual times.
-    pub(crate) scopes: BTreeMap<(Scope, ClassId), Taken>,
+    pub(crate) scopes: BTreeMap<(BackendGroup, ClassId), GroupLatency>,
     /// So many servers look bad that the trouble is shared.
     pub(crate) shared: bool,
     pub(crate) listed: bool,
-    pub(crate) ledgers: BTreeMap<CustomerId, Ledger>,
-    pub(crate) asked: BTreeMap<u64, Asked>,
+    pub(crate) ledgers: BTreeMap<CustomerId, OwnedQuota>,
+    pub(crate) asked: BTreeMap<u64, PendingQuotaRequest>,
     pub(crate) asks: u64,
-    pub(crate) requests: BTreeMap<RequestId, Open>,
+    pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
     pub(crate) untold: BTreeSet<CustomerId>,
     /// Customers of whose quota this gateway may lend to the pool.
     pub(crate) lenders: BTreeSet<CustomerId>,
     pub(crate) peers: BTreeMap<IngressId, Peer>,
-    pub(crate) classes: Vec<ClassSeen>,
+    pub(crate) classes: Vec<ClassStats>,
     pub(crate) capacity: Option<f64>,
     /// What the ready servers can do, in warm ones.
     pub(crate) able: f64,
@@ -91,14 +91,14 @@
 
 impl Limiter {
     /// A limiter that has seen nothing.
-    pub(crate) fn blank(set: Settings, source: Source, seed: u64) -> Self {
+    pub(crate) fn blank(set: Settings, source: UsageSource, seed: u64) -> Self {
         let mut rng = Prng::new(seed);
         Self {
             incarnation: rng.byte(),
             asks: rng.below(usize::from(u16::MAX)) as u64,
             rng,
             source,
-            classes: vec![ClassSeen::default(); set.classes.len()],
+            classes: vec![ClassStats::default(); set.classes.len()],
             set,
             started: 0.0,
             servers: BTreeMap::new(),
@@ -215,7 +215,7 @@
     }
 
     /// The part of its full work that a server can do now, at the least.
-    pub(crate) fn warmth(&self, now: Millis, server: &Server) -> f64 {
+    pub(crate) fn warmth(&self, now: Millis, server: &Backend) -> f64 {
         self.set.cold.warmth_of(server.started, now)
     }
 
@@ -288,11 +288,11 @@
 
     /// How fast servers that have as much in common with this one are for a class, as a part of the fastest, and
     /// as much as its weight is of the largest.
-    pub(crate) fn speed(&self, now: Millis, server: &Server, class: ClassId, tau: Millis) -> f64 {
-        let takes = |at: &Taken| at.value(now, tau);
-        let part = |scope: Scope| {
+    pub(crate) fn speed(&self, now: Millis, server: &Backend, class: ClassId, tau: Millis) -> f64 {
+        let takes = |at: &GroupLatency| at.value(now, tau);
+        let part = |scope: BackendGroup| {
             let own = self.scopes.get(&(scope, class)).map_or(1.0, takes);
-            let like = |s: &Scope| std::mem::discriminant(s) == std::mem::discriminant(&scope);
+            let like = |s: &BackendGroup| std::mem::discriminant(s) == std::mem::discriminant(&scope);
             let alike = self.scopes.iter().filter(|((s, c), _)| *c == class && like(s));
             alike.map(|(_, at)| takes(at)).fold(own, f64::min) / own
         };
@@ -384,7 +384,7 @@
     pub fn members(&self, now: Millis) -> BackendCounts {
         let listed = self.servers.values().filter(|s| s.entry.state != BackendState::Gone);
         let avoided =
-            |s: &Server| s.entry.state != BackendState::Ready || !self.shared && self.passed_over(now, s);
+            |s: &Backend| s.entry.state != BackendState::Ready || !self.shared && self.passed_over(now, s);
         let (all, out) = listed.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(avoided(s))));
         BackendCounts { listed: all, unavailable: out }
     }
@@ -412,7 +412,7 @@
     }
 }
 
-impl Ledger {
+impl OwnedQuota {
     /// A ledger with a store, whose denied askers are to keep away for `quiet`.
     pub(crate) fn new(store: TokenBucket, quiet: Millis) -> Self {
         Self { store, asked: DecayingRate::default(), quiet, out: BTreeMap::new(), seen: 0.0 }
@@ -424,7 +424,7 @@
     }
 }
 
-impl ClassSeen {
+impl ClassStats {
     /// An answer came.
     pub(crate) fn add(&mut self, spent: Millis, units: f64, weight: f64) {
         self.latency.add(spent, weight);
@@ -461,14 +461,14 @@
 
 /// What servers have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(crate) enum Scope {
+pub(crate) enum BackendGroup {
     Zone(ZoneId),
     Kind(KindId),
 }
 
 /// What a zone or a kind of machine takes for a class.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Taken {
+pub(crate) struct GroupLatency {
     /// Usual times beyond the first.
     times: DecayingAverage,
     /// The part that fails.
@@ -477,7 +477,7 @@
     most: f64,
 }
 
-impl Taken {
+impl GroupLatency {
     /// An attempt was served in so many usual times, or failed, which counts for `most` where all does.
     pub(crate) fn add(&mut self, now: Millis, times: Option<f64>, most: f64, weight: f64, tau: Millis) {
         times.into_iter().for_each(|times| self.times.add(now, times - 1.0, weight, tau));
@@ -494,29 +494,29 @@
 
 /// Where a gateway hears of the use at others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Source {
+pub(crate) enum UsageSource {
     Peers,
     Counter,
     Meter,
-    Nowhere,
+    None,
 }
 
 /// What the admission came to.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Verdict {
+pub(crate) enum AdmissionDecision {
     /// Inside the quota: the bucket is drawn.
-    Inside,
+    WithinQuota,
     /// Beyond the quota: only the ceiling is drawn.
-    Beyond,
+    BeyondQuota,
     /// Refused; come again after this time.
-    Refused(Millis),
+    Rejected(Millis),
 }
 
 /// What is known of a request's quota when it is judged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Known {
+pub(crate) enum QuotaEvidence {
     /// Only what this gateway holds.
-    Alone,
+    LocalOnly,
     /// The counter has answered its own call.
     Counted,
     /// The home has let it in.
@@ -529,7 +529,7 @@
 
 /// What a home holds of a customer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Ledger {
+pub(crate) struct OwnedQuota {
     pub(crate) store: TokenBucket,
     /// Asks.
     pub(crate) asked: DecayingRate,
@@ -542,7 +542,7 @@
 
 /// An ask that waits for its answer.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub(crate) struct Asked {
+pub(crate) struct PendingQuotaRequest {
     pub(crate) request: RequestId,
     pub(crate) home: IngressId,
     pub(crate) at: Millis,
@@ -551,7 +551,7 @@
 
 /// What a peer said of a customer.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct PeerUsage {
     pub(crate) drawn: Option<u64>,
     pub(crate) asked: DecayingRate,
     pub(crate) out: f64,
@@ -574,10 +574,10 @@
     pub(crate) asked: DecayingRate,
     pub(crate) drawn: f64,
     pub(crate) asked_untold: f64,
-    pub(crate) told: BTreeMap<IngressId, Told>,
+    pub(crate) told: BTreeMap<IngressId, PeerUsage>,
     pub(crate) out: f64,
     pub(crate) units_out: f64,
-    pub(crate) call: Call,
+    pub(crate) call: CounterAccount,
     pub(crate) pool: PoolAccount,
     pub(crate) others: DecayingRate,
     pub(crate) seen: Millis,
@@ -592,7 +592,7 @@
 
 /// A customer's account with the counter.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Call {
+pub(crate) struct CounterAccount {
     /// Units and attempts out that the next call is to add.
     pub(crate) pending: [f64; 2],
     /// What the call that is out adds.
@@ -608,7 +608,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Server {
+pub(crate) struct Backend {
     pub(crate) entry: BackendEntry,
     pub(crate) started: Option<Millis>,
     /// What it was sent of this ingress's slice since it started cold.
@@ -641,7 +641,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Open {
+pub(crate) struct OpenRequest {
     pub(crate) request: Request,
     pub(crate) deadline: Millis,
     pub(crate) attempts: Vec<Attempt>,
@@ -655,7 +655,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct ClassSeen {
+pub(crate) struct ClassStats {
     pub(crate) latency: Ewma,
     pub(crate) units: Ewma,
 }
@@ -682,15 +682,15 @@
     pub(crate) max_time: Millis,
 }
 
-impl Server {
+impl Backend {
     /// Its listed weight, as far as it is a figure.
     pub(crate) fn weight(&self) -> f64 {
         if self.entry.weight.is_finite() { self.entry.weight.max(0.01) } else { 1.0 }
     }
 
     /// What it has in common with others.
-    pub(crate) fn scopes(&self) -> [Scope; 2] {
-        [Scope::Zone(self.entry.zone), Scope::Kind(self.entry.kind)]
+    pub(crate) fn scopes(&self) -> [BackendGroup; 2] {
+        [BackendGroup::Zone(self.entry.zone), BackendGroup::Kind(self.entry.kind)]
     }
 
     /// A server first heard of at `now`.
@@ -826,7 +826,7 @@
             told: BTreeMap::new(),
             out: 0.0,
             units_out: 0.0,
-            call: Call::default(),
+            call: CounterAccount::default(),
             pool: PoolAccount::default(),
             others: DecayingRate::default(),
             seen: now,
@@ -859,7 +859,7 @@
     }
 }
 
-impl Open {
+impl OpenRequest {
     /// A request of which nothing was sent yet.
     pub(crate) fn new(request: Request, now: Millis) -> Self {
         let (attempts, deadline) = (Vec::new(), now + request.time_left);
@@ -937,7 +937,7 @@
     }
 }
 
-impl Call {
+impl CounterAccount {
     /// Sets units and an attempt aside for the next call, or takes them off again.
     pub(crate) fn set_aside(&mut self, units: f64, times: f64) {
         self.pending[0] += units * times;
--- a/src/view.rs
+++ b/src/view.rs
@@ -41,8 +41,8 @@
     /// What it goes by now.
     pub fn view(&self, now: Millis) -> View {
         let ready = || self.servers.values().filter(|s| s.entry.state == BackendState::Ready);
-        let cold = |s: &&crate::state::Server| self.warmth(now, s) < 1.0;
-        let over = |s: &&crate::state::Server| self.passed_over(now, s);
+        let cold = |s: &&crate::state::Backend| self.warmth(now, s) < 1.0;
+        let over = |s: &&crate::state::Backend| self.passed_over(now, s);
         View {
             capacity: self.capacity(),
             in_flight: self.in_flight,
