--- a/src/engine.rs
+++ b/src/engine.rs
@@ -263,7 +263,7 @@
             }
             EngineEvent::LiveIngresses(living) => {
                 let change = self.subset.as_mut().and_then(|subset| subset.living(living.as_deref()));
-                self.limiter.living(living);
+                self.limiter.set_live_ingresses(living);
                 if let Some(change) = change {
                     self.tell(change, ListKind::Changes);
                 }
@@ -280,7 +280,7 @@
             }
             EngineEvent::Resume => {
                 self.retired = false;
-                self.limiter.take_back();
+                self.limiter.resume();
             }
             EngineEvent::Inherit(estate, reply) => {
                 self.inherit(estate);
@@ -343,7 +343,7 @@
         if let Some(change) = change {
             self.believe(change, ListKind::Changes);
         }
-        Ok(BackendStatus { counts: self.limiter.members(self.now), disabled: self.maintenance.bans() })
+        Ok(BackendStatus { counts: self.limiter.backend_counts(self.now), disabled: self.maintenance.bans() })
     }
 
     fn listed(&mut self, list: BackendList, kind: ListKind) {
--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -4,7 +4,7 @@
 use crate::interface::*;
 use crate::peer_messages::QuotaMessage;
 use crate::quota_pool::has_pool;
-use crate::rules::{QUOTA_ANSWER_TIMEOUT, SAMPLE_WEIGHT, SMALL_FLEET_INGRESSES, sparse};
+use crate::rules::{QUOTA_ANSWER_TIMEOUT, SAMPLE_WEIGHT, SMALL_FLEET_INGRESSES, is_sparse};
 use crate::state::*;
 
 /// The counter keeps a name as long as it may; less where it holds attempts that a killed gateway had out.
@@ -14,13 +14,13 @@
 
 impl Limiter {
     /// A peer told its pressure.
-    pub(crate) fn hear_pressure(&mut self, now: Millis, pressure: Option<f64>) {
+    pub(crate) fn record_peer_pressure(&mut self, now: Millis, pressure: Option<f64>) {
         let Some(pressure) = pressure else { return };
         self.heard_pressure.add(pressure, SAMPLE_WEIGHT);
         self.heard_at = now;
     }
 
-    pub(crate) fn put_ask(
+    pub(crate) fn send_quota_request(
         &mut self,
         now: Millis,
         of: &Request,
@@ -33,13 +33,14 @@
         let pressure = Some(self.taken.value_or(0.0));
         acts.push(Action::SendToPeer(
             to.0,
-            QuotaMessage::Request { seq: to.1, request: of.ask(), drawn: unasked, pressure }.encode(),
+            QuotaMessage::Request { seq: to.1, request: of.quota_request(), drawn: unasked, pressure }
+                .encode(),
         ));
         acts.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, ASKED));
         self.asked.insert(to.1, PendingQuotaRequest { request: of.id, home: to.0, at: now, again });
     }
 
-    pub(crate) fn on_home_mail(
+    pub(crate) fn on_quota_message(
         &mut self,
         now: Millis,
         from: IngressId,
@@ -50,8 +51,8 @@
             Some(QuotaMessage::Request { seq, request: of, drawn: unasked, pressure })
                 if self.set.defines(of.plan, of.class) =>
             {
-                self.hear_pressure(now, pressure);
-                let (granted, more) = self.decide(now, (from, seq), &of, unasked);
+                self.record_peer_pressure(now, pressure);
+                let (granted, more) = self.decide_quota(now, (from, seq), &of, unasked);
                 let pressure = Some(self.taken.value_or(0.0));
                 acts.push(Action::SendToPeer(
                     from,
@@ -59,29 +60,29 @@
                 ));
             }
             Some(QuotaMessage::Answer { seq, granted, credit_or_pause: more, pressure }) => {
-                self.hear_pressure(now, pressure);
-                self.on_answer(now, (from, seq), granted, more, acts)
+                self.record_peer_pressure(now, pressure);
+                self.on_quota_answer(now, (from, seq), granted, more, acts)
             }
             Some(QuotaMessage::Released { seq, customer }) => {
-                self.ledgers.entry(customer).and_modify(|ledger| ledger.end((from, seq)));
+                self.ledgers.entry(customer).and_modify(|ledger| ledger.release((from, seq)));
             }
             _ => {}
         }
     }
 
     /// Tells the home that a granted try has ended, where it counts what is out.
-    pub(crate) fn release(&mut self, open: &OpenRequest, acts: &mut Vec<Action>) {
+    pub(crate) fn release_grant(&mut self, open: &OpenRequest, acts: &mut Vec<Action>) {
         let Some((home, seq)) = open.home else { return };
         let done = QuotaMessage::Released { seq, customer: open.request.customer };
         match home == self.set.ingress {
-            true => self.on_home_mail(0.0, home, Some(done), acts),
+            true => self.on_quota_message(0.0, home, Some(done), acts),
             false => acts.push(Action::SendToPeer(home, done.encode())),
         }
     }
 
     /// A request draws its units once, when it is first sent on.
     pub(crate) fn draw(&mut self, request: &Request, inside: bool, single: bool) {
-        let pooled = self.pooled(request.plan, request.spread);
+        let pooled = self.uses_pool(request.plan, request.spread);
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         customer.ceiling.level -= request.units;
         match (pooled, inside) {
@@ -96,12 +97,12 @@
     /// The time to the next tick. Prevents gateways that started together from calling the counter all at once.
     pub(crate) fn next_tick(&mut self) -> Millis {
         let spread = if self.source == UsageSource::Counter { 0.5 + self.rng.unit() } else { 1.0 };
-        self.report_every() * spread
+        self.report_interval() * spread
     }
 
     /// Adds to the customer's number what was drawn here, or borrowed less what was lent where the quota has a pool, and
     /// what is out where that is capped: units below `counter_step`, attempts out in multiples of it.
-    pub(crate) fn call(
+    pub(crate) fn call_counter(
         now: Millis,
         id: CustomerId,
         customer: &mut Customer,
@@ -109,25 +110,26 @@
         acts: &mut Vec<Action>,
     ) {
         if customer.call.waiting.is_none() {
-            let ([drawn, out], step) = (customer.call.begin(now), counter_step(plan, customer.spread));
+            let ([drawn, out], step) =
+                (customer.call.begin(now), counter_attempt_step(plan, customer.spread));
             let units = if has_pool(plan, customer.spread) { customer.pool.begin(now) } else { drawn };
-            let keep = counter_keep(plan, customer.spread);
+            let keep = counter_ttl(plan, customer.spread);
             acts.push(Action::AddToCounter(CounterName(id.0), units + out * step, keep));
         }
     }
 }
 
 /// What one attempt out counts beside units in one number; 0 where a slice of the cap is far below one.
-pub(crate) fn counter_step(plan: &Plan, spread: u16) -> f64 {
+pub(crate) fn counter_attempt_step(plan: &Plan, spread: u16) -> f64 {
     let most = plan.rate.max(1.0) * COUNTER_KEEP[0] / 1000.0 + plan.burst;
     let counts = plan.max_in_flight > 0.0 && f64::from(spread) <= SMALL_FLEET_INGRESSES;
     if counts { (2.0 * most).log2().ceil().exp2() } else { 0.0 }
 }
 
 /// How long a customer's number is kept: not long where a killed gateway's attempts may be in it.
-pub(crate) fn counter_keep(plan: &Plan, spread: u16) -> Millis {
-    match sparse(plan, spread) {
+pub(crate) fn counter_ttl(plan: &Plan, spread: u16) -> Millis {
+    match is_sparse(plan, spread) {
         true => (1000.0 * WINDOW * plan.burst / plan.rate).min(COUNTER_KEEP[0]),
-        false => COUNTER_KEEP[usize::from(counter_step(plan, spread) > 0.0)],
+        false => COUNTER_KEEP[usize::from(counter_attempt_step(plan, spread) > 0.0)],
     }
 }
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -10,13 +10,13 @@
 //! Records and arithmetic; by what it goes, and who borrows, is decided in `src/rules.rs`.
 
 use crate::interface::{Action, CustomerId, Millis, Plan, PlanId};
-use crate::rules::{POOL, sparse};
+use crate::rules::{POOL, is_sparse};
 use crate::state::{Customer, Limiter, UsageSource};
 use serde::{Deserialize, Serialize};
 
 /// Whether the counter keeps a pool of a quota that so many ingresses share.
 pub(crate) fn has_pool(plan: &Plan, spread: u16) -> bool {
-    plan.rate > 0.0 && !sparse(plan, spread)
+    plan.rate > 0.0 && !is_sparse(plan, spread)
 }
 
 /// What the accounts of a pool go by.
@@ -88,7 +88,7 @@
     }
 
     /// Whether a call of its own is due for what an earlier one moved too much, one way or the other.
-    fn corrects(&self) -> bool {
+    fn needs_correction(&self) -> bool {
         self.next.give_back > 0.0 || self.next.take_back > 0.0
     }
 
@@ -178,27 +178,27 @@
 
 impl Limiter {
     /// Whether a customer's unused units are pooled at the counter.
-    pub(crate) fn pooled(&self, plan: PlanId, spread: u16) -> bool {
+    pub(crate) fn uses_pool(&self, plan: PlanId, spread: u16) -> bool {
         let (plan, spread) = (self.plan(plan), spread.min(self.set.ingress_count));
         self.source == UsageSource::Counter && spread > 1 && has_pool(&plan, spread)
     }
 
     /// Lends what is not needed here. Prevents units from lying idle at ingresses that see little of a customer while
     /// those that see more of it refuse its requests.
-    pub(crate) fn lend(&mut self, now: Millis, acts: &mut Vec<Action>) {
+    pub(crate) fn lend_unused(&mut self, now: Millis, acts: &mut Vec<Action>) {
         if self.source != UsageSource::Counter {
             return;
         }
         let mut lenders = std::mem::take(&mut self.lenders);
         lenders.extend(&self.untold);
-        lenders.retain(|id| self.lend_of(now, *id, acts));
+        lenders.retain(|id| self.lend_customer(now, *id, acts));
         self.lenders = lenders;
     }
 
     /// Tells whether the customer is still known and has a pool.
-    fn lend_of(&mut self, now: Millis, id: CustomerId, acts: &mut Vec<Action>) -> bool {
+    fn lend_customer(&mut self, now: Millis, id: CustomerId, acts: &mut Vec<Action>) -> bool {
         let Some((plan, spread)) = self.customers.get(&id).map(|c| (c.plan, c.spread)) else { return false };
-        if !self.pooled(plan, spread) {
+        if !self.uses_pool(plan, spread) {
             return false;
         }
         let (plan, largest) = (self.plan(plan), self.set.max_request_units.max(1.0));
@@ -208,9 +208,9 @@
             .set_aside_unused(now, [POOL.min_lend_requests * largest, POOL.max_burst_share * plan.burst]);
         let rested = now - customer.call.sent >= customer.pool.lend_pause.max(POOL.min_lend_interval);
         // As seldom as calls are to be made: what is borrowed is worth more to callers than what is lent.
-        let due = enough && rested || customer.pool.corrects();
+        let due = enough && rested || customer.pool.needs_correction();
         if due && self.rng.unit() < self.calls * self.calls {
-            Self::call(now, id, customer, &plan, acts);
+            Self::call_counter(now, id, customer, &plan, acts);
         }
         true
     }
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -167,7 +167,7 @@
         let own = order.rank(self.set.ingress);
         match &self.living {
             Some(_) => {
-                let before = |of: &IngressId| order.rank(*of) < own && self.lives(*of);
+                let before = |of: &IngressId| order.rank(*of) < own && self.is_live(*of);
                 (0..self.set.ingress_count).map(IngressId).filter(before).count() as u16
             }
             None => own,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::*;
 use crate::peer_messages::{QuotaMessage, QuotaRequest, decode_report_lines};
-use crate::quota_messages::{counter_keep, counter_step};
+use crate::quota_messages::{counter_attempt_step, counter_ttl};
 use crate::quota_pool::{PoolTerms, has_pool};
 use crate::state::*;
 use crate::window::{TokenBucket, poisson_below};
@@ -160,8 +160,9 @@
             s if s.meter_period > 0.0 => UsageSource::Meter,
             _ => UsageSource::None,
         };
-        let mut this = Self::blank(set, source, seed);
-        (this.retries, this.calls) = (MAX_RETRY_BUDGET * this.few(), this.few().sqrt());
+        let mut this = Self::empty(set, source, seed);
+        (this.retries, this.calls) =
+            (MAX_RETRY_BUDGET * this.small_fleet_scale(), this.small_fleet_scale().sqrt());
         Ok(this)
     }
 
@@ -175,48 +176,57 @@
                 }
                 acts.push(Action::SetTimer(self.next_tick(), TICK));
             }
-            Event::BackendList(kind, entries) => self.on_list(now, kind, entries, acts),
+            Event::BackendList(kind, entries) => self.on_backend_list(now, kind, entries, acts),
             Event::Request(request) => self.on_request(now, request, acts),
-            Event::StreamStarted(id, no) => self.streams(id, no),
-            Event::AttemptEnded(end) => self.on_end(now, end, acts),
-            Event::ClientLeft(id) => acts.extend(self.finish(id)),
-            Event::PeerMessage(from, bytes) => self.on_message(now, from, &bytes, acts),
+            Event::StreamStarted(id, no) => self.on_stream_started(id, no),
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end, acts),
+            Event::ClientLeft(id) => acts.extend(self.on_client_left(id)),
+            Event::PeerMessage(from, bytes) => self.on_peer_message(now, from, &bytes, acts),
             Event::Timer(TICK) => self.on_tick(now, acts),
             Event::Timer(SUBSCRIBE) if self.set.list_on_request => acts.push(Action::Subscribe),
-            Event::Timer(ASKED) => self.on_unanswered(now, acts),
+            Event::Timer(ASKED) => self.on_quota_timeout(now, acts),
             Event::Timer(_) | Event::ProbeEnded(..) => {}
-            Event::CounterAnswered(name, answer) => self.on_counted(now, CustomerId(name.0), answer, acts),
+            Event::CounterAnswered(name, answer) => {
+                self.on_counter_answer(now, CustomerId(name.0), answer, acts)
+            }
         }
     }
 
     /// The part of a floor for each gateway that keeps the sum of all within that of a few.
-    fn few(&self) -> f64 {
+    fn small_fleet_scale(&self) -> f64 {
         SMALL_FLEET_INGRESSES / SMALL_FLEET_INGRESSES.max(f64::from(self.set.ingress_count))
     }
 
     /// The interval at which the peers' mail limit takes in reports of all.
-    fn report_gap(&self) -> Millis {
+    fn unclamped_report_interval(&self) -> Millis {
         let listeners = f64::from(self.set.ingress_count.max(2) - 1);
         1000.0 * listeners / (self.set.peer_messages_per_second.max(1.0) * REPORT_MESSAGE_SHARE)
     }
 
-    pub(crate) fn report_every(&self) -> Millis {
-        self.report_gap().clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
+    pub(crate) fn report_interval(&self) -> Millis {
+        self.unclamped_report_interval().clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
     }
 
     /// Reports to all would come too late or flood the mail: each customer's quota is then kept by a home.
-    fn homes(&self) -> bool {
-        self.source == UsageSource::Peers && self.report_gap() > MAX_REPORT_INTERVAL
+    fn uses_quota_owners(&self) -> bool {
+        self.source == UsageSource::Peers && self.unclamped_report_interval() > MAX_REPORT_INTERVAL
     }
 
     /// The gateway of the set that keeps the customer's quota, or the next in line while that is silent.
-    fn home(&self, now: Millis, request: &Request) -> Option<IngressId> {
-        let in_line = request.in_line(self.set.ingress_count);
-        let well = |id: &IngressId| self.lives(*id) && self.peers.get(id).is_none_or(|p| p.gone_until <= now);
+    fn quota_owner(&self, now: Millis, request: &Request) -> Option<IngressId> {
+        let in_line = request.owner_candidates(self.set.ingress_count);
+        let well =
+            |id: &IngressId| self.is_live(*id) && self.peers.get(id).is_none_or(|p| p.gone_until <= now);
         in_line.into_iter().find(|id| *id == self.set.ingress || well(id))
     }
 
-    fn on_list(&mut self, now: Millis, kind: ListKind, entries: Vec<BackendEntry>, acts: &mut Vec<Action>) {
+    fn on_backend_list(
+        &mut self,
+        now: Millis,
+        kind: ListKind,
+        entries: Vec<BackendEntry>,
+        acts: &mut Vec<Action>,
+    ) {
         if kind == ListKind::Failed {
             acts.push(Action::SetTimer(SUBSCRIBE_RETRY_PAUSE, SUBSCRIBE));
             return;
@@ -235,16 +245,16 @@
             let restarted = entry.last_start.is_some() && entry.last_start != server.entry.last_start;
             if restarted || (server.entry.state == BackendState::Gone && entry.state == BackendState::Ready) {
                 server.started = fresh;
-                server.begin_anew(now);
+                server.reset(now);
             }
             server.entry = entry;
         }
-        self.relist();
-        self.size_up(now);
+        self.rebuild_ready();
+        self.refresh_backend_sets(now);
     }
 
     /// The ready servers that are cold; those that are warm, and their weights.
-    fn size_up(&mut self, now: Millis) {
+    fn refresh_backend_sets(&mut self, now: Millis) {
         let cold = |id: &&BackendId| self.servers.get(id).is_some_and(|s| self.warmth(now, s) < 1.0);
         self.cold = self.ready.iter().filter(cold).copied().collect();
         // Prevents a room that was right for all from staying when most have gone: the list tells it before
@@ -260,23 +270,23 @@
         let near =
             f64::from(self.set.ingress_count) * PREFERRED_BACKENDS / self.warm.count.max(PREFERRED_BACKENDS);
         let few = f64::from(self.set.ingress_count) <= SMALL_FLEET_INGRESSES;
-        let place = |id: BackendId| f64::from(self.set.ingress.place_after(id, self.set.ingress_count));
+        let place = |id: BackendId| f64::from(self.set.ingress.ring_distance(id, self.set.ingress_count));
         let is_near = |id: &&BackendId| !few && !self.cold.contains(id) && place(**id) < near;
         self.near = self.ready.iter().filter(is_near).copied().collect();
     }
 
-    fn usual(&self, class: ClassId, units: f64) -> Millis {
+    fn expected_latency(&self, class: ClassId, units: f64) -> Millis {
         let seen = &self.classes[class.0];
         let guess = self.set.classes[class.0].aim * INITIAL_LATENCY_AIM_SHARE;
         seen.latency.value_or(guess) * (units / seen.units.value_or(units).max(0.01)).clamp(0.2, 5.0)
     }
 
-    fn cost(&self, now: Millis, server: &Backend) -> f64 {
+    fn selection_cost(&self, now: Millis, server: &Backend) -> f64 {
         // Prevents a server that goes silent from being preferred for its last good answers.
         let slow = server
             .slowness(now, SLOWNESS_TAU)
             .max(0.2)
-            .max(server.waiting(now) * OUTLIER_LATENCIES / SILENCE_LATENCIES);
+            .max(server.longest_wait(now) * OUTLIER_LATENCIES / SILENCE_LATENCIES);
         // Prevents a server that tells nothing, as its answers never come, from looking idler.
         let (own, busy) =
             (server.out.len() as f64, 1.0 / (1.3 - server.busy.value_or(self.busy.value_or(0.3))));
@@ -285,30 +295,30 @@
     }
 
     /// Whether a server is ejected, is on trial after that with work out, or has gone silent.
-    pub(crate) fn passed_over(&self, now: Millis, server: &Backend) -> bool {
+    pub(crate) fn is_passed_over(&self, now: Millis, server: &Backend) -> bool {
         let trial = server.ejections > 0 && server.failures > 0 && !server.out.is_empty();
         server.ejected_until > now || trial || server.silence(now) > SILENCE_LATENCIES
     }
 
-    fn pick(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
+    fn pick_backend(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
         let effect = self.set.classes[open.request.class.0].retry_safety;
         let home = open.risky.and_then(|i| self.servers.get(&open.attempts[i].server)).map(|s| s.entry);
         let in_group = |id: &&BackendId| effect.allows_backend(home.as_ref(), &self.servers[*id].entry);
         let group = open.risky.map(|_| self.ready.iter().filter(in_group).copied().collect::<Vec<_>>());
         if group.is_none()
-            && let Some(id) = self.cold_turn(now, open)
+            && let Some(id) = self.pick_cold(now, open)
         {
             return Some(id);
         }
         if let Some(mut group) = group {
-            return self.best_of(now, open, &mut group, (false, true));
+            return self.best_candidate(now, open, &mut group, (false, true));
         }
         let mut near = std::mem::take(&mut self.near);
-        let found = self.best_of(now, open, &mut near, (true, false));
+        let found = self.best_candidate(now, open, &mut near, (true, false));
         self.near = near;
         found.or_else(|| {
             let mut ready = std::mem::take(&mut self.ready);
-            let found = self.best_of(now, open, &mut ready, (true, true));
+            let found = self.best_candidate(now, open, &mut ready, (true, true));
             self.ready = ready;
             found
         })
@@ -316,7 +326,7 @@
 
     /// The best of some servers, looked at in any order; `own` ones have had their turns asked for. Where
     /// these are not all there are, none that looks bad.
-    fn best_of(
+    fn best_candidate(
         &mut self,
         now: Millis,
         open: &OpenRequest,
@@ -331,7 +341,7 @@
             let server = &self.servers[&from[k]];
             let tried = open.attempts.iter().any(|a| a.server == from[k]);
             let cold = self.warmth(now, server) < 1.0;
-            let bad = self.passed_over(now, server) && !self.shared;
+            let bad = self.is_passed_over(now, server) && !self.shared;
             if (tried && from.len() > 1)
                 || (cold && (own || !self.try_slow_start_admit(now, from[k], open.request.units)))
             {
@@ -340,8 +350,9 @@
             let server = &self.servers[&from[k]];
             // Prevents zones and kinds that are slow, or fail a class, from being sent as much as others, and
             // all gateways from running after the largest weights: candidates stand for both.
-            let last = !cold && self.rng.unit() > self.speed(now, server, open.request.class, SLOWNESS_TAU);
-            let cost = (bad, last, if cold { 0.0 } else { self.cost(now, server) }); // A turn is used.
+            let last =
+                !cold && self.rng.unit() > self.relative_speed(now, server, open.request.class, SLOWNESS_TAU);
+            let cost = (bad, last, if cold { 0.0 } else { self.selection_cost(now, server) }); // A turn is used.
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, from[k]));
             }
@@ -357,12 +368,12 @@
 
     /// A cold server whose turn it is. They come first: the few gateways that fill one see too little to do
     /// so by the way.
-    fn cold_turn(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
+    fn pick_cold(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
         let cold = std::mem::take(&mut self.cold);
         let start = self.rng.below(cold.len());
         let fits = |this: &mut Self, id: BackendId| {
             let tried = open.attempts.iter().any(|a| a.server == id) && this.ready.len() != 1;
-            let well = this.servers.get(&id).is_some_and(|s| this.shared || !this.passed_over(now, s));
+            let well = this.servers.get(&id).is_some_and(|s| this.shared || !this.is_passed_over(now, s));
             !tried && well && this.try_slow_start_admit(now, id, open.request.units)
         };
         let found = (0..cold.len()).map(|i| cold[(start + i) % cold.len()]).find(|id| fits(self, *id));
@@ -370,7 +381,7 @@
         found
     }
 
-    fn customer(&mut self, now: Millis, request: &Request) -> &mut Customer {
+    fn customer_entry(&mut self, now: Millis, request: &Request) -> &mut Customer {
         let plan = self.plan(request.plan);
         let (started, spread) = (self.started, request.spread.clamp(1, self.set.ingress_count));
         let (n, least) = (f64::from(spread), self.set.max_request_units.max(1.0).min(plan.burst));
@@ -382,29 +393,32 @@
         let ceiling = (plan.ceiling_burst - plan.burst).max(0.0) / n;
         let fresh = Customer::new(request, spread, (store, ceiling), started, now);
         let customer = self.customers.entry(request.customer).or_insert_with(|| fresh.clone());
-        customer.see(now, fresh);
+        customer.update(now, fresh);
         customer
     }
 
     /// Whether the use at the others is known well enough to go by it.
-    fn hears(&self, now: Millis, customer: &Customer) -> bool {
-        let silence = self.report_every() * MISSED_REPORTS_LIMIT;
+    fn knows_remote_usage(&self, now: Millis, customer: &Customer) -> bool {
+        let silence = self.report_interval() * MISSED_REPORTS_LIMIT;
         customer.spread <= 1
             || match self.source {
-                UsageSource::Peers => self.heard_all(customer, now - silence),
+                UsageSource::Peers => self.has_current_reports(customer, now - silence),
                 // Where not every try can call, a total of long ago is no news.
-                UsageSource::Counter => customer.call.tells(now, self.calls >= 1.0),
+                UsageSource::Counter => customer.call.has_current_total(now, self.calls >= 1.0),
                 UsageSource::Meter => customer.others.per_second(now, DEMAND_TAU) > 0.0,
                 UsageSource::None => false,
             }
     }
 
     /// This gateway's part of the customer's recent demand.
-    fn part(&self, now: Millis, customer: &Customer) -> f64 {
-        let even = customer.even();
+    fn demand_share(&self, now: Millis, customer: &Customer) -> f64 {
+        let even = customer.even_share();
         let own = customer.asked.per_second(now, DEMAND_TAU);
-        let others = customer.asked_elsewhere(now, DEMAND_TAU);
-        if self.pooled(customer.plan, customer.spread) || customer.spread <= 1 || !self.hears(now, customer) {
+        let others = customer.demand_elsewhere(now, DEMAND_TAU);
+        if self.uses_pool(customer.plan, customer.spread)
+            || customer.spread <= 1
+            || !self.knows_remote_usage(now, customer)
+        {
             even
         } else if own + others > 0.0 {
             own / (own + others)
@@ -414,16 +428,16 @@
     }
 
     /// What the customer's bucket holds here; each report settles what the others really drew.
-    fn available(&mut self, now: Millis, id: CustomerId) -> f64 {
+    fn available_units(&mut self, now: Millis, id: CustomerId) -> f64 {
         let Some(customer) = self.customers.get(&id) else { return 0.0 };
-        let (plan, living) = (self.plan(customer.plan), self.living_of(customer));
-        let (hears, part) = (self.hears(now, customer), self.part(now, customer));
-        let pooled = self.pooled(customer.plan, customer.spread);
+        let (plan, living) = (self.plan(customer.plan), self.live_ingresses_of(customer));
+        let (hears, part) = (self.knows_remote_usage(now, customer), self.demand_share(now, customer));
+        let pooled = self.uses_pool(customer.plan, customer.spread);
         // Prevents gateways that see the same units from all granting them before they hear of each other:
         // what others may draw meanwhile stays in the store, so that a second grant still finds its units.
         let most = f64::from(self.source == UsageSource::Peers)
             * self.set.max_request_units.max(1.0).min(plan.burst / 3.0);
-        let ahead = (customer.asked_elsewhere(now, DEMAND_TAU) * UNREPORTED_DEMAND_TIME / 1000.0).min(most);
+        let ahead = (customer.demand_elsewhere(now, DEMAND_TAU) * UNREPORTED_DEMAND_TIME / 1000.0).min(most);
         let rate = if self.source == UsageSource::Meter { plan.rate * part } else { plan.rate };
         let Some(customer) = self.customers.get_mut(&id) else { return 0.0 };
         customer.living = living;
@@ -435,7 +449,7 @@
     }
 
     /// This gateway's even slice of the hard ceiling; infinite where there is none.
-    fn ceiling(&mut self, now: Millis, id: CustomerId, plan: &Plan) -> f64 {
+    fn ceiling_units(&mut self, now: Millis, id: CustomerId, plan: &Plan) -> f64 {
         match self.customers.get_mut(&id) {
             Some(c) if plan.ceiling_rate > 0.0 => {
                 let n = f64::from(c.spread.max(1));
@@ -447,8 +461,8 @@
 
     pub(crate) fn capacity(&self) -> f64 {
         // To begin with there is room for a few requests: what all can do is not known yet.
-        let start = INITIAL_UNITS_PER_BACKEND * self.able.max(1.0) * self.few();
-        self.capacity.unwrap_or(start.max(2.0 * self.set.max_request_units.max(1.0))).max(self.least())
+        let start = INITIAL_UNITS_PER_BACKEND * self.able.max(1.0) * self.small_fleet_scale();
+        self.capacity.unwrap_or(start.max(2.0 * self.set.max_request_units.max(1.0))).max(self.min_capacity())
     }
 
     /// How much of their aims answers take. Prevents gateways that see few answers each from cutting their
@@ -460,7 +474,7 @@
     }
 
     /// The least capacity: a floor for all gateways together.
-    fn least(&self) -> f64 {
+    fn min_capacity(&self) -> f64 {
         let least =
             self.mean_units().map_or(INITIAL_UNITS_PER_BACKEND, |units| units * MIN_REQUESTS_PER_BACKEND);
         (self.ready.len() as f64).max(1.0) * least / f64::from(self.set.ingress_count)
@@ -473,11 +487,11 @@
         let in_flight = self.in_flight - self.pinned.min(self.in_flight * MAX_PASSED_OVER_SHARE);
         let fit = (capacity / self.reserved.max(1e-9)).min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
-        let reservation = self.reservation(self.part(now, customer), customer, request.class) * fit;
+        let reservation = self.reservation(self.demand_share(now, customer), customer, request.class) * fit;
         // sum(inflight - request) + W <= capacity - sum(request); a chance for the part of one that fits.
         let chance = if capacity < SMALL_CAPACITY_REQUESTS * request.units { self.rng.unit() } else { 1.0 };
         // Work of more worth finds room in overload: the rest of the room is full for others by then.
-        let room = capacity * (1.0 - WORTH_HEADROOM * (1.0 - self.worth_for_work(request.class)));
+        let room = capacity * (1.0 - WORTH_HEADROOM * (1.0 - self.relative_worth(request.class)));
         customer.units_out + request.units <= reservation || in_flight + request.units * chance <= room
     }
 
@@ -492,13 +506,13 @@
 
     fn admit(&mut self, now: Millis, request: &Request, known: QuotaEvidence) -> AdmissionDecision {
         let plan = self.plan(request.plan);
-        let available = self.available(now, request.customer);
-        let ceiling = self.ceiling(now, request.customer, &plan);
+        let available = self.available_units(now, request.customer);
+        let ceiling = self.ceiling_units(now, request.customer, &plan);
         let latency = self.mean_latency(request.class);
         let Some(customer) = self.customers.get(&request.customer) else {
             return AdmissionDecision::Rejected(0.0);
         };
-        let (part, weight) = (self.part(now, customer), request.units);
+        let (part, weight) = (self.demand_share(now, customer), request.units);
         let even = 1.0 / f64::from(customer.spread.max(1));
         // Prevents the gateways together from passing a hard ceiling, whatever has been heard.
         if ceiling < weight {
@@ -526,17 +540,18 @@
         // 1. The in-flight limit; a small cap must not round to nothing.
         if plan.max_in_flight > 0.0 && inside {
             let share = plan.max_in_flight * part.max(even);
-            let others = self.out_elsewhere(customer, now - self.report_every() * MISSED_REPORTS_LIMIT);
+            let others =
+                self.in_flight_elsewhere(customer, now - self.report_interval() * MISSED_REPORTS_LIMIT);
             // Prevents floors that together pass the cap: what peers have out, or may have begun, counts.
             let left = plan.max_in_flight - others;
-            let unheard = self.report_every() / MIN_REPORT_INTERVAL;
-            let (hears, out) = (self.hears(now, customer), customer.out);
+            let unheard = self.report_interval() / MIN_REPORT_INTERVAL;
+            let (hears, out) = (self.knows_remote_usage(now, customer), customer.out);
             let rate =
                 if plan.rate > 0.0 { plan.rate * (1.0 - even) * ASSUMED_RATE_USE } else { f64::INFINITY };
             let elsewhere = rate * self.out_for.value_or(latency) / 1000.0;
             let limit = match self.source {
                 UsageSource::Peers if hears => share.ceil().min(left).max(left - unheard),
-                UsageSource::Counter if hears && counter_step(&plan, customer.spread) > 0.0 => left,
+                UsageSource::Counter if hears && counter_attempt_step(&plan, customer.spread) > 0.0 => left,
                 // By what the others' rate lets them have out it is more likely to fit than not to pay.
                 UsageSource::Counter if even * SMALL_FLEET_INGRESSES < 1.0 && elsewhere.is_finite() => {
                     let fits = poisson_below(plan.max_in_flight - out, elsewhere * ASSUMED_IN_FLIGHT_FACTOR);
@@ -568,30 +583,38 @@
             acts.push(Action::Reject(request.id, None));
             return;
         }
-        self.retries =
-            (self.retries + RETRY_BUDGET_PER_REQUEST).min((MAX_RETRY_BUDGET * self.few()).max(1.0));
-        let customer = self.customer(now, &request);
+        self.retries = (self.retries + RETRY_BUDGET_PER_REQUEST)
+            .min((MAX_RETRY_BUDGET * self.small_fleet_scale()).max(1.0));
+        let customer = self.customer_entry(now, &request);
         customer.asked.add(now, request.units, DEMAND_TAU);
         customer.asked_untold += request.units;
         self.untold.insert(request.customer);
         let mut open = OpenRequest::new(request, now);
-        let known =
-            if self.homes() { self.ask(now, &mut open, acts) } else { self.hold(now, &request, acts) };
+        let known = if self.uses_quota_owners() {
+            self.request_quota(now, &mut open, acts)
+        } else {
+            self.hold_for_counter(now, &request, acts)
+        };
         match known {
-            Some(known) => self.judge(now, open, known, acts),
+            Some(known) => self.finish_admission(now, open, known, acts),
             None => drop(self.requests.insert(request.id, open)),
         }
     }
 
     /// Asks the customer's home; none while the answer is awaited. Prevents gateways that each see too little
     /// of a customer from granting a quota many times over; a silent home leaves the even slice.
-    fn ask(&mut self, now: Millis, open: &mut OpenRequest, acts: &mut Vec<Action>) -> Option<QuotaEvidence> {
+    fn request_quota(
+        &mut self,
+        now: Millis,
+        open: &mut OpenRequest,
+        acts: &mut Vec<Action>,
+    ) -> Option<QuotaEvidence> {
         let request = open.request;
         let plan = self.plan(request.plan);
         let (spread, out, quiet) =
             self.customers.get(&request.customer).map(|c| (c.spread, c.out, c.quiet_until))?;
         let quota = spread > 1 && (plan.rate > 0.0 || plan.max_in_flight > 0.0);
-        if !quota || self.ceiling(now, request.customer, &plan) < request.units {
+        if !quota || self.ceiling_units(now, request.customer, &plan) < request.units {
             return Some(QuotaEvidence::LocalOnly);
         }
         // Prevents asks whose answer cannot help: the refusal goes out at once.
@@ -606,12 +629,12 @@
             return Some(QuotaEvidence::Granted);
         }
         let unasked = customer.unasked;
-        let Some(home) = self.home(now, &request) else { return Some(QuotaEvidence::LocalOnly) };
+        let Some(home) = self.quota_owner(now, &request) else { return Some(QuotaEvidence::LocalOnly) };
         self.asks = (self.asks + 1) & 0x3fff;
         let seq = self.asks;
         open.home = (plan.max_in_flight > 0.0).then_some((home, seq));
         if home == self.set.ingress {
-            let (granted, quiet) = self.decide(now, (home, seq), &request.ask(), unasked);
+            let (granted, quiet) = self.decide_quota(now, (home, seq), &request.quota_request(), unasked);
             let customer = self.customers.get_mut(&request.customer)?;
             (customer.unasked, customer.quiet_until) = (0.0, if granted { 0.0 } else { now + quiet });
             return Some(if granted { QuotaEvidence::Granted } else { QuotaEvidence::Denied });
@@ -620,12 +643,12 @@
             open.home = None;
             return Some(QuotaEvidence::LocalOnly);
         }
-        self.put_ask(now, &request, (home, seq), false, acts);
+        self.send_quota_request(now, &request, (home, seq), false, acts);
         None
     }
 
     /// A home's word: whether a request is inside, and the units granted ahead or the time to ask no more.
-    pub(crate) fn decide(
+    pub(crate) fn decide_quota(
         &mut self,
         now: Millis,
         who: (IngressId, u64),
@@ -669,29 +692,32 @@
     }
 
     /// An ask is put once more, then done without.
-    fn on_unanswered(&mut self, now: Millis, acts: &mut Vec<Action>) {
+    fn on_quota_timeout(&mut self, now: Millis, acts: &mut Vec<Action>) {
         let due: Vec<_> =
             self.asked.extract_if(.., |_, a| now - a.at >= QUOTA_ANSWER_TIMEOUT - 1.0).collect();
         for (seq, asked) in due {
             let Some(mut open) = self.requests.remove(&asked.request) else { continue };
             // Prevents judging a peer by one's own standstill.
             if now - asked.at < 2.0 * QUOTA_ANSWER_TIMEOUT {
-                self.peers.entry(asked.home).or_default().lose(OWNER_LOST_AFTER, now + OWNER_SKIP_TIME);
+                self.peers
+                    .entry(asked.home)
+                    .or_default()
+                    .record_unanswered(OWNER_LOST_AFTER, now + OWNER_SKIP_TIME);
             }
             let left = open.deadline - now - self.mean_latency(open.request.class);
-            let home = self.home(now, &open.request).filter(|home| *home == asked.home);
+            let home = self.quota_owner(now, &open.request).filter(|home| *home == asked.home);
             if let (Some(home), false, true) = (home, asked.again, left > 2.0 * QUOTA_ANSWER_TIMEOUT) {
                 let request = open.request;
                 self.requests.insert(request.id, open);
-                self.put_ask(now, &request, (home, seq), true, acts);
+                self.send_quota_request(now, &request, (home, seq), true, acts);
             } else {
                 open.home = None;
-                self.judge(now, open, QuotaEvidence::LocalOnly, acts);
+                self.finish_admission(now, open, QuotaEvidence::LocalOnly, acts);
             }
         }
     }
 
-    pub(crate) fn on_answer(
+    pub(crate) fn on_quota_answer(
         &mut self,
         now: Millis,
         of: (IngressId, u64),
@@ -714,28 +740,38 @@
             }
         }
         open.home = open.home.filter(|_| granted);
-        self.judge(now, open, if granted { QuotaEvidence::Granted } else { QuotaEvidence::Denied }, acts);
+        self.finish_admission(
+            now,
+            open,
+            if granted { QuotaEvidence::Granted } else { QuotaEvidence::Denied },
+            acts,
+        );
     }
 
     /// Where only the counter tells of the others, a try waits for its call's answer: none. Prevents gateways
     /// that each see a part from granting the same units.
-    fn hold(&mut self, now: Millis, request: &Request, acts: &mut Vec<Action>) -> Option<QuotaEvidence> {
+    fn hold_for_counter(
+        &mut self,
+        now: Millis,
+        request: &Request,
+        acts: &mut Vec<Action>,
+    ) -> Option<QuotaEvidence> {
         let plan = self.plan(request.plan);
         let quota = plan.rate > 0.0 || plan.max_in_flight > 0.0;
         let short = request.time_left < MIN_TIME_LEFT_TIMEOUTS * self.set.counter_timeout;
         // Prevents calls for tries that the ceiling or the full room turns away: floods would use them up.
         let shut = self.in_flight + request.units > self.capacity()
-            || self.ceiling(now, request.customer, &plan) < request.units;
+            || self.ceiling_units(now, request.customer, &plan) < request.units;
         if self.source != UsageSource::Counter || !quota || short || shut {
             return Some(QuotaEvidence::LocalOnly);
         }
-        let (known, likely, decides) = self.likely(now, request);
+        let (known, likely, decides) = self.estimate_fit(now, request);
         let customer = self.customers.get_mut(&request.customer)?;
         // Nor does a call help where the last answer holds, or all that the cap allows is out here.
         if now < customer.quiet_until || (plan.max_in_flight > 0.0 && customer.out >= plan.max_in_flight) {
             return Some(QuotaEvidence::Denied);
         }
-        let single = sparse(&plan, customer.spread);
+        let single = is_sparse(&plan, customer.spread);
         let (_, slice) = customer.fill(now, plan.rate, &plan, self.set.max_request_units.max(1.0));
         if customer.spread <= 1 {
             return Some(QuotaEvidence::LocalOnly);
@@ -757,19 +793,19 @@
         }
         let stands_for = if single { 1.0 + likely * (1.0 - part) / part } else { 0.0 };
         customer.call.held.push((request.id, request.units * stands_for.min(1.0)));
-        customer.call.set_aside(request.units * stands_for, 1.0);
+        customer.call.add_pending(request.units * stands_for, 1.0);
         if has_pool(&plan, customer.spread) && customer.call.waiting.is_none() {
             // The pool goes first while calls are many: what stays in the slice is there when they are few.
             customer.pool.borrow(if own { request.units } else { request.units - customer.pooled_units() });
         }
-        Self::call(now, request.customer, customer, &plan, acts);
+        Self::call_counter(now, request.customer, customer, &plan, acts);
         None
     }
 
     /// What the calls that fit tell of a try without one, its chance and how much a call would decide.
     /// Prevents customers that each gateway sees once a day from being refused for slices far below one
     /// request. It could harm where a few customers ask most of what is asked.
-    fn likely(&mut self, now: Millis, request: &Request) -> (QuotaEvidence, f64, f64) {
+    fn estimate_fit(&mut self, now: Millis, request: &Request) -> (QuotaEvidence, f64, f64) {
         let even = self.plan(request.plan).break_even_probability();
         let fit = self.fit.get(&(request.plan, request.is_retry));
         let fit = fit.map_or(even, |f| f.value(now, even, COUNTED_FIT_TAU));
@@ -785,41 +821,47 @@
         )
     }
 
-    fn judge(&mut self, now: Millis, mut open: OpenRequest, known: QuotaEvidence, acts: &mut Vec<Action>) {
+    fn finish_admission(
+        &mut self,
+        now: Millis,
+        mut open: OpenRequest,
+        known: QuotaEvidence,
+        acts: &mut Vec<Action>,
+    ) {
         let (request, counted) = (open.request, known == QuotaEvidence::Counted);
         let plan = self.plan(request.plan);
         open.counted = counted;
         let verdict = self.admit(now, &request, known);
         let inside = verdict == AdmissionDecision::WithinQuota;
-        let single =
-            self.source == UsageSource::Counter && sparse(&plan, request.spread.min(self.set.ingress_count));
+        let single = self.source == UsageSource::Counter
+            && is_sparse(&plan, request.spread.min(self.set.ingress_count));
         if counted && single {
             self.fit.entry((request.plan, request.is_retry)).or_default().add(now, inside, COUNTED_FIT_TAU);
         }
         let wait = match verdict {
             AdmissionDecision::Rejected(wait) => wait,
-            _ if self.send(now, &mut open, acts) => {
+            _ if self.send_attempt(now, &mut open, acts) => {
                 self.requests.insert(request.id, open);
                 return self.draw(&request, inside, single);
             }
             _ => self.mean_latency(request.class),
         };
         if known == QuotaEvidence::Granted {
-            self.release(&open, acts);
+            self.release_grant(&open, acts);
         }
         match self.customers.get_mut(&request.customer) {
-            Some(customer) if counted && !single => customer.call.set_aside(0.0, -1.0),
+            Some(customer) if counted && !single => customer.call.add_pending(0.0, -1.0),
             Some(customer) if counted => customer.quiet_until = now + wait.min(MAX_DENIAL_PAUSE),
             Some(customer) if known == QuotaEvidence::Granted => customer.unasked -= request.units,
             _ => {}
         }
-        acts.push(Action::Reject(request.id, self.advice(wait)));
+        acts.push(Action::Reject(request.id, self.retry_after(wait)));
     }
 
-    fn send(&mut self, now: Millis, open: &mut OpenRequest, acts: &mut Vec<Action>) -> bool {
-        let Some(id) = self.pick(now, open) else { return false };
+    fn send_attempt(&mut self, now: Millis, open: &mut OpenRequest, acts: &mut Vec<Action>) -> bool {
+        let Some(id) = self.pick_backend(now, open) else { return false };
         let class = &self.set.classes[open.request.class.0];
-        let usual = self.usual(open.request.class, open.request.units);
+        let usual = self.expected_latency(open.request.class, open.request.units);
         let left = open.deadline - now;
         let hurry =
             if self.lost.value_or(0.0) > LOST_ANSWERS_THRESHOLD { LOST_ANSWERS_TIMEOUT_FACTOR } else { 1.0 };
@@ -839,13 +881,13 @@
         (self.in_flight, self.sent_sum) = (self.in_flight + units, self.sent_sum + units * now);
         self.customers
             .entry(open.request.customer)
-            .and_modify(|c| c.sent(units, open.counted && !open.attempts.is_empty()));
+            .and_modify(|c| c.attempt_sent(units, open.counted && !open.attempts.is_empty()));
         open.attempts.push(Attempt { server: id, sent: now, out: true, streams: false });
         acts.push(Action::Send { request: open.request.id, backend: id, timeout: wait, send_within: within });
         true
     }
 
-    fn on_end(&mut self, now: Millis, end: AttemptEnd, acts: &mut Vec<Action>) {
+    fn on_attempt_ended(&mut self, now: Millis, end: AttemptEnd, acts: &mut Vec<Action>) {
         let no = usize::from(end.attempt.0);
         let Some(mut open) = self.requests.remove(&end.request) else { return };
         let Some(attempt) = open.attempts.get_mut(no).filter(|a| a.out) else {
@@ -858,15 +900,15 @@
         let (request, plan) = (open.request, self.plan(open.request.plan));
         self.in_flight -= held;
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.returned(request.units);
+            customer.attempt_ended(request.units);
             // A cap shared with others goes by what is out: tell them of the end, not of sends alone.
             if plan.max_in_flight > 0.0 {
                 self.untold.insert(request.customer);
                 customer.call.pending[1] -= f64::from(open.counted);
             }
-            customer.used(now, request.units, &end, plan.rate, DEMAND_TAU);
+            customer.record_usage(now, request.units, &end, plan.rate, DEMAND_TAU);
         }
-        self.learn(now, &request, &end);
+        self.record_outcome(now, &request, &end);
         if end.outcome.may_have_run() && open.risky.is_none_or(|first| no < first) {
             open.risky = Some(no);
         }
@@ -876,30 +918,30 @@
             return;
         }
         if open.done {
-            return self.release(&open, acts);
+            return self.release_grant(&open, acts);
         }
         let effect = self.set.classes[request.class.0].retry_safety;
         let allowed =
             open.risky.is_none_or(|first| effect.allows_after(now + 1.0 - open.attempts[first].sent));
-        let time = open.deadline - now > self.usual(request.class, request.units) / 2.0;
+        let time = open.deadline - now > self.expected_latency(request.class, request.units) / 2.0;
         let more = open.attempts.len() < usize::from(self.set.max_attempts) && self.retries >= 1.0;
-        if allowed && time && more && self.send(now, &mut open, acts) {
+        if allowed && time && more && self.send_attempt(now, &mut open, acts) {
             self.retries -= 1.0;
             self.requests.insert(request.id, open);
             return;
         }
-        self.release(&open, acts);
+        self.release_grant(&open, acts);
         // A refusal promises that nothing ran, or that a repeat does no harm.
         let harmless =
             matches!(effect, RetrySafety::Safe | RetrySafety::Keyed { scope: DedupScope::All, .. });
         let refuse = open.risky.is_none() || (harmless && open.deadline > now && allowed);
-        let advice = self.advice(self.mean_latency(request.class));
+        let advice = self.retry_after(self.mean_latency(request.class));
         acts.push(if refuse { Action::Reject(request.id, advice) } else { Action::Fail(request.id) });
     }
 
     /// What an outcome tells of the server and of the back end as a whole.
-    fn learn(&mut self, now: Millis, request: &Request, end: &AttemptEnd) {
-        let usual = self.usual(request.class, request.units).max(1.0);
+    fn record_outcome(&mut self, now: Millis, request: &Request, end: &AttemptEnd) {
+        let usual = self.expected_latency(request.class, request.units).max(1.0);
         let aim = self.set.classes[request.class.0].aim;
         let (served, failed) = (end.outcome == Outcome::Served, end.outcome.may_have_run());
         let (mut silent, mut overtaken, full) = (false, false, end.outcome == Outcome::Rejected);
@@ -913,20 +955,26 @@
         }
         if let Some(server) = self.servers.get_mut(&end.backend) {
             let times = served.then(|| (end.elapsed / usual).min(MAX_ATTEMPT_LATENCIES));
-            for scope in server.scopes().into_iter().filter(|_| judged) {
+            for scope in server.groups().into_iter().filter(|_| judged) {
                 let takes = self.scopes.entry((scope, request.class)).or_default();
                 takes.add(now, times, ALL_FAILED_LATENCIES, SAMPLE_WEIGHT, SLOWNESS_TAU);
             }
-            silent = server.strays(now, end.outcome, [SILENCE_LATENCIES, OUTLIER_LATENCIES, SLOWNESS_TAU]);
-            overtaken = server.ended((request.id, end.attempt), end.outcome);
+            silent =
+                server.is_outlier(now, end.outcome, [SILENCE_LATENCIES, OUTLIER_LATENCIES, SLOWNESS_TAU]);
+            overtaken = server.remove_attempt((request.id, end.attempt), end.outcome);
             if judged && end.outcome != Outcome::TimedOut {
                 server.answered = now;
             }
-            if let Some(busy) = server.report(&end.load, SAMPLE_WEIGHT) {
+            if let Some(busy) = server.record_load(&end.load, SAMPLE_WEIGHT) {
                 self.busy.add(busy, SAMPLE_WEIGHT);
             }
             if served || end.outcome == Outcome::TimedOut {
-                server.took((end.elapsed / usual).clamp(0.05, 20.0), 2.0 * SAMPLE_WEIGHT, now, SLOWNESS_TAU);
+                server.record_latency(
+                    (end.elapsed / usual).clamp(0.05, 20.0),
+                    2.0 * SAMPLE_WEIGHT,
+                    now,
+                    SLOWNESS_TAU,
+                );
             }
             // A warm backend needs no account: it begins anew where it starts cold.
             if !cold.is_warm(server.started, now) {
@@ -938,25 +986,25 @@
             }
             if served {
                 // Prevents pushing over a server that died and came back before the list said so.
-                server.well(now, ASSUMED_RESTART_AFTER);
+                server.record_served(now, ASSUMED_RESTART_AFTER);
             } else if (failed && end.outcome != Outcome::Cancelled) || unreached || full {
                 // Silence alone is no evidence of a restart: a healed link would make a whole zone cold.
                 if unreached {
-                    server.unreachable(now);
+                    server.record_unreachable(now);
                 }
-                server.fail(now, silent || unreached, EJECTION);
+                server.record_failure(now, silent || unreached, EJECTION);
             }
         }
         self.lost.add(f64::from(end.outcome == Outcome::TimedOut), SAMPLE_WEIGHT / 2.0);
         self.out_for.add(end.elapsed, SAMPLE_WEIGHT / 2.0);
         if served {
-            self.classes[request.class.0].add(end.elapsed, request.units, SAMPLE_WEIGHT);
+            self.classes[request.class.0].record(end.elapsed, request.units, SAMPLE_WEIGHT);
         }
         silent = (silent || overtaken) && !self.shared; // The mean: a count is held low by a few long ones.
         if judged && !unreached && !silent {
             let taken = if full { 1.0 } else { (end.elapsed / aim).min(1.0) };
             // By time where answers are few: prevents many gateways from learning of a trouble after it.
-            self.press(now, taken, SHORT_TAU, [SAMPLE_WEIGHT / 2.0, SAMPLE_WEIGHT]);
+            self.record_pressure(now, taken, SHORT_TAU, [SAMPLE_WEIGHT / 2.0, SAMPLE_WEIGHT]);
         }
         // Prevents a room that rises or stays while attempts hang: Little's law, and age for sudden bursts.
         self.ended.add(now, request.units, SHORT_TAU);
@@ -969,7 +1017,7 @@
         {
             // From what is out, not from an estimate that was never tried: prevents one stuck high.
             let tried = capacity.min((self.in_flight + request.units).max(2.0 * self.set.max_request_units));
-            self.capacity = Some((tried * CAPACITY_DECREASE_FACTOR).max(self.least()));
+            self.capacity = Some((tried * CAPACITY_DECREASE_FACTOR).max(self.min_capacity()));
             self.cut_at = now;
         } else if served
             && taken.max(waits) < PRESSURE_THRESHOLD
@@ -981,25 +1029,28 @@
 
     fn on_tick(&mut self, now: Millis, acts: &mut Vec<Action>) {
         acts.push(Action::SetTimer(self.next_tick(), TICK));
-        if self.source == UsageSource::Peers && !self.homes() {
-            acts.extend(self.reports());
+        if self.source == UsageSource::Peers && !self.uses_quota_owners() {
+            acts.extend(self.build_reports());
         }
-        self.lend(now, acts);
+        self.lend_unused(now, acts);
         for id in std::mem::take(&mut self.untold) {
             let Some(customer) = self.customers.get_mut(&id) else { continue };
             let plan = self.set.plans.get(customer.plan.0).cloned().unwrap_or_default();
             let told = customer.call.pending[1] != 0.0 && customer.spread > 1;
-            if told && self.source == UsageSource::Counter && counter_step(&plan, customer.spread) > 0.0 {
-                Self::call(now, id, customer, &plan, acts);
+            if told
+                && self.source == UsageSource::Counter
+                && counter_attempt_step(&plan, customer.spread) > 0.0
+            {
+                Self::call_counter(now, id, customer, &plan, acts);
             }
         }
-        self.size_up(now);
-        let bad = self.ready.iter().filter(|id| self.passed_over(now, &self.servers[*id])).count();
+        self.refresh_backend_sets(now);
+        let bad = self.ready.iter().filter(|id| self.is_passed_over(now, &self.servers[*id])).count();
         let silent = self.servers.values().filter(|s| s.silence(now) > SILENCE_LATENCIES);
-        self.pinned = silent.map(Backend::units_out).sum();
+        self.pinned = silent.map(Backend::units_in_flight).sum();
         self.shared = bad as f64 > MAX_PASSED_OVER_SHARE * self.ready.len() as f64;
         let most = |c| {
-            let (part, classes) = (self.part(now, c), 0..self.classes.len());
+            let (part, classes) = (self.demand_share(now, c), 0..self.classes.len());
             classes.map(|i| self.reservation(part, c, ClassId(i))).fold(0.0, f64::max)
         };
         self.reserved = self.customers.values().filter(|c| now - c.seen < DEMAND_TAU).map(most).sum();
@@ -1008,16 +1059,16 @@
         self.ledgers.retain(|_, l| now - l.seen < forget);
     }
 
-    fn on_message(&mut self, now: Millis, from: IngressId, bytes: &[u8], acts: &mut Vec<Action>) {
+    fn on_peer_message(&mut self, now: Millis, from: IngressId, bytes: &[u8], acts: &mut Vec<Action>) {
         let Some((incarnation, rest)) = bytes.split_first() else { return };
         if from == self.set.ingress || from.0 >= self.set.ingress_count {
             return;
         }
-        if self.homes() {
-            return self.on_home_mail(now, from, QuotaMessage::decode(bytes), acts);
+        if self.uses_quota_owners() {
+            return self.on_quota_message(now, from, QuotaMessage::decode(bytes), acts);
         }
-        let fresh = 2.0 * self.report_every() / 1000.0;
-        for (id, news) in self.take_report(now, from, *incarnation, decode_report_lines(rest), DEMAND_TAU) {
+        let fresh = 2.0 * self.report_interval() / 1000.0;
+        for (id, news) in self.apply_report(now, from, *incarnation, decode_report_lines(rest), DEMAND_TAU) {
             let Some(customer) = self.customers.get_mut(&id) else { continue };
             let (rate, burst) = self.set.plans.get(customer.plan.0).map_or((0.0, 0.0), |p| (p.rate, p.burst));
             customer.store.overflow = customer.store.overflow.min(rate * fresh);
@@ -1025,21 +1076,27 @@
         }
     }
 
-    fn on_counted(&mut self, now: Millis, id: CustomerId, answer: CounterAnswer, acts: &mut Vec<Action>) {
+    fn on_counter_answer(
+        &mut self,
+        now: Millis,
+        id: CustomerId,
+        answer: CounterAnswer,
+        acts: &mut Vec<Action>,
+    ) {
         let (me, name) = (self.set.ingress, id);
         let Some(customer) = self.customers.get_mut(&id) else { return };
         let Some([added, out]) = customer.call.waiting.take() else { return };
         let plan = self.set.plans.get(customer.plan.0).cloned().unwrap_or_default();
         match answer {
-            CounterAnswer::Total(total) if total.is_finite() && sparse(&plan, customer.spread) => {
+            CounterAnswer::Total(total) if total.is_finite() && is_sparse(&plan, customer.spread) => {
                 // Prevents a first total, without an earlier one beside it, from letting everybody in.
-                let most = plan.burst + plan.rate * counter_keep(&plan, customer.spread) / 2000.0;
-                let left = most - customer.call.take_alone(now, total, [added, out]);
+                let most = plan.burst + plan.rate * counter_ttl(&plan, customer.spread) / 2000.0;
+                let left = most - customer.call.apply_sparse_total(now, total, [added, out]);
                 customer.store = TokenBucket::new(left.clamp(0.0, plan.burst), now);
             }
             CounterAnswer::Total(total) if total.is_finite() => {
-                let step = counter_step(&plan, customer.spread);
-                let (owed, others) = customer.call.take_in(now, total, out, step);
+                let step = counter_attempt_step(&plan, customer.spread);
+                let (owed, others) = customer.call.apply_total(now, total, out, step);
                 customer.told.entry(me).or_default().out = others;
                 customer.pool.counted(now, owed, POOL.max_burst_share * plan.burst, &POOL);
             }
@@ -1058,14 +1115,15 @@
             _ => self.calls * CALL_SHARE_DECREASE,
         }
         .clamp(MIN_CALL_SHARE, 1.0);
-        let told = matches!(answer, CounterAnswer::Total(_)) || !sparse(&plan, customer.spread);
+        let told = matches!(answer, CounterAnswer::Total(_)) || !is_sparse(&plan, customer.spread);
         for (id, units) in std::mem::take(&mut customer.call.held) {
             if let Some(open) = self.requests.remove(&id) {
-                let known = if told { QuotaEvidence::Counted } else { self.likely(now, &open.request).0 };
-                self.judge(now, open, known, acts);
+                let known =
+                    if told { QuotaEvidence::Counted } else { self.estimate_fit(now, &open.request).0 };
+                self.finish_admission(now, open, known, acts);
             } else if let Some(customer) = self.customers.get_mut(&name) {
                 // The client left meanwhile: what was set aside for it goes back.
-                customer.call.set_aside(units, -1.0);
+                customer.call.add_pending(units, -1.0);
             }
         }
     }
@@ -1073,6 +1131,6 @@
 
 /// Whether a gateway's slice of a burst is under one unit: then there is nothing to lend, and totals of what
 /// all draw are read, each by itself.
-pub(crate) fn sparse(plan: &Plan, spread: u16) -> bool {
+pub(crate) fn is_sparse(plan: &Plan, spread: u16) -> bool {
     plan.rate > 0.0 && plan.burst < f64::from(spread)
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -56,7 +56,7 @@
             window,
         };
         let Some(server) = self.servers.get_mut(&id) else { return false };
-        let in_flight = server.units_out();
+        let in_flight = server.units_in_flight();
         server.slow_start.try_admit(now, units, in_flight, slice)
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -91,7 +91,7 @@
 
 impl Limiter {
     /// A limiter that has seen nothing.
-    pub(crate) fn blank(set: Settings, source: UsageSource, seed: u64) -> Self {
+    pub(crate) fn empty(set: Settings, source: UsageSource, seed: u64) -> Self {
         let mut rng = Prng::new(seed);
         Self {
             incarnation: rng.byte(),
@@ -142,12 +142,12 @@
     }
 
     /// Takes in which gateways live, by number; none where that is not known.
-    pub fn living(&mut self, living: Option<Vec<bool>>) {
+    pub fn set_live_ingresses(&mut self, living: Option<Vec<bool>>) {
         self.living = living;
     }
 
     /// Whether a gateway lives, as far as that is known.
-    pub(crate) fn lives(&self, id: IngressId) -> bool {
+    pub(crate) fn is_live(&self, id: IngressId) -> bool {
         self.living.as_ref().is_none_or(|living| living.get(usize::from(id.0)).copied().unwrap_or(true))
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// The other process is gone: this one decides again.
-    pub fn take_back(&mut self) {
+    pub fn resume(&mut self) {
         self.retired = false;
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// When a refused client is to come again, within what the settings allow to say.
-    pub(crate) fn advice(&self, wait: Millis) -> Option<Millis> {
+    pub(crate) fn retry_after(&self, wait: Millis) -> Option<Millis> {
         (self.set.max_retry_after > 0.0).then(|| wait.clamp(1.0, self.set.max_retry_after))
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// What a class is worth for the time that a unit of it takes, as a part of the class that is worth the most.
-    pub(crate) fn worth_for_work(&self, class: ClassId) -> f64 {
+    pub(crate) fn relative_worth(&self, class: ClassId) -> f64 {
         let worth = |class: usize| {
             let units = self.classes[class].units.value_or(1.0).max(0.01);
             self.set.classes[class].worth * units / self.mean_latency(ClassId(class)).max(0.01)
@@ -245,7 +245,7 @@
     }
 
     /// The peers of a customer's set.
-    pub(crate) fn set_of(&self, customer: &Customer) -> impl Iterator<Item = IngressId> + use<> {
+    pub(crate) fn peers_of(&self, customer: &Customer) -> impl Iterator<Item = IngressId> + use<> {
         let (me, all, first) = (self.set.ingress, self.set.ingress_count, customer.first.0);
         (0..customer.spread).map(move |i| IngressId((first % all + i) % all)).filter(move |id| *id != me)
     }
@@ -253,33 +253,33 @@
     /// Whether every peer of a customer's set was heard of since then, or so many of all that they are more than half
     /// with this gateway. Prevents customers from losing the part of their quota that a dead gateway had: one that
     /// is silent while most are heard is down, or cut off by itself, where it grants its even slices at most.
-    pub(crate) fn heard_all(&self, customer: &Customer, since: Millis) -> bool {
+    pub(crate) fn has_current_reports(&self, customer: &Customer, since: Millis) -> bool {
         let heard =
-            |id: IngressId| !self.lives(id) || self.peers.get(&id).is_some_and(|peer| peer.heard > since);
+            |id: IngressId| !self.is_live(id) || self.peers.get(&id).is_some_and(|peer| peer.heard > since);
         let most = || {
             let others = self.peers.values().filter(|peer| peer.heard > since).count();
             2 * (others + 1) > usize::from(self.set.ingress_count)
         };
         // Prevents a part that is cut off from taking what the others grant: those that it takes for dead count only
         // where more than half of all live here.
-        let lives = (0..self.set.ingress_count).filter(|id| self.lives(IngressId(*id))).count();
+        let lives = (0..self.set.ingress_count).filter(|id| self.is_live(IngressId(*id))).count();
         let whole = 2 * lives > usize::from(self.set.ingress_count);
-        whole && self.set_of(customer).all(heard) || most()
+        whole && self.peers_of(customer).all(heard) || most()
     }
 
     /// How many of a customer's set live, this gateway among them, where more than half of all do; 0 where that is not
     /// known. Prevents the slice of a dead gateway from lying idle where nothing is heard of the others; those that are
     /// cut off keep to the slices of all.
-    pub(crate) fn living_of(&self, customer: &Customer) -> u16 {
+    pub(crate) fn live_ingresses_of(&self, customer: &Customer) -> u16 {
         let Some(living) = &self.living else { return 0 };
         if 2 * living.iter().filter(|lives| **lives).count() <= usize::from(self.set.ingress_count) {
             return 0;
         }
-        1 + self.set_of(customer).filter(|id| self.lives(*id)).count() as u16
+        1 + self.peers_of(customer).filter(|id| self.is_live(*id)).count() as u16
     }
 
     /// What others have out for a customer; of a peer not heard of since then, what it had is over.
-    pub(crate) fn out_elsewhere(&self, customer: &Customer, since: Millis) -> f64 {
+    pub(crate) fn in_flight_elsewhere(&self, customer: &Customer, since: Millis) -> f64 {
         let lives = |id: &IngressId| {
             *id == self.set.ingress || self.peers.get(id).is_some_and(|peer| peer.heard > since)
         };
@@ -288,7 +288,7 @@
 
     /// How fast servers that have as much in common with this one are for a class, as a part of the fastest, and
     /// as much as its weight is of the largest.
-    pub(crate) fn speed(&self, now: Millis, server: &Backend, class: ClassId, tau: Millis) -> f64 {
+    pub(crate) fn relative_speed(&self, now: Millis, server: &Backend, class: ClassId, tau: Millis) -> f64 {
         let takes = |at: &GroupLatency| at.value(now, tau);
         let part = |scope: BackendGroup| {
             let own = self.scopes.get(&(scope, class)).map_or(1.0, takes);
@@ -296,11 +296,11 @@
             let alike = self.scopes.iter().filter(|((s, c), _)| *c == class && like(s));
             alike.map(|(_, at)| takes(at)).fold(own, f64::min) / own
         };
-        server.scopes().map(part).iter().product::<f64>() * server.weight() / self.heaviest
+        server.groups().map(part).iter().product::<f64>() * server.weight() / self.heaviest
     }
 
     /// What each peer is told of the customers they share: drawn in all, asked since the last, out.
-    pub(crate) fn reports(&mut self) -> Vec<Action> {
+    pub(crate) fn build_reports(&mut self) -> Vec<Action> {
         let mut mail: BTreeMap<IngressId, Vec<u8>> = BTreeMap::new();
         for peer in (0..self.set.ingress_count).map(IngressId).filter(|p| *p != self.set.ingress) {
             mail.insert(peer, vec![self.incarnation]);
@@ -310,7 +310,7 @@
             let asked = quarters(std::mem::take(&mut customer.asked_untold));
             let line = encode_report_line([id.0, quarters(customer.drawn), asked, customer.out as u64]);
             let customer = &self.customers[id];
-            for peer in self.set_of(customer) {
+            for peer in self.peers_of(customer) {
                 if let Some(bytes) =
                     mail.get_mut(&peer).filter(|b| b.len() + line.len() <= MAX_PEER_MESSAGE_BYTES)
                 {
@@ -322,7 +322,7 @@
     }
 
     /// Takes in a peer's report; tells what it drew of each customer since its last one.
-    pub(crate) fn take_report(
+    pub(crate) fn apply_report(
         &mut self,
         now: Millis,
         from: IngressId,
@@ -351,7 +351,7 @@
     }
 
     /// The ready servers anew, and without those that are gone and have nothing out.
-    pub(crate) fn relist(&mut self) {
+    pub(crate) fn rebuild_ready(&mut self) {
         self.servers.retain(|_, s| s.entry.state != BackendState::Gone || !s.out.is_empty());
         let ready = self.servers.iter().filter(|(_, s)| s.entry.state == BackendState::Ready);
         self.ready = ready.map(|(id, _)| *id).collect();
@@ -360,7 +360,7 @@
     }
 
     /// An answer took this part of its aim; its weight grows with the time since the last one, within bounds.
-    pub(crate) fn press(&mut self, now: Millis, taken: f64, tau: Millis, [least, most]: [f64; 2]) {
+    pub(crate) fn record_pressure(&mut self, now: Millis, taken: f64, tau: Millis, [least, most]: [f64; 2]) {
         let gap = 1.0 - (-(now - self.taken_at).max(0.0) / tau).exp();
         self.taken.add(taken, gap.clamp(least, most));
         self.taken_at = now;
@@ -368,7 +368,7 @@
 
     /// What an attempt sends or is sent passes in pieces now: no deadline holds for it, and the server has no work with
     /// it. Prevents those who read or write slowly from filling the room, or from making a server look silent.
-    pub(crate) fn streams(&mut self, id: RequestId, no: AttemptIndex) {
+    pub(crate) fn on_stream_started(&mut self, id: RequestId, no: AttemptIndex) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         open.deadline = f64::INFINITY;
         let units = open.request.units;
@@ -381,16 +381,16 @@
     }
 
     /// The servers on the list, and those of them that get no work now, by the list's word or by what was seen.
-    pub fn members(&self, now: Millis) -> BackendCounts {
+    pub fn backend_counts(&self, now: Millis) -> BackendCounts {
         let listed = self.servers.values().filter(|s| s.entry.state != BackendState::Gone);
         let avoided =
-            |s: &Backend| s.entry.state != BackendState::Ready || !self.shared && self.passed_over(now, s);
+            |s: &Backend| s.entry.state != BackendState::Ready || !self.shared && self.is_passed_over(now, s);
         let (all, out) = listed.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(avoided(s))));
         BackendCounts { listed: all, unavailable: out }
     }
 
     /// The client of a request has left: its attempts are cancelled where that is allowed.
-    pub(crate) fn finish(&mut self, id: RequestId) -> Vec<Action> {
+    pub(crate) fn on_client_left(&mut self, id: RequestId) -> Vec<Action> {
         let Some(open) = self.requests.get_mut(&id) else { return Vec::new() };
         open.done = true;
         let out = (0u16..).zip(&open.attempts).filter(|(_, a)| a.out);
@@ -404,7 +404,7 @@
 
 impl IngressId {
     /// How far this gateway stands behind the first that fills a server while it is cold; all agree on it.
-    pub(crate) fn place_after(self, server: BackendId, gateways: u16) -> u16 {
+    pub(crate) fn ring_distance(self, server: BackendId, gateways: u16) -> u16 {
         let gateways = u64::from(gateways.max(1));
         // By the upper bits: they are spread evenly whatever the ids are.
         let first = ((server.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) * gateways) >> 32;
@@ -419,14 +419,14 @@
     }
 
     /// What was granted has ended.
-    pub(crate) fn end(&mut self, who: (IngressId, u64)) {
+    pub(crate) fn release(&mut self, who: (IngressId, u64)) {
         self.out.remove(&who);
     }
 }
 
 impl ClassStats {
     /// An answer came.
-    pub(crate) fn add(&mut self, spent: Millis, units: f64, weight: f64) {
+    pub(crate) fn record(&mut self, spent: Millis, units: f64, weight: f64) {
         self.latency.add(spent, weight);
         self.units.add(units, weight);
     }
@@ -434,7 +434,7 @@
 
 impl Peer {
     /// One more ask was not answered; after so many it is not asked until then.
-    pub(crate) fn lose(&mut self, most: u32, until: Millis) {
+    pub(crate) fn record_unanswered(&mut self, most: u32, until: Millis) {
         self.lost += 1;
         if self.lost >= most {
             (self.lost, self.gone_until) = (0, until);
@@ -444,12 +444,12 @@
 
 impl Request {
     /// What a home is to know of it.
-    pub(crate) fn ask(&self) -> QuotaRequest {
+    pub(crate) fn quota_request(&self) -> QuotaRequest {
         QuotaRequest { customer: self.customer, plan: self.plan, class: self.class, units: self.units }
     }
 
     /// The gateways of its set that are to keep its customer's quota, in turn; all agree on them.
-    pub(crate) fn in_line(&self, gateways: u16) -> [IngressId; 2] {
+    pub(crate) fn owner_candidates(&self, gateways: u16) -> [IngressId; 2] {
         let mixed = self.customer.0.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let spread = u64::from(self.spread.clamp(1, gateways));
         [mixed >> 40, (mixed >> 16) & 0xff_ffff].map(|at| {
@@ -689,7 +689,7 @@
     }
 
     /// What it has in common with others.
-    pub(crate) fn scopes(&self) -> [BackendGroup; 2] {
+    pub(crate) fn groups(&self) -> [BackendGroup; 2] {
         [BackendGroup::Zone(self.entry.zone), BackendGroup::Kind(self.entry.kind)]
     }
 
@@ -721,7 +721,12 @@
 
     /// Whether what an attempt has come to there says nothing of the others' room. Prevents one that turns all away,
     /// as one does that drains before the list says so, from being taken for a back end that is full.
-    pub(crate) fn strays(&self, now: Millis, outcome: Outcome, [silence, outlier, tau]: [f64; 3]) -> bool {
+    pub(crate) fn is_outlier(
+        &self,
+        now: Millis,
+        outcome: Outcome,
+        [silence, outlier, tau]: [f64; 3],
+    ) -> bool {
         (outcome == Outcome::TimedOut && self.silence(now) > silence)
             || self.slowness(now, tau) > outlier
             || (outcome == Outcome::Rejected && self.failures > 0)
@@ -729,7 +734,7 @@
 
     /// An attempt has ended; tells whether its answer is overdue though younger ones were served. Prevents answers
     /// that get lost, or break off and hang, from being taken for a back end that is late with all.
-    pub(crate) fn ended(&mut self, attempt: (RequestId, AttemptIndex), outcome: Outcome) -> bool {
+    pub(crate) fn remove_attempt(&mut self, attempt: (RequestId, AttemptIndex), outcome: Outcome) -> bool {
         let Some((sent, ..)) = self.out.remove(&attempt) else { return false };
         if outcome == Outcome::Served {
             self.served_to = self.served_to.max(sent);
@@ -738,17 +743,17 @@
     }
 
     /// The longest time that an attempt has been out, in multiples of the usual time.
-    pub(crate) fn waiting(&self, now: Millis) -> f64 {
+    pub(crate) fn longest_wait(&self, now: Millis) -> f64 {
         self.out.values().map(|(sent, _, usual)| (now - sent) / usual.max(1.0)).fold(0.0, f64::max)
     }
 
     /// Units out to it.
-    pub(crate) fn units_out(&self) -> f64 {
+    pub(crate) fn units_in_flight(&self) -> f64 {
         self.out.values().map(|(_, units, _)| units).sum()
     }
 
     /// It has started: what was seen of it before tells nothing.
-    pub(crate) fn begin_anew(&mut self, now: Millis) {
+    pub(crate) fn reset(&mut self, now: Millis) {
         (self.slow, self.failures, self.ejected_until) = (1.0, 0, now);
         self.slow_start = SlowStart::new(now);
     }
@@ -762,14 +767,14 @@
     }
 
     /// No connection to it came up.
-    pub(crate) fn unreachable(&mut self, now: Millis) {
+    pub(crate) fn record_unreachable(&mut self, now: Millis) {
         let first = self.unreachable.map_or(now, |[first, _]| first);
         self.unreachable = Some([first, now]);
     }
 
     /// It has served; one that could not be reached again and again for longer than `down` is taken for just
     /// started. Prevents one connection that broke from making a warm server cold.
-    pub(crate) fn well(&mut self, now: Millis, down: Millis) {
+    pub(crate) fn record_served(&mut self, now: Millis, down: Millis) {
         if self.unreachable.is_some_and(|[first, last]| last - first > down) {
             self.started = Some(now);
             self.slow_start = SlowStart::new(now);
@@ -778,7 +783,7 @@
     }
 
     /// An attempt failed, for good (`lost`) or as one of `most` in a row; after these it is ejected.
-    pub(crate) fn fail(&mut self, now: Millis, lost: bool, policy: EjectionPolicy) {
+    pub(crate) fn record_failure(&mut self, now: Millis, lost: bool, policy: EjectionPolicy) {
         self.failures += if lost { policy.after_failures } else { 1 };
         if self.failures >= policy.after_failures {
             self.eject(now, policy.min_time, policy.max_time);
@@ -786,13 +791,13 @@
     }
 
     /// An attempt took so many times the usual.
-    pub(crate) fn took(&mut self, times: f64, weight: f64, now: Millis, tau: Millis) {
+    pub(crate) fn record_latency(&mut self, times: f64, weight: f64, now: Millis, tau: Millis) {
         let old = self.slowness(now, tau);
         (self.slow, self.slow_at) = (old + (times - old) * weight, now);
     }
 
     /// Takes in what it reports, as far as it is a figure; tells the part of its cores in use.
-    pub(crate) fn report(&mut self, load: &Load, weight: f64) -> Option<f64> {
+    pub(crate) fn record_load(&mut self, load: &Load, weight: f64) -> Option<f64> {
         let busy = load.busy.filter(|x| x.is_finite()).map(|x| x.clamp(0.0, 1.0));
         busy.inspect(|busy| self.busy.add(*busy, weight))
     }
@@ -841,7 +846,7 @@
 impl Customer {
     /// It asks at `now`, and would begin as `fresh` if it were not known. Where its plan or its set is another one than
     /// before, that holds from now on: nothing granted or told under the old plan goes on, nor is anything given anew.
-    pub(crate) fn see(&mut self, now: Millis, fresh: Self) {
+    pub(crate) fn update(&mut self, now: Millis, fresh: Self) {
         self.seen = now;
         (self.spread, self.first) = (fresh.spread, fresh.first);
         if self.plan == fresh.plan {
@@ -875,24 +880,24 @@
 impl Customer {
     /// Fills both stores up to `now` and tells their levels; the slice holds `least` at the least when full.
     pub(crate) fn fill(&mut self, now: Millis, rate: f64, plan: &Plan, least: f64) -> (f64, f64) {
-        let n = 1.0 / self.even();
+        let n = 1.0 / self.even_share();
         let store = self.store.fill(now, rate, plan.burst);
         (store, self.slice.fill(now, plan.rate / n, (plan.burst / n).max(least.min(plan.burst))))
     }
 
     /// The even slice of the quota, as a part of it: those of its set that are known to be dead have none.
-    pub(crate) fn even(&self) -> f64 {
+    pub(crate) fn even_share(&self) -> f64 {
         1.0 / f64::from(if self.living > 0 { self.living } else { self.spread.max(1) })
     }
 
     /// What is asked of the other gateways, in units a second.
-    pub(crate) fn asked_elsewhere(&self, now: Millis, tau: Millis) -> f64 {
+    pub(crate) fn demand_elsewhere(&self, now: Millis, tau: Millis) -> f64 {
         let told: f64 = self.told.values().map(|t| t.asked.per_second(now, tau)).sum();
         told + self.others.per_second(now, tau)
     }
 
     /// The meter told the use over all gateways.
-    fn metered(&mut self, now: Millis, used: f64, tau: Millis) {
+    fn record_metered(&mut self, now: Millis, used: f64, tau: Millis) {
         let own = self.asked.per_second(now, tau);
         let gap = (used - own).max(0.0) - self.others.per_second(now, tau);
         self.others.add(now, gap * tau / 1000.0, tau);
@@ -906,30 +911,30 @@
     }
 
     /// An attempt was sent, a further one of its request or its first.
-    pub(crate) fn sent(&mut self, units: f64, further: bool) {
+    pub(crate) fn attempt_sent(&mut self, units: f64, further: bool) {
         self.out += 1.0;
         self.units_out += units;
         self.call.pending[1] += if further { 1.0 } else { 0.0 };
     }
 
     /// An attempt ended.
-    pub(crate) fn returned(&mut self, units: f64) {
+    pub(crate) fn attempt_ended(&mut self, units: f64) {
         self.out -= 1.0;
         self.units_out -= units;
     }
 
     /// What an answer tells of the units and, where the meter counts, of the use at all gateways.
-    pub(crate) fn used(&mut self, now: Millis, guess: f64, end: &AttemptEnd, rate: f64, tau: Millis) {
+    pub(crate) fn record_usage(&mut self, now: Millis, guess: f64, end: &AttemptEnd, rate: f64, tau: Millis) {
         if let (Some(units), true) = (end.settled_units, end.outcome == Outcome::Served) {
-            self.correct(units - guess);
+            self.correct_drawn(units - guess);
         }
         if let Some(used) = end.metered_use {
-            self.metered(now, rate * used, tau);
+            self.record_metered(now, rate * used, tau);
         }
     }
 
     /// The true units of what was drawn differ from the guess by this.
-    fn correct(&mut self, units: f64) {
+    fn correct_drawn(&mut self, units: f64) {
         self.store.level -= units;
         self.slice.level -= units;
         self.drawn += units;
@@ -939,7 +944,7 @@
 
 impl CounterAccount {
     /// Sets units and an attempt aside for the next call, or takes them off again.
-    pub(crate) fn set_aside(&mut self, units: f64, times: f64) {
+    pub(crate) fn add_pending(&mut self, units: f64, times: f64) {
         self.pending[0] += units * times;
         self.pending[1] += times;
     }
@@ -955,7 +960,7 @@
 
     /// Takes in the total after a call that added `out` attempts, each of which counts `step`: the units in it, and
     /// the attempts that others have out. A total that lacks attempts that are out here has begun anew.
-    pub(crate) fn take_in(&mut self, now: Millis, total: f64, out: f64, step: f64) -> (f64, f64) {
+    pub(crate) fn apply_total(&mut self, now: Millis, total: f64, out: f64, step: f64) -> (f64, f64) {
         let all_out = if step > 0.0 { (total / step + 0.25).floor() } else { 0.0 };
         if step > 0.0 && all_out < self.counted_out {
             self.pending[1] += self.counted_out - out;
@@ -966,12 +971,12 @@
     }
 
     /// Whether a total is known, of now or, where every try calls, of before.
-    pub(crate) fn tells(&self, now: Millis, every: bool) -> bool {
+    pub(crate) fn has_current_total(&self, now: Millis, every: bool) -> bool {
         self.total.is_some() && (every || self.heard == Some(now))
     }
 
     /// Takes in a total that has nothing to do with the last: what others drew is all but what was added.
-    pub(crate) fn take_alone(&mut self, now: Millis, total: f64, [added, _]: [f64; 2]) -> f64 {
+    pub(crate) fn apply_sparse_total(&mut self, now: Millis, total: f64, [added, _]: [f64; 2]) -> f64 {
         (self.total, self.heard) = (Some(total), Some(now));
         total - added
     }
--- a/src/subset/line.rs
+++ b/src/subset/line.rs
@@ -45,7 +45,7 @@
 
     /// How many stand before this ingress in a backend's line.
     pub fn place(&self, backend: BackendId) -> u16 {
-        let distance = self.me.place_after(backend, self.ingresses);
+        let distance = self.me.ring_distance(backend, self.ingresses);
         let below = |number: u16| self.living_below.get(usize::from(number)).copied();
         let me = self.me.0;
         let first = if distance <= me { me - distance } else { self.ingresses - (distance - me) };
--- a/src/view.rs
+++ b/src/view.rs
@@ -42,7 +42,7 @@
     pub fn view(&self, now: Millis) -> View {
         let ready = || self.servers.values().filter(|s| s.entry.state == BackendState::Ready);
         let cold = |s: &&crate::state::Backend| self.warmth(now, s) < 1.0;
-        let over = |s: &&crate::state::Backend| self.passed_over(now, s);
+        let over = |s: &&crate::state::Backend| self.is_passed_over(now, s);
         View {
             capacity: self.capacity(),
             in_flight: self.in_flight,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -46,7 +46,7 @@
 fn the_slices_of_the_dead_go_to_the_living_while_most_live_and_the_ceiling_stays() {
     let granted = |living: [bool; 3], plan: Plan| {
         let mut bench = Bench::new(settings(plan), 10);
-        bench.limiter.living(Some(living.to_vec()));
+        bench.limiter.set_live_ingresses(Some(living.to_vec()));
         bench.wait(60_000.0);
         bench.serve(1, 1.0, 3);
         bench.wait(60_000.0);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -304,7 +304,7 @@
         let alive = |me: usize| me.is_multiple_of(13);
         if known {
             let living: Vec<bool> = (0..usize::from(GATEWAYS)).map(alive).collect();
-            fleet.limiters.iter_mut().for_each(|limiter| limiter.living(Some(living.clone())));
+            fleet.limiters.iter_mut().for_each(|limiter| limiter.set_live_ingresses(Some(living.clone())));
         }
         fleet.alive = Some(alive);
         // A tenth of the gateways take a tenth of a round.
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -437,9 +437,9 @@
     let home = told(&mut bench, customer).unwrap();
     let mut living = vec![true; usize::from(MANY)];
     living[usize::from(home.0)] = false;
-    bench.limiter.living(Some(living));
+    bench.limiter.set_live_ingresses(Some(living));
     let next = told(&mut bench, customer);
     assert!(next.is_some_and(|next| next != home), "{next:?} in place of {home:?}");
-    bench.limiter.living(None);
+    bench.limiter.set_live_ingresses(None);
     assert_eq!(told(&mut bench, customer), Some(home));
 }
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -56,7 +56,7 @@
     old.tick(2000.0);
     let _ = old.limiter.hand_over();
     assert!(!old.serve(5, 1.0, 1));
-    old.limiter.take_back();
+    old.limiter.resume();
     assert!(old.serve(5, 1.0, 1));
 }
 
@@ -91,6 +91,6 @@
     }
     assert_eq!(streams, 200);
     bench.tick(20_000.0);
-    assert_eq!(bench.limiter.members(bench.now).unavailable, 0);
+    assert_eq!(bench.limiter.backend_counts(bench.now).unavailable, 0);
     assert!(bench.serve(5, 1.0, 1));
 }
--- a/trials/src/scale/layers.rs
+++ b/trials/src/scale/layers.rs
@@ -72,7 +72,7 @@
     /// Bytes of what is handed to the process that takes over.
     pub fn hand_over(&mut self) -> usize {
         let bytes = self.limiter.hand_over().len();
-        self.limiter.take_back();
+        self.limiter.resume();
         bytes
     }
 }
