--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -16,8 +16,8 @@
     /// A peer told its pressure.
     pub(crate) fn record_peer_pressure(&mut self, now: Millis, pressure: Option<f64>) {
         let Some(pressure) = pressure else { return };
-        self.heard_pressure.add(pressure, SAMPLE_WEIGHT);
-        self.heard_at = now;
+        self.peer_pressure.add(pressure, SAMPLE_WEIGHT);
+        self.peer_pressure_at = now;
     }
 
     pub(crate) fn send_quota_request(
@@ -26,18 +26,19 @@
         of: &Request,
         to: (IngressId, u64),
         again: bool,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(customer) = self.customers.get_mut(&of.customer) else { return };
-        let unasked = std::mem::take(&mut customer.unasked);
-        let pressure = Some(self.taken.value_or(0.0));
-        acts.push(Action::SendToPeer(
+        let unasked = std::mem::take(&mut customer.unreported_use);
+        let pressure = Some(self.own_pressure.value_or(0.0));
+        actions.push(Action::SendToPeer(
             to.0,
             QuotaMessage::Request { seq: to.1, request: of.quota_request(), drawn: unasked, pressure }
                 .encode(),
         ));
-        acts.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, ASKED));
-        self.asked.insert(to.1, PendingQuotaRequest { request: of.id, home: to.0, at: now, again });
+        actions.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, QUOTA_TIMER));
+        self.pending_quota_requests
+            .insert(to.1, PendingQuotaRequest { request: of.id, owner: to.0, sent_at: now, resent: again });
     }
 
     pub(crate) fn on_quota_message(
@@ -45,38 +46,38 @@
         now: Millis,
         from: IngressId,
         mail: Option<QuotaMessage>,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match mail {
             Some(QuotaMessage::Request { seq, request: of, drawn: unasked, pressure })
-                if self.set.defines(of.plan, of.class) =>
+                if self.settings.defines(of.plan, of.class) =>
             {
                 self.record_peer_pressure(now, pressure);
                 let (granted, more) = self.decide_quota(now, (from, seq), &of, unasked);
-                let pressure = Some(self.taken.value_or(0.0));
-                acts.push(Action::SendToPeer(
+                let pressure = Some(self.own_pressure.value_or(0.0));
+                actions.push(Action::SendToPeer(
                     from,
                     QuotaMessage::Answer { seq, granted, credit_or_pause: more, pressure }.encode(),
                 ));
             }
             Some(QuotaMessage::Answer { seq, granted, credit_or_pause: more, pressure }) => {
                 self.record_peer_pressure(now, pressure);
-                self.on_quota_answer(now, (from, seq), granted, more, acts)
+                self.on_quota_answer(now, (from, seq), granted, more, actions)
             }
             Some(QuotaMessage::Released { seq, customer }) => {
-                self.ledgers.entry(customer).and_modify(|ledger| ledger.release((from, seq)));
+                self.owned_quotas.entry(customer).and_modify(|quota| quota.release((from, seq)));
             }
             _ => {}
         }
     }
 
     /// Tells the home that a granted try has ended, where it counts what is out.
-    pub(crate) fn release_grant(&mut self, open: &OpenRequest, acts: &mut Vec<Action>) {
-        let Some((home, seq)) = open.home else { return };
+    pub(crate) fn release_grant(&mut self, open: &OpenRequest, actions: &mut Vec<Action>) {
+        let Some((home, seq)) = open.grant else { return };
         let done = QuotaMessage::Released { seq, customer: open.request.customer };
-        match home == self.set.ingress {
-            true => self.on_quota_message(0.0, home, Some(done), acts),
-            false => acts.push(Action::SendToPeer(home, done.encode())),
+        match home == self.settings.ingress {
+            true => self.on_quota_message(0.0, home, Some(done), actions),
+            false => actions.push(Action::SendToPeer(home, done.encode())),
         }
     }
 
@@ -89,14 +90,14 @@
             (true, true) => customer.draw_pooled(request.units),
             (false, true) => customer.draw(request.units),
             // What was to be counted is beyond the quota: it goes back.
-            (false, false) if single => customer.call.pending[0] -= request.units,
+            (false, false) if single => customer.counter.pending[UNITS] -= request.units,
             (_, false) => {}
         }
     }
 
     /// The time to the next tick. Prevents gateways that started together from calling the counter all at once.
     pub(crate) fn next_tick(&mut self) -> Millis {
-        let spread = if self.source == UsageSource::Counter { 0.5 + self.rng.unit() } else { 1.0 };
+        let spread = if self.usage_source == UsageSource::Counter { 0.5 + self.rng.unit() } else { 1.0 };
         self.report_interval() * spread
     }
 
@@ -107,14 +108,14 @@
         id: CustomerId,
         customer: &mut Customer,
         plan: &Plan,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        if customer.call.waiting.is_none() {
+        if customer.counter.sent_amounts.is_none() {
             let ([drawn, out], step) =
-                (customer.call.begin(now), counter_attempt_step(plan, customer.spread));
+                (customer.counter.begin(now), counter_attempt_step(plan, customer.spread));
             let units = if has_pool(plan, customer.spread) { customer.pool.begin(now) } else { drawn };
             let keep = counter_ttl(plan, customer.spread);
-            acts.push(Action::AddToCounter(CounterName(id.0), units + out * step, keep));
+            actions.push(Action::AddToCounter(CounterName(id.0), units + out * step, keep));
         }
     }
 }
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -146,13 +146,13 @@
 
     /// A call that was to add these units and attempts out added nothing.
     pub(crate) fn call_not_counted(&mut self, added: [f64; 2]) {
-        self.call.undo(added);
+        self.counter.undo(added);
         self.pool.not_counted();
     }
 
     /// A call may have been counted: the next one is a fresh start.
     pub(crate) fn call_unknown(&mut self) {
-        self.call.total = None;
+        self.counter.total = None;
         self.pool.unknown();
     }
 
@@ -179,38 +179,38 @@
 impl Limiter {
     /// Whether a customer's unused units are pooled at the counter.
     pub(crate) fn uses_pool(&self, plan: PlanId, spread: u16) -> bool {
-        let (plan, spread) = (self.plan(plan), spread.min(self.set.ingress_count));
-        self.source == UsageSource::Counter && spread > 1 && has_pool(&plan, spread)
+        let (plan, spread) = (self.plan(plan), spread.min(self.settings.ingress_count));
+        self.usage_source == UsageSource::Counter && spread > 1 && has_pool(&plan, spread)
     }
 
     /// Lends what is not needed here. Prevents units from lying idle at ingresses that see little of a customer while
     /// those that see more of it refuse its requests.
-    pub(crate) fn lend_unused(&mut self, now: Millis, acts: &mut Vec<Action>) {
-        if self.source != UsageSource::Counter {
+    pub(crate) fn lend_unused(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if self.usage_source != UsageSource::Counter {
             return;
         }
-        let mut lenders = std::mem::take(&mut self.lenders);
-        lenders.extend(&self.untold);
-        lenders.retain(|id| self.lend_customer(now, *id, acts));
-        self.lenders = lenders;
+        let mut lenders = std::mem::take(&mut self.pool_lenders);
+        lenders.extend(&self.unreported);
+        lenders.retain(|id| self.lend_customer(now, *id, actions));
+        self.pool_lenders = lenders;
     }
 
     /// Tells whether the customer is still known and has a pool.
-    fn lend_customer(&mut self, now: Millis, id: CustomerId, acts: &mut Vec<Action>) -> bool {
+    fn lend_customer(&mut self, now: Millis, id: CustomerId, actions: &mut Vec<Action>) -> bool {
         let Some((plan, spread)) = self.customers.get(&id).map(|c| (c.plan, c.spread)) else { return false };
         if !self.uses_pool(plan, spread) {
             return false;
         }
-        let (plan, largest) = (self.plan(plan), self.set.max_request_units.max(1.0));
+        let (plan, largest) = (self.plan(plan), self.settings.max_request_units.max(1.0));
         let Some(customer) = self.customers.get_mut(&id) else { return false };
         customer.fill(now, plan.rate, &plan, largest);
         let enough = customer
             .set_aside_unused(now, [POOL.min_lend_requests * largest, POOL.max_burst_share * plan.burst]);
-        let rested = now - customer.call.sent >= customer.pool.lend_pause.max(POOL.min_lend_interval);
+        let rested = now - customer.counter.sent_at >= customer.pool.lend_pause.max(POOL.min_lend_interval);
         // As seldom as calls are to be made: what is borrowed is worth more to callers than what is lent.
         let due = enough && rested || customer.pool.needs_correction();
-        if due && self.rng.unit() < self.calls * self.calls {
-            Self::call_counter(now, id, customer, &plan, acts);
+        if due && self.rng.unit() < self.call_share * self.call_share {
+            Self::call_counter(now, id, customer, &plan, actions);
         }
         true
     }
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -163,12 +163,12 @@
     /// Returns the number of live ingresses that come before this one in the order in which they send to a
     /// cold backend.
     pub(crate) fn slow_start_rank(&self, id: BackendId) -> u16 {
-        let order = FillOrder::new(id, self.set.ingress_count);
-        let own = order.rank(self.set.ingress);
-        match &self.living {
+        let order = FillOrder::new(id, self.settings.ingress_count);
+        let own = order.rank(self.settings.ingress);
+        match &self.live_ingresses {
             Some(_) => {
                 let before = |of: &IngressId| order.rank(*of) < own && self.is_live(*of);
-                (0..self.set.ingress_count).map(IngressId).filter(before).count() as u16
+                (0..self.settings.ingress_count).map(IngressId).filter(before).count() as u16
             }
             None => own,
         }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -37,12 +37,13 @@
     /// Returns whether a cold backend may get a request of these units now, and if so deducts it from the
     /// slice.
     pub(crate) fn try_slow_start_admit(&mut self, now: Millis, id: BackendId, units: f64) -> bool {
-        let (largest, window) = (self.set.max_request_units.max(1.0), self.set.cold.overload_window.max(1.0));
+        let (largest, window) =
+            (self.settings.max_request_units.max(1.0), self.settings.cold.overload_window.max(1.0));
         let fleet = self.slow_start_rate(now, id).max(UNKNOWN_LARGEST_REQUESTS * largest * 1000.0 / window);
         let mean_request = self.mean_units().unwrap_or(largest);
         let slices = (fleet * window / (1000.0 * mean_request)).ceil();
-        let senders = slices.clamp(1.0, f64::from(self.set.ingress_count));
-        if f64::from(self.slow_start_rank(id)) >= senders || self.retired {
+        let senders = slices.clamp(1.0, f64::from(self.settings.ingress_count));
+        if f64::from(self.slow_start_rank(id)) >= senders || self.handed_over {
             return false;
         }
         let slice = Slice {
@@ -55,9 +56,9 @@
             saved_window_share: MAX_SAVED_WINDOW_SHARE,
             window,
         };
-        let Some(server) = self.servers.get_mut(&id) else { return false };
-        let in_flight = server.units_in_flight();
-        server.slow_start.try_admit(now, units, in_flight, slice)
+        let Some(backend) = self.backends.get_mut(&id) else { return false };
+        let in_flight = backend.units_in_flight();
+        backend.slow_start.try_admit(now, units, in_flight, slice)
     }
 
     /// Returns the units a second that the whole fleet may send a cold backend.
@@ -67,24 +68,29 @@
     /// one can do. The estimate stays when the other ingresses are gone, and rises at once if few ingresses
     /// have to serve more.
     fn slow_start_rate(&self, now: Millis, id: BackendId) -> f64 {
-        let Some(server) = self.servers.get(&id) else { return 0.0 };
-        let rate_of = |warm: &WarmBackends| warm.rate_of_one(now, server.weight(), SERVED_AVERAGING);
-        let same_kind = self.warm_by_kind.get(&server.entry.kind).and_then(rate_of);
-        let one = same_kind.or_else(|| rate_of(&self.warm)).unwrap_or(0.0) * self.warmth(now, server);
-        one * f64::from(self.set.ingress_count) * self.slow_start_share()
+        let Some(backend) = self.backends.get(&id) else { return 0.0 };
+        let rate_of = |warm: &WarmBackends| warm.rate_of_one(now, backend.weight(), SERVED_AVERAGING);
+        let same_kind = self.warm_by_kind.get(&backend.entry.kind).and_then(rate_of);
+        let one = same_kind.or_else(|| rate_of(&self.warm)).unwrap_or(0.0) * self.warmth(now, backend);
+        one * f64::from(self.settings.ingress_count) * self.slow_start_share()
     }
 
     /// Returns what the fleet sends a cold backend, as a multiple of what the backend can do.
     fn slow_start_share(&self) -> f64 {
-        (self.set.cold.overload_multiple * OVERLOAD_SHARE).min(MAX_CAPACITY_MULTIPLE)
+        (self.settings.cold.overload_multiple * OVERLOAD_SHARE).min(MAX_CAPACITY_MULTIPLE)
     }
 
     /// Returns the number of slices up to which served work lets an ingress send. In a small fleet each
     /// ingress sees most of what the backend does, and notices its delay in time; in a large fleet each sees
     /// little.
     fn slow_start_max_slices(&self) -> f64 {
-        let large_fleet = self.set.cold.overload_multiple * OVERLOAD_SHARE_SERVED / self.slow_start_share();
-        if f64::from(self.set.ingress_count) <= SMALL_FLEET_INGRESSES { f64::INFINITY } else { large_fleet }
+        let large_fleet =
+            self.settings.cold.overload_multiple * OVERLOAD_SHARE_SERVED / self.slow_start_share();
+        if f64::from(self.settings.ingress_count) <= SMALL_FLEET_INGRESSES {
+            f64::INFINITY
+        } else {
+            large_fleet
+        }
     }
 
     /// Records that a warm backend has served some of this ingress's work.
--- a/src/view.rs
+++ b/src/view.rs
@@ -40,23 +40,23 @@
 impl Limiter {
     /// What it goes by now.
     pub fn view(&self, now: Millis) -> View {
-        let ready = || self.servers.values().filter(|s| s.entry.state == BackendState::Ready);
+        let ready = || self.backends.values().filter(|s| s.entry.state == BackendState::Ready);
         let cold = |s: &&crate::state::Backend| self.warmth(now, s) < 1.0;
         let over = |s: &&crate::state::Backend| self.is_passed_over(now, s);
         View {
             capacity: self.capacity(),
             in_flight: self.in_flight,
-            pinned: self.pinned,
+            pinned: self.silent_units,
             reserved: self.reserved,
             pressure: self.pressure(now),
             ready: ready().count(),
             cold: ready().filter(cold).count(),
             passed_over: ready().filter(over).count(),
             passed_over_warm: ready().filter(|s| !cold(s)).filter(over).count(),
-            shared: self.shared,
-            able: self.able,
-            retries: self.retries,
-            calls: self.calls,
+            shared: self.widespread_trouble,
+            able: self.ready_capacity,
+            retries: self.retry_budget,
+            calls: self.call_share,
             requests: self.requests.len(),
         }
     }
