--- a/src/quota_messages.rs
+++ b/src/quota_messages.rs
@@ -36,7 +36,7 @@
             QuotaMessage::Request { seq: to.1, request: of.quota_request(), drawn: unasked, pressure }
                 .encode(),
         ));
-        actions.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, QUOTA_TIMER));
+        actions.push(Action::SetTimer(QUOTA_ANSWER_TIMEOUT, QUOTA_ANSWER_TIMER));
         self.pending_quota_requests
             .insert(to.1, PendingQuotaRequest { request: of.id, owner: to.0, sent_at: now, resent: again });
     }
--- a/src/quota_pool.rs
+++ b/src/quota_pool.rs
@@ -189,10 +189,10 @@
         if self.usage_source != UsageSource::Counter {
             return;
         }
-        let mut lenders = std::mem::take(&mut self.pool_lenders);
-        lenders.extend(&self.unreported);
-        lenders.retain(|id| self.lend_customer(now, *id, actions));
-        self.pool_lenders = lenders;
+        let mut customers = std::mem::take(&mut self.pool_customers);
+        customers.extend(&self.unreported);
+        customers.retain(|id| self.lend_customer(now, *id, actions));
+        self.pool_customers = customers;
     }
 
     /// Tells whether the customer is still known and has a pool.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -184,7 +184,7 @@
             Event::PeerMessage(from, bytes) => self.on_peer_message(now, from, &bytes, actions),
             Event::Timer(TICK_TIMER) => self.on_tick(now, actions),
             Event::Timer(SUBSCRIBE_TIMER) if self.settings.list_on_request => actions.push(Action::Subscribe),
-            Event::Timer(QUOTA_TIMER) => self.on_quota_timeout(now, actions),
+            Event::Timer(QUOTA_ANSWER_TIMER) => self.on_quota_timeout(now, actions),
             Event::Timer(_) | Event::ProbeEnded(..) => {}
             Event::CounterAnswered(name, answer) => {
                 self.on_counter_answer(now, CustomerId(name.0), answer, actions)
@@ -998,8 +998,7 @@
                 let takes = self.group_latency.entry((scope, request.class)).or_default();
                 takes.add(now, times, ALL_FAILED_LATENCIES, SAMPLE_WEIGHT, SLOWNESS_TAU);
             }
-            silent =
-                backend.is_outlier(now, end.outcome, [SILENCE_LATENCIES, OUTLIER_LATENCIES, SLOWNESS_TAU]);
+            silent = backend.is_outlier(now, end.outcome, SILENCE_LATENCIES, OUTLIER_LATENCIES, SLOWNESS_TAU);
             overtaken = backend.remove_attempt((request.id, end.attempt), end.outcome);
             if judged && end.outcome != Outcome::TimedOut {
                 backend.last_answer_at = now;
