--- a/src/rules.rs
+++ b/src/rules.rs
@@ -174,7 +174,7 @@
                 if self.settings.list_on_request {
                     actions.push(Action::Subscribe);
                 }
-                actions.push(Action::SetTimer(self.next_tick(), TICK_TIMER));
+                actions.push(Action::SetTimer(self.next_tick_delay(), TICK_TIMER));
             }
             Event::BackendList(kind, entries) => self.on_backend_list(now, kind, entries, actions),
             Event::Request(request) => self.on_request(now, request, actions),
@@ -1071,7 +1071,7 @@
     }
 
     fn on_tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        actions.push(Action::SetTimer(self.next_tick(), TICK_TIMER));
+        actions.push(Action::SetTimer(self.next_tick_delay(), TICK_TIMER));
         if self.usage_source == UsageSource::Peers && !self.uses_quota_owners() {
             actions.extend(self.build_reports());
         }
