--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! The vocabulary of the limiter: settings, events, actions, ids and units of time.
+//! The interface of the limiter: settings, events, actions, ids and units of time.
 //!
-//! Every number that comes in may be late, noisy or absurd; the rules are expected to live with that.
+//! Any number that comes in may be late, noisy or absurd; the rules must cope with that.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,7 +8,7 @@
 /// The most bytes of a message to a peer.
 pub const MAX_PEER_MESSAGE_BYTES: usize = 256;
 
-/// A time or a span in milliseconds; the clock starts anywhere and only moves forward.
+/// A point in time or a duration in milliseconds. The clock starts anywhere and only moves forward.
 pub type Millis = f64;
 
 macro_rules! id {
@@ -19,60 +19,61 @@
     };
 }
 
-id!(/// One try of a client; never used again.
+id!(/// The id of a client's request (one try), which is never reused.
     RequestId(u64));
-id!(/// A server, the same in every list and across its restarts.
+id!(/// The id of a backend, the same in every list and across restarts.
     BackendId(u64));
-id!(/// A customer.
+id!(/// The id of a customer.
     CustomerId(u64));
-id!(/// A gateway's number, counted from 0.
+id!(/// The number of an ingress, counted from 0.
     IngressId(u16));
-id!(/// A class, as its place in [`Settings::classes`].
+id!(/// A class, as its index in [`Settings::classes`].
     ClassId(usize));
-id!(/// A plan, as its place in [`Settings::plans`].
+id!(/// A plan, as its index in [`Settings::plans`].
     PlanId(usize));
-id!(/// A zone.
+id!(/// The number of a zone.
     ZoneId(u8));
-id!(/// A handful of servers that share which keys they have seen.
+id!(/// The number of a cell: a few backends that share the idempotency keys they have seen.
     CellId(u16));
-id!(/// A kind of machine.
+id!(/// The number of a kind of machine.
     KindId(u16));
-id!(/// The place of an attempt among those of its request, counted from 0.
+id!(/// The index of an attempt among those of its request, counted from 0.
     AttemptIndex(u16));
 id!(/// The name of a number on the shared counter.
     CounterName(u64));
-id!(/// What a timer brings back.
+id!(/// The key of a timer, returned when it expires.
     TimerKey(u32));
 
-/// Which servers drop a repeat of a keyed request.
+/// Which backends recognise a repeat of a keyed request and drop it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of the zone of the first.
+    /// Those in the zone of the first attempt.
     Zone,
-    /// Those of the cell of the first.
+    /// Those in the cell of the first attempt.
     Cell,
 }
 
-/// What a repeat of a request would do.
+/// The effect of running a request twice.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum RetrySafety {
-    /// Nothing: it may be repeated at will.
+    /// None: it may be repeated at will.
     Safe,
-    /// Nothing within the group and for this long from the first attempt that may have run.
+    /// None within the scope, for the given time from the first attempt that may have run.
     Keyed {
-        /// Which servers drop it.
+        /// Which backends drop the repeat.
         scope: DedupScope,
-        /// For how long.
+        /// For how long they do.
         window: Millis,
     },
-    /// Harm: it must not run twice.
+    /// Harmful: it must not run twice.
     Unsafe,
 }
 
 impl RetrySafety {
-    /// Whether a request whose first attempt at `first`, if that is still known, may have run can go to `other`.
+    /// Returns whether a request may be sent to `other` after an attempt at `first` may have run. `first` is
+    /// `None` if that backend is not known any more.
     pub fn allows_backend(&self, first: Option<&BackendEntry>, other: &BackendEntry) -> bool {
         match self {
             Self::Safe | Self::Keyed { scope: DedupScope::All, .. } => true,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Whether it can be sent again so long after that attempt.
+    /// Returns whether the request may be sent again when that attempt is `age` old.
     pub fn allows_after(&self, age: Millis) -> bool {
         match self {
             Self::Safe => true,
@@ -91,7 +92,8 @@
         }
     }
 
-    /// How much longer it can be sent again so long after that attempt; none where time sets no bound.
+    /// Returns how much longer the request may be sent again when that attempt is `age` old; `None` if time
+    /// sets no limit.
     pub fn time_left(&self, age: Millis) -> Option<Millis> {
         if let Self::Keyed { window, .. } = self { Some(window - age) } else { None }
     }
@@ -100,79 +102,80 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time has the full worth.
+    /// Latency target: an answer within this time has the full worth.
     pub aim: Millis,
-    /// What a unit of it is worth.
+    /// Worth of one unit, relative to other classes.
     pub worth: f64,
-    /// What a repeat does.
+    /// The effect of running a request of the class twice.
     pub retry_safety: RetrySafety,
 }
 
-/// A plan: the quotas that each of its customers has over all gateways together.
+/// A plan: the quotas of each of its customers over all ingresses together.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Plan {
-    /// Units a second; 0 for none.
+    /// Units a second; 0 if there is no such quota.
     pub rate: f64,
     /// Units that may be used at once.
     pub burst: f64,
-    /// Attempts out at once; 0 for no such quota.
+    /// The most attempts in flight; 0 if there is no such quota.
     pub max_in_flight: f64,
-    /// Units a second of the hard ceiling; 0 for none.
+    /// Hard rate limit in units a second; 0 if there is none.
     pub ceiling_rate: f64,
-    /// Units of the ceiling that may be used at once.
+    /// Units of the hard limit that may be used at once.
     pub ceiling_burst: f64,
-    /// What a request beyond the quota earns, as a part of its worth.
+    /// What serving a request beyond the quota earns, as a fraction of its worth.
     pub excess_worth: f64,
-    /// What a request beyond the quota costs, as a part of its worth.
+    /// What serving a request beyond the quota costs, as a fraction of its worth.
     pub excess_cost: f64,
 }
 
 impl Plan {
-    /// The chance of being inside the quota at which sending on earns as much as it costs.
+    /// Returns the probability of being within the quota at which serving a request earns as much as it
+    /// costs.
     pub(crate) fn break_even_probability(&self) -> f64 {
         self.excess_cost / (1.0 + self.excess_cost)
     }
 }
 
-/// How a started server is to be spared.
+/// How much a backend can do after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// The part of its full work that it can do at first.
+    /// Fraction of its full capacity at the start.
     pub initial_capacity: f64,
-    /// The time until it is warm.
+    /// Time until it is warm, that is at full capacity.
     pub warm_after: Millis,
-    /// It falls over at this multiple of what it can do ...
+    /// It fails under load over this multiple of its current capacity ...
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// ... that lasts for this time.
     pub overload_window: Millis,
 }
 
 impl ColdStart {
-    /// The part of its full work that a server can do at this age, at the least.
+    /// Returns the least fraction of its full capacity that a backend of this age has.
     pub fn warmth(&self, age: Millis) -> f64 {
         (self.initial_capacity + (1.0 - self.initial_capacity) * age.max(0.0) / self.warm_after.max(1.0))
             .min(1.0)
     }
 
-    /// The same for a server that started at `started`; one that started long ago, none, is warm.
+    /// Returns the same for a backend that started at `started`. `None` if that was long ago: it is warm.
     pub(crate) fn warmth_of(&self, started: Option<Millis>, now: Millis) -> f64 {
         started.map_or(1.0, |at| self.warmth(now - at))
     }
 
-    /// Whether a server that started at `started` can do its full work.
+    /// Returns whether a backend that started at `started` has its full capacity.
     pub(crate) fn is_warm(&self, started: Option<Millis>, now: Millis) -> bool {
         self.warmth_of(started, now) >= 1.0
     }
 }
 
-/// What a gateway knows at its start.
+/// The configuration of a limiter.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// This gateway's number.
+    /// The number of this ingress.
     pub ingress: IngressId,
-    /// How many gateways there are.
+    /// The number of ingresses in the fleet.
     pub ingress_count: u16,
-    /// This gateway's zone.
+    /// The zone of this ingress.
     pub zone: ZoneId,
     /// The classes of requests.
     pub classes: Vec<Class>,
@@ -180,61 +183,61 @@
     pub plans: Vec<Plan>,
     /// The most units of one request.
     pub max_request_units: f64,
-    /// Units of a request are a guess that the answer settles.
+    /// The units of a request are an estimate; its answer says the true ones.
     pub units_are_estimates: bool,
-    /// The period of the meter; 0 for no meter.
+    /// The period of the fleet's use meter; 0 if there is no meter.
     pub meter_period: Millis,
-    /// The shared counter may be called.
+    /// The fleet's shared counter may be called.
     pub counter: bool,
-    /// A call to it is answered within this time, whatever comes of it.
+    /// Time within which a counter call ends, answered or not.
     pub counter_timeout: Millis,
-    /// Messages to peers may be sent.
+    /// Messages may be sent to peers.
     pub peers: bool,
-    /// Messages a second that a gateway takes in.
+    /// Messages a second that an ingress accepts from all peers.
     pub peer_messages_per_second: f64,
     /// The most attempts of a request.
     pub max_attempts: u16,
-    /// A request may have two attempts out together.
+    /// A request may have two attempts in flight at the same time.
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// The longest advice to keep away that clients follow; 0 for none.
+    /// The longest retry delay that clients observe; 0 if they observe none.
     pub max_retry_after: Millis,
-    /// The list of servers comes only on request.
+    /// The backend list is sent only on request ([`Action::Subscribe`]).
     pub list_on_request: bool,
-    /// How started servers are to be spared.
+    /// How much a backend can do after its start.
     pub cold: ColdStart,
-    /// An attempt across zones costs something.
+    /// An attempt in another zone costs extra.
     pub cross_zone_cost: bool,
 }
 
 impl Settings {
-    /// Whether there is such a plan and such a class.
+    /// Returns whether the plan and the class exist.
     pub(crate) fn defines(&self, plan: PlanId, class: ClassId) -> bool {
         plan.0 < self.plans.len() && class.0 < self.classes.len()
     }
 
-    /// The longest time that a store takes to fill.
+    /// Returns the longest time that a token bucket of any plan takes to refill.
     pub(crate) fn longest_refill(&self) -> Millis {
-        let refill = |depth: f64, rate: f64| if rate > 0.0 { 1000.0 * depth / rate } else { 0.0 };
-        let both = |p: &Plan| refill(p.burst, p.rate).max(refill(p.ceiling_burst, p.ceiling_rate));
-        self.plans.iter().map(both).fold(0.0, f64::max)
+        let refill = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
+        let longest = |p: &Plan| refill(p.burst, p.rate).max(refill(p.ceiling_burst, p.ceiling_rate));
+        self.plans.iter().map(longest).fold(0.0, f64::max)
     }
 
-    /// Turns down what no limiter can work with.
+    /// Checks that a limiter can work with these settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         let error = |what: &str| Err(SettingsError(what.to_owned()));
-        let good = |x: f64| x.is_finite() && x >= 0.0;
+        let is_valid = |x: f64| x.is_finite() && x >= 0.0;
         if self.classes.is_empty() || self.ingress_count == 0 || self.max_attempts == 0 {
             return error("there must be a class, a gateway and an attempt at least");
         }
-        if !self.classes.iter().all(|c| good(c.aim) && c.aim > 0.0) {
+        if !self.classes.iter().all(|c| is_valid(c.aim) && c.aim > 0.0) {
             return error("a class has no aim");
         }
-        if !self.classes.iter().all(|c| good(c.worth)) {
+        if !self.classes.iter().all(|c| is_valid(c.worth)) {
             return error("a class has a worth that is negative or no number");
         }
-        let figures = |p: &Plan| {
+        let plan_values = |p: &Plan| {
             [p.rate, p.burst, p.max_in_flight, p.ceiling_rate, p.ceiling_burst, p.excess_worth, p.excess_cost]
         };
         let cold = [
@@ -246,14 +249,14 @@
         let others =
             [self.peer_messages_per_second, self.max_retry_after, self.max_request_units, self.meter_period];
         let others = others.into_iter().chain([self.counter_timeout]);
-        if !self.plans.iter().flat_map(figures).chain(cold).chain(others).all(good) {
+        if !self.plans.iter().flat_map(plan_values).chain(cold).chain(others).all(is_valid) {
             return error("a figure is negative or no number");
         }
         Ok(())
     }
 }
 
-/// Why settings were rejected.
+/// The reason why settings are rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -265,25 +268,25 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What the list says of a server.
+/// The state of a backend in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendState {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It finishes its work and is to get nothing new.
+    /// It finishes its requests and is to get no new ones.
     Draining,
-    /// It is no more.
+    /// It no longer exists.
     Gone,
 }
 
-/// A line of the server list.
+/// An entry of the backend list.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct BackendEntry {
-    /// Which server.
+    /// The id of the backend.
     pub backend: BackendId,
     /// Its state.
     pub state: BackendState,
-    /// Its size beside others, without a unit.
+    /// Its size relative to others.
     pub weight: f64,
     /// Its zone.
     pub zone: ZoneId,
@@ -291,16 +294,16 @@
     pub cell: CellId,
     /// The kind of machine it runs on.
     pub kind: KindId,
-    /// When it last started, where that is not long ago.
+    /// When it last started; `None` if that was long ago.
     pub last_start: Option<Millis>,
 }
 
-/// What a server list event holds.
+/// The content of a backend list event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list, as this gateway last held it: perhaps stale.
+    /// The whole list as this ingress last stored it, perhaps stale.
     Cached,
-    /// Only what changed.
+    /// Changed entries only.
     Changes,
     /// The whole list.
     Full,
@@ -319,20 +322,20 @@
     pub plan: PlanId,
     /// Its customer.
     pub customer: CustomerId,
-    /// The time until the client gives this try up.
+    /// Time until the client stops waiting for this try.
     pub time_left: Millis,
-    /// Units it draws.
+    /// Units it draws from the quota.
     pub units: f64,
-    /// Over how many gateways the customer's requests come ...
+    /// The number of ingresses over which the customer's requests are spread ...
     pub spread: u16,
-    /// ... counted round from this one.
+    /// ... counted from this one.
     pub first_ingress: IngressId,
-    /// The client says that it has asked for this before.
+    /// The client says that this is not its first try.
     pub is_retry: bool,
 }
 
 impl Request {
-    /// Puts figures that are none, or below nothing, right.
+    /// Replaces units and times that are negative or not finite.
     pub(crate) fn sanitize(&mut self) {
         self.units = if self.units.is_finite() { self.units.max(0.0) } else { 1.0 };
         self.time_left = if self.time_left.is_finite() { self.time_left.max(0.0) } else { 0.0 };
@@ -342,39 +345,39 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// It was served.
     Served,
-    /// The server answered with an error; it may have run.
+    /// The backend answered with an error; it may have run.
     Error,
-    /// Turned away unseen: it never ran.
+    /// The backend rejected it; it never ran.
     Rejected,
-    /// No answer in time; it may have run.
+    /// There was no answer in time; it may have run.
     TimedOut,
-    /// No connection: it never ran.
+    /// The connection failed; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
     /// It was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the server may have done the work.
+    /// Returns whether the backend may have done the work of an attempt that was not served.
     pub fn may_have_run(self) -> bool {
         matches!(self, Self::Error | Self::TimedOut | Self::Reset | Self::Cancelled)
     }
 }
 
-/// What a server says of its load; whatever it does not say is absent.
+/// The load that a backend reports; `None` for what it does not report.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests being handled.
+    /// Requests in progress.
     pub in_flight: Option<f64>,
     /// Requests waiting.
     pub queued: Option<f64>,
-    /// The part of its cores in use.
+    /// Fraction of its cores in use.
     pub busy: Option<f64>,
     /// Recent service time.
     pub latency: Option<Millis>,
@@ -387,90 +390,92 @@
 /// The end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AttemptEnd {
-    /// Whose attempt.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Which attempt.
+    /// The index of the attempt.
     pub attempt: AttemptIndex,
-    /// The server it went to.
+    /// The backend it was sent to.
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
     /// The time since it was sent.
     pub elapsed: Millis,
-    /// The request is over, by this or earlier.
+    /// No answer is owed for the request any more.
     pub request_closed: bool,
-    /// The customer's use over all gateways in the meter's last period, as a part of its rate.
+    /// The customer's use over all ingresses in the meter's last period, as a fraction of its rate; `None` if
+    /// not reported.
     pub metered_use: Option<f64>,
-    /// The true units, where they had been guessed.
+    /// The true units of the request; `None` if not reported.
     pub settled_units: Option<f64>,
-    /// What the server said of its load.
+    /// The load that the backend reported.
     pub load: Load,
 }
 
-/// What came of a call to the counter.
+/// The result of a counter call.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum CounterAnswer {
     /// The total after the call.
     Total(f64),
     /// Nothing was added.
     NotAdded,
-    /// No answer in time; the amount may have been added.
+    /// There was no answer in time; the amount may have been added.
     Unknown,
 }
 
-/// What happens to a gateway.
+/// An input of the limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The gateway starts; always the first event.
+    /// The ingress starts; always the first event.
     Start,
-    /// News of the server list.
+    /// The backend list or a change of it.
     BackendList(ListKind, Vec<BackendEntry>),
     /// A client's request; one final answer is owed for it.
     Request(Request),
-    /// A stream has begun, so the attempt belongs to the client.
+    /// The attempt began to stream; it belongs to the client from now on.
     StreamStarted(RequestId, AttemptIndex),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client left; no answer is owed any more.
     ClientLeft(RequestId),
-    /// A peer's message.
+    /// A message from a peer.
     PeerMessage(IngressId, Vec<u8>),
     /// A probe ended.
     ProbeEnded(BackendId, Outcome, Load),
-    /// A timer is due.
+    /// A timer expired.
     Timer(TimerKey),
-    /// The counter answered.
+    /// A counter call ended.
     CounterAnswered(CounterName, CounterAnswer),
 }
 
-/// What a gateway is to do.
+/// An output of the limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt, given up after `timeout`, or with the client where that is absent.
+    /// Starts an attempt.
     Send {
-        /// Whose attempt.
+        /// The request of the attempt.
         request: RequestId,
-        /// The server.
+        /// The backend to send it to.
         backend: BackendId,
-        /// Its time-out.
+        /// When to cancel it; `None` if it lasts as long as the client waits.
         timeout: Option<Millis>,
-        /// It must have left whole within this, or never: a repeat later than that would be another effect.
+        /// Time within which it must be sent completely, or not at all, as a later repeat would take effect
+        /// again; `None` for no limit.
         send_within: Option<Millis>,
     },
-    /// Final answer: nothing ran, the client may safely come again, best after this time.
+    /// Final answer: nothing ran, or a repeat does no harm. The client may retry, best after this time.
     Reject(RequestId, Option<Millis>),
-    /// Final answer: no promise either way.
+    /// Final answer without a promise whether the request ran.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt.
     Cancel(RequestId, AttemptIndex),
-    /// Probe a server.
+    /// Probes a backend.
     Probe(BackendId),
-    /// Send a message to a peer.
+    /// Sends a message to a peer.
     SendToPeer(IngressId, Vec<u8>),
-    /// Add an amount to a number on the counter; if it is new it is kept this long.
+    /// Adds an amount to a number at the counter; a new number is kept for this time.
     AddToCounter(CounterName, f64, Millis),
-    /// Ask for a timer.
+    /// Sets a timer.
     SetTimer(Millis, TimerKey),
-    /// Ask for the changes of the server list.
+    /// Subscribes to the backend list.
     Subscribe,
 }
--- a/src/prng.rs
+++ b/src/prng.rs
@@ -1,4 +1,4 @@
-//! A seeded source of random numbers; one a limiter, so that equal events give equal actions.
+//! A seeded random number generator. Each limiter has its own, so that equal events give equal actions.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,28 +14,28 @@
 }
 
 impl From<Prng> for u64 {
-    fn from(at: Prng) -> Self {
-        at.0.get_seed()
+    fn from(generator: Prng) -> Self {
+        generator.0.get_seed()
     }
 }
 
 impl Prng {
-    /// A generator that starts from `seed`.
+    /// Returns a generator seeded with `seed`.
     pub(crate) fn new(seed: u64) -> Self {
         Self(fastrand::Rng::with_seed(seed))
     }
 
-    /// Evenly spread in `0..n`; 0 where `n` is 0.
+    /// Returns a uniformly distributed number in `0..n`; 0 if `n` is 0.
     pub(crate) fn below(&mut self, n: usize) -> usize {
         if n == 0 { 0 } else { self.0.usize(0..n) }
     }
 
-    /// Evenly spread from 0 up to 1.
+    /// Returns a uniformly distributed number from 0 up to, but not including, 1.
     pub(crate) fn unit(&mut self) -> f64 {
         self.0.f64()
     }
 
-    /// Any byte.
+    /// Returns a uniformly distributed byte.
     pub(crate) fn byte(&mut self) -> u8 {
         self.0.u8(..)
     }
