--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -284,7 +284,7 @@
         // Refused in the same turn: what was full?
         let refused = self.nodes[i].flows.get(&id).is_none_or(|flow| !flow.open && flow.started == 0);
         if refused && self.asked[n].worth > 0.0 {
-            let room = before.in_flight - before.pinned + units > before.capacity;
+            let room = before.in_flight - before.silent_units + units > before.capacity;
             self.nodes[i].counts[if room { 1 } else { 2 }] += 1;
             let second = self.second();
             if room {
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,62 +1,68 @@
-//! What a limiter goes by at a moment, for those who watch it: figures only, nothing of it can be changed here.
+//! A snapshot of the quantities that a limiter's decisions are based on, for monitoring.
 
 use crate::interface::{BackendState, Millis};
 use crate::state::Limiter;
 use serde::Serialize;
 
-/// What each limit sees. Units are those of requests.
+/// A snapshot of a limiter. Units are units of requests; serialised names are those of the reports.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 pub struct View {
-    /// The room: units that may be out.
+    /// The estimated capacity, in units in flight.
     pub capacity: f64,
-    /// Units that are out.
+    /// Units in flight, without streaming attempts.
     pub in_flight: f64,
-    /// Those of them that are out at silent real servers.
-    pub pinned: f64,
-    /// The sum of all reservations.
+    /// Those of them in flight to silent backends.
+    #[serde(rename = "pinned")]
+    pub silent_units: f64,
+    /// The sum of all customers' reservations, in units in flight.
     pub reserved: f64,
-    /// How much of their aims answers take; from `PRESSURE_THRESHOLD` on the room is cut.
+    /// Latency pressure: the mean fraction of their aims that answers take. Over `PRESSURE_THRESHOLD` the
+    /// capacity is cut.
     pub pressure: f64,
-    /// Real servers on the list that are ready.
+    /// The number of ready backends.
     pub ready: usize,
     /// Those of them that are cold.
     pub cold: usize,
-    /// Those of them that are passed over, and of these the warm ones.
+    /// Those of the ready ones that are passed over.
     pub passed_over: usize,
-    /// The latter.
+    /// Those of the passed over ones that are warm.
     pub passed_over_warm: usize,
-    /// So many are passed over that none is.
-    pub shared: bool,
-    /// What the ready ones can do, in warm ones.
-    pub able: f64,
+    /// So many are passed over that the fault is not their own, and none is.
+    #[serde(rename = "shared")]
+    pub widespread_trouble: bool,
+    /// What the ready backends can do, in warm backends.
+    #[serde(rename = "able")]
+    pub ready_capacity: f64,
     /// Further attempts that may be made now.
-    pub retries: f64,
-    /// The part of tries that call the counter.
-    pub calls: f64,
-    /// Requests that are held or out.
+    #[serde(rename = "retries")]
+    pub retry_budget: f64,
+    /// The fraction of tries that call the shared counter.
+    #[serde(rename = "calls")]
+    pub call_share: f64,
+    /// Requests that are held or have attempts in flight.
     pub requests: usize,
 }
 
 impl Limiter {
-    /// What it goes by now.
+    /// Returns a snapshot at `now`.
     pub fn view(&self, now: Millis) -> View {
         let ready = || self.backends.values().filter(|s| s.entry.state == BackendState::Ready);
-        let cold = |s: &&crate::state::Backend| self.warmth(now, s) < 1.0;
-        let over = |s: &&crate::state::Backend| self.is_passed_over(now, s);
+        let is_cold = |s: &&crate::state::Backend| self.warmth(now, s) < 1.0;
+        let is_passed_over = |s: &&crate::state::Backend| self.is_passed_over(now, s);
         View {
             capacity: self.capacity(),
             in_flight: self.in_flight,
-            pinned: self.silent_units,
+            silent_units: self.silent_units,
             reserved: self.reserved,
             pressure: self.pressure(now),
             ready: ready().count(),
-            cold: ready().filter(cold).count(),
-            passed_over: ready().filter(over).count(),
-            passed_over_warm: ready().filter(|s| !cold(s)).filter(over).count(),
-            shared: self.widespread_trouble,
-            able: self.ready_capacity,
-            retries: self.retry_budget,
-            calls: self.call_share,
+            cold: ready().filter(is_cold).count(),
+            passed_over: ready().filter(is_passed_over).count(),
+            passed_over_warm: ready().filter(|s| !is_cold(s)).filter(is_passed_over).count(),
+            widespread_trouble: self.widespread_trouble,
+            ready_capacity: self.ready_capacity,
+            retry_budget: self.retry_budget,
+            call_share: self.call_share,
             requests: self.requests.len(),
         }
     }
