--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1173,7 +1173,7 @@
         }
     }
 
-    /// Sends usage reports, lends unused units and updates derived state; runs at every tick.
+    /// Handles a tick: sends usage reports and counter calls, lends unused units and updates derived state.
     fn on_tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(self.next_tick_delay(), TICK_TIMER));
         if self.usage_source == UsageSource::Peers && !self.uses_quota_owners() {
