--- a/trials/src/scale/pipeline.rs
+++ b/trials/src/scale/pipeline.rs
@@ -72,7 +72,7 @@
     /// Returns the size in bytes of the state that the limiter hands to a successor on an upgrade.
     pub fn handover_bytes(&mut self) -> usize {
         let bytes = self.limiter.hand_over().len();
-        self.limiter.take_back();
+        self.limiter.resume();
         bytes
     }
 }
