--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,78 +1,83 @@
-//! A bound on the bytes of messages that many connections hold together: each may hold a whole message, but all of
-//! them at once must not take the memory.
+//! A memory budget for the messages that many connections buffer: each connection may buffer a whole message, but
+//! all of them together must not exhaust the memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Connections to real servers that a process before still holds, at the least one while it lives.
-pub type Elsewhere = Rc<Cell<usize>>;
+/// The number of connections to backends that a predecessor process still holds. It is at least 1 while that process
+/// is live, and 0 otherwise.
+pub type PredecessorConnections = Rc<Cell<usize>>;
 
-/// A message of up to this many bytes always fits: the number of connections bounds these.
-const SMALL: usize = 8 * 1024;
+/// A reservation of up to this many bytes is always granted, whatever the budget: the number of connections bounds
+/// the sum of these.
+const ALWAYS_GRANTED_BYTES: usize = 8 * 1024;
 
-/// What is read ahead fits only while all hold no more than the budget divided by this.
-const AHEAD_PART: usize = 2;
+/// Bytes that are read ahead are granted only while the total is within the budget divided by this.
+const READ_AHEAD_DIVISOR: usize = 2;
 
-/// The bytes that all may hold together.
+/// A budget in bytes that all connections share.
 #[derive(Debug)]
-pub struct Budget {
-    most: usize,
-    elsewhere: Elsewhere,
-    held: Cell<usize>,
+pub struct MemoryBudget {
+    max_bytes: usize,
+    predecessor: PredecessorConnections,
+    reserved_bytes: Cell<usize>,
 }
 
-/// What one holds of a budget; given back when dropped.
+/// The bytes that one connection has reserved of a budget. They are released on drop.
 #[derive(Debug)]
-pub struct Held<'a> {
-    budget: &'a Budget,
+pub struct Reservation<'a> {
+    budget: &'a MemoryBudget,
     bytes: usize,
 }
 
-impl Budget {
-    /// A budget of this many bytes; half of it while another process has some of the same memory.
-    pub fn new(most: usize, elsewhere: Elsewhere) -> Self {
-        Self { most, elsewhere, held: Cell::new(0) }
+impl MemoryBudget {
+    /// Creates a budget of `max_bytes`. Only half of it is available while a predecessor process is live, which uses
+    /// the same memory.
+    pub fn new(max_bytes: usize, predecessor: PredecessorConnections) -> Self {
+        Self { max_bytes, predecessor, reserved_bytes: Cell::new(0) }
     }
 
-    fn most(&self) -> usize {
-        if self.elsewhere.get() > 0 { self.most / 2 } else { self.most }
+    fn available_bytes(&self) -> usize {
+        if self.predecessor.get() > 0 { self.max_bytes / 2 } else { self.max_bytes }
     }
 
-    /// A holder of nothing yet.
-    pub fn hold(&self) -> Held<'_> {
-        Held { budget: self, bytes: 0 }
+    /// Returns a reservation of 0 bytes.
+    pub fn reserve(&self) -> Reservation<'_> {
+        Reservation { budget: self, bytes: 0 }
     }
 }
 
-impl Held<'_> {
-    /// Holds this many bytes in all from now on; false where they do not fit beside those of the others.
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        let fits = bytes <= SMALL || self.all_with(bytes) <= self.budget.most();
+impl Reservation<'_> {
+    /// Changes this reservation to `bytes` in total. Returns `false`, and changes nothing, if the budget does not
+    /// allow it.
+    pub fn try_resize(&mut self, bytes: usize) -> bool {
+        let fits = bytes <= ALWAYS_GRANTED_BYTES || self.total_with(bytes) <= self.budget.available_bytes();
         fits && self.set(bytes)
     }
 
-    /// The same for bytes that might as well be left unread: they leave half of the budget to messages. To hold fewer than
-    /// before always fits.
-    pub fn grow_ahead(&mut self, bytes: usize) -> bool {
-        let fits = bytes <= self.bytes || self.all_with(bytes) <= self.budget.most() / AHEAD_PART;
+    /// Like [`try_resize`](Self::try_resize), for bytes that may as well stay unread: half of the budget is left to
+    /// messages that must be read. A smaller reservation is always granted.
+    pub fn try_resize_read_ahead(&mut self, bytes: usize) -> bool {
+        let fits = bytes <= self.bytes
+            || self.total_with(bytes) <= self.budget.available_bytes() / READ_AHEAD_DIVISOR;
         fits && self.set(bytes)
     }
 
-    /// What all would hold if this one held so many bytes.
-    fn all_with(&self, bytes: usize) -> usize {
-        self.budget.held.get() - self.bytes + bytes
+    /// Returns the total of all reservations if this one were `bytes`.
+    fn total_with(&self, bytes: usize) -> usize {
+        self.budget.reserved_bytes.get() - self.bytes + bytes
     }
 
     fn set(&mut self, bytes: usize) -> bool {
-        self.budget.held.set(self.all_with(bytes));
+        self.budget.reserved_bytes.set(self.total_with(bytes));
         self.bytes = bytes;
         true
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        self.budget.held.set(self.budget.held.get() - self.bytes);
+        self.budget.reserved_bytes.set(self.budget.reserved_bytes.get() - self.bytes);
     }
 }
 
@@ -81,24 +86,32 @@
     use super::*;
 
     #[test]
-    fn large_messages_fit_while_others_leave_room_and_small_ones_always_do() {
-        let elsewhere = Elsewhere::default();
-        let budget = Budget::new(100_000, elsewhere.clone());
-        let (mut one, mut two) = (budget.hold(), budget.hold());
-        assert!(one.grow(60_000) && one.grow(70_000) && !two.grow(40_000) && two.grow(8000));
+    fn grants_large_reservations_within_the_budget_and_small_ones_always() {
+        let predecessor = PredecessorConnections::default();
+        let budget = MemoryBudget::new(100_000, predecessor.clone());
+        let (mut one, mut two) = (budget.reserve(), budget.reserve());
+        assert!(
+            one.try_resize(60_000)
+                && one.try_resize(70_000)
+                && !two.try_resize(40_000)
+                && two.try_resize(8000)
+        );
         drop(one);
-        assert!(two.grow(100_000) && !two.grow(100_001));
-        elsewhere.set(1);
-        assert!(!two.grow(100_000) && two.grow(50_000), "another process has its half");
+        assert!(two.try_resize(100_000) && !two.try_resize(100_001));
+        predecessor.set(1);
+        assert!(!two.try_resize(100_000) && two.try_resize(50_000), "the predecessor has the other half");
     }
 
     #[test]
-    fn what_is_read_ahead_leaves_half_of_the_budget_to_messages() {
-        let budget = Budget::new(100_000, Elsewhere::default());
-        let (mut ahead, mut message) = (budget.hold(), budget.hold());
-        assert!(ahead.grow_ahead(50_000) && !ahead.grow_ahead(50_001));
-        assert!(message.grow(50_000) && !message.grow(50_001));
-        assert!(!ahead.grow_ahead(50_001) && ahead.grow_ahead(20_000), "fewer than before always fit");
-        assert!(message.grow(80_000));
+    fn read_ahead_leaves_half_of_the_budget_to_messages() {
+        let budget = MemoryBudget::new(100_000, PredecessorConnections::default());
+        let (mut ahead, mut message) = (budget.reserve(), budget.reserve());
+        assert!(ahead.try_resize_read_ahead(50_000) && !ahead.try_resize_read_ahead(50_001));
+        assert!(message.try_resize(50_000) && !message.try_resize(50_001));
+        assert!(
+            !ahead.try_resize_read_ahead(50_001) && ahead.try_resize_read_ahead(20_000),
+            "a smaller reservation is always granted"
+        );
+        assert!(message.try_resize(80_000));
     }
 }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -1,7 +1,7 @@
 //! The client side: carries schedulings to real servers over pools of connections, one at a time on each, and
 //! reports how each ended, once. Nothing is ever sent a second time here.
 
-use super::budget::{Budget, Elsewhere};
+use super::budget::{MemoryBudget, PredecessorConnections};
 use super::http::{BODY, Bad, Body, Head, Kind, MESSAGE, peek_head};
 use super::pieces::{self, Once, PIECE, Piece, Pieces};
 use super::schedulings::{Ending, Id, Job, Pool, Schedulings, Stage};
@@ -86,7 +86,7 @@
     /// Where idle connections go that another process is to have.
     pub passing: mpsc::UnboundedSender<(BackendId, TcpStream)>,
     /// What another process has still open.
-    pub elsewhere: Elsewhere,
+    pub elsewhere: PredecessorConnections,
     /// What is open here.
     pub open: Rc<Cell<usize>>,
 }
@@ -96,7 +96,7 @@
     schedulings: Schedulings<Question, Answer, Idle>,
     links: Links,
     most: usize,
-    budget: Budget,
+    budget: MemoryBudget,
     deadlines: Deadlines,
     site: Site,
     stats: Arc<Stats>,
@@ -113,7 +113,7 @@
         exchange: Flows,
         deadlines: Deadlines,
         site: Site,
-        (most, budget): (usize, Budget),
+        (most, budget): (usize, MemoryBudget),
         stats: Arc<Stats>,
         links: Links,
         log: Logger,
@@ -415,7 +415,7 @@
 
     /// Reads an answer: a short one whole, of a long one the first pieces go on while the others come.
     async fn hear(&self, stream: &mut TcpStream, buffer: &mut BytesMut, id: Id, question: &Question) -> Went {
-        let (mut held, mut ahead) = (self.budget.hold(), 0);
+        let (mut held, mut ahead) = (self.budget.reserve(), 0);
         let head = loop {
             match peek_head(buffer, Kind::Response) {
                 // What a server says ahead of its answer is no answer; 101 would leave HTTP, which nobody asked for.
@@ -459,7 +459,7 @@
                 Err(_) => return badly(Outcome::Error),
             }
             let some = !taken.is_empty() && (long || taken.len() > BODY || waited && head.length().is_none());
-            if some || !held.grow(taken.len() + buffer.len()) {
+            if some || !held.try_resize(taken.len() + buffer.len()) {
                 if head.status() != 200 {
                     return badly(Outcome::Error);
                 }
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -1,7 +1,7 @@
 //! The server side: takes flows in from clients over HTTP/1.1, awaits their verdicts at the exchange and writes
 //! the answers. What a flow means is read by the front, in `fronts::platform`.
 
-use super::budget::{Budget, Held};
+use super::budget::{MemoryBudget, Reservation};
 use super::client_side::{Answer, Question};
 use super::http::{BODY, Bad, Body, Head, Kind, LONG, MESSAGE, peek_head};
 use super::pieces::{self, Once, PIECE, Piece, Pieces};
@@ -161,7 +161,7 @@
     /// Connections that are idle after a flow.
     pub idle: usize,
     /// Bytes of messages.
-    pub budget: Budget,
+    pub budget: MemoryBudget,
     /// Once it drains, all must be answered within this.
     pub last: Millis,
 }
@@ -409,7 +409,7 @@
         let mut out = BytesMut::new();
         loop {
             out.clear();
-            let mut held = self.shared.room.budget.hold();
+            let mut held = self.shared.room.budget.reserve();
             let said = match self.next(&mut stream, &mut buffer, &mut held, &mut began).await {
                 Ok(Next::Message(message)) => {
                     let said = self.answer(message, &mut stream, &mut buffer, &mut held, &mut out).await;
@@ -526,9 +526,10 @@
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         ahead: &mut Ahead,
-        held: Option<(&mut Held<'_>, usize)>,
+        held: Option<(&mut Reservation<'_>, usize)>,
     ) -> bool {
-        let fits = buffer.len() < MESSAGE && held.is_none_or(|(held, body)| held.grow(body + buffer.len()));
+        let fits =
+            buffer.len() < MESSAGE && held.is_none_or(|(held, body)| held.try_resize(body + buffer.len()));
         if fits && !ahead.flooded {
             return read_more(stream, buffer).await.unwrap_or(false);
         }
@@ -595,7 +596,7 @@
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Held<'_>,
+        held: &mut Reservation<'_>,
         began: &mut Option<Millis>,
     ) -> Result<Next, Wrong> {
         let shared = &self.shared;
@@ -617,7 +618,7 @@
             if idle {
                 // Prevents idle connections from holding memory.
                 *buffer = BytesMut::new();
-            } else if !held.grow(buffer.len()) {
+            } else if !held.try_resize(buffer.len()) {
                 return Err(NO_ROOM);
             }
             let ends = match (idle, *began) {
@@ -675,7 +676,7 @@
             match body.take(buffer, BODY) {
                 Ok(Some(data)) => {
                     taken.extend_from_slice(&data);
-                    if taken.len() <= BODY && held.grow(taken.len() + buffer.len()) {
+                    if taken.len() <= BODY && held.try_resize(taken.len() + buffer.len()) {
                         continue;
                     }
                 }
@@ -686,7 +687,7 @@
             if whole && taken.len() <= BODY {
                 return Ok(Next::Message(Message { head, body: taken.freeze(), rest: None }));
             }
-            if taken.len() > BODY || !held.grow(taken.len() + buffer.len()) {
+            if taken.len() > BODY || !held.try_resize(taken.len() + buffer.len()) {
                 return Ok(Next::Message(Message { head, body: taken.freeze(), rest: Some(body) }));
             }
             if read == 0 {
@@ -743,7 +744,7 @@
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Held<'_>,
+        held: &mut Reservation<'_>,
         (body, read): (&mut Body, &mut usize),
         pieces: mpsc::Sender<Piece>,
     ) -> Upload {
@@ -788,7 +789,7 @@
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Held<'_>,
+        held: &mut Reservation<'_>,
         (upload, piece, last): (&mut Handover, Piece, bool),
         read: &mut usize,
     ) -> Handed {
@@ -810,7 +811,7 @@
         }
         room.send(piece);
         upload.handed += 1;
-        held.grow_ahead(BODY + buffer.len());
+        held.try_resize_read_ahead(BODY + buffer.len());
         Handed::Over
     }
 
@@ -820,10 +821,10 @@
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Held<'_>,
+        held: &mut Reservation<'_>,
         (waits, read): (bool, &mut usize),
     ) -> bool {
-        let reads = waits && buffer.len() <= FLOOD && held.grow_ahead(BODY + buffer.len() + PIECE);
+        let reads = waits && buffer.len() <= FLOOD && held.try_resize_read_ahead(BODY + buffer.len() + PIECE);
         if !reads {
             self.gone(stream).await;
             return false;
@@ -883,7 +884,7 @@
         message: Message,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Held<'_>,
+        held: &mut Reservation<'_>,
         out: &mut BytesMut,
     ) -> Option<Said> {
         let shared = &self.shared;
--- a/src/node.rs
+++ b/src/node.rs
@@ -20,7 +20,7 @@
 use crate::interface::{AttemptEnd, Millis};
 use crate::maintenance::{Maintenance, read_bans};
 use crate::membership::traffic::Witness;
-use crate::net::budget::{Budget, Elsewhere};
+use crate::net::budget::{MemoryBudget, PredecessorConnections};
 use crate::net::client_side::{Answer, ClientSide, Links, Question};
 use crate::net::counter::Counter;
 use crate::net::discovery::Discovery;
@@ -450,8 +450,8 @@
     let Config { instance, source, known } = config;
     let (site, generation) = (&instance.site, known.as_ref().map(|known| known.generation));
     let ConnectionLimits { clients: flows, turned_away, backends: servers } = instance.limits.connections();
-    let elsewhere = Elsewhere::default();
-    let budget = || Budget::new(instance.limits.messages(), elsewhere.clone());
+    let elsewhere = PredecessorConnections::default();
+    let budget = || MemoryBudget::new(instance.limits.messages(), elsewhere.clone());
     let Sockets { listener, peers, link } = sockets.into();
     let peers = match instance.peer_listen.filter(|_| site.settings.peers) {
         Some(at) if peers.is_none() => Some(bind_peers(&instance, at)?),
--- a/src/upgrade/succession.rs
+++ b/src/upgrade/succession.rs
@@ -8,7 +8,7 @@
 use crate::deadlines::Deadlines;
 use crate::exchange::{EngineEvent, EngineState, Exchange, OperationResult};
 use crate::interface::{AttemptEnd, BackendId, Millis};
-use crate::net::budget::Elsewhere;
+use crate::net::budget::PredecessorConnections;
 use crate::net::client_side::{Answer, Question};
 use crate::net::server_side::{ConnectionHandover, Drain, Phase, Role};
 use bytes::BytesMut;
@@ -47,7 +47,7 @@
     /// Takes idle connections to backends that pass to this process.
     pub adopt_server: mpsc::UnboundedSender<(BackendId, TcpStream)>,
     /// How many connections the other process still has open.
-    pub elsewhere: Elsewhere,
+    pub elsewhere: PredecessorConnections,
     /// How many connections to backends are open here.
     pub open: Rc<Cell<usize>>,
     /// The clock and the timers.
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -21,7 +21,7 @@
 use weldhub::exchange::{EngineEvent, Exchange, FinalAnswer};
 use weldhub::fronts::platform;
 use weldhub::interface::Millis;
-use weldhub::net::budget::{Budget, Elsewhere};
+use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, Question};
 use weldhub::net::pieces::Piece;
 use weldhub::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
@@ -72,7 +72,7 @@
             watch::Sender::new(Drain::Inactive),
         );
         let signals = Signals { role: role.subscribe(), phase: phase.subscribe(), drain: drain.subscribe() };
-        let budget = Budget::new(bytes, Elsewhere::default());
+        let budget = MemoryBudget::new(bytes, PredecessorConnections::default());
         let room = Room { connections, turned_away, idle, budget, last: LAST };
         let (passing, _) = mpsc::unbounded_channel();
         let site = site();
