--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -1,9 +1,9 @@
 //! The client side: carries schedulings to real servers over pools of connections, one at a time on each, and
 //! reports how each ended, once. Nothing is ever sent a second time here.
 
+use super::body_channel::{self, BodyPiece, BodyReceiver, MAX_PIECE_BYTES, SingleUseBody};
 use super::budget::{MemoryBudget, PredecessorConnections};
 use super::http::{BODY, Bad, Body, Head, Kind, MESSAGE, peek_head};
-use super::pieces::{self, Once, PIECE, Piece, Pieces};
 use super::schedulings::{Ending, Id, Job, Pool, Schedulings, Stage};
 use super::server_side::Role;
 use super::stream::{connect, read_more};
@@ -49,7 +49,7 @@
     /// How long the body is; where that is not told ahead, its rest goes on in chunks.
     pub length: Option<usize>,
     /// What is still to come of the body.
-    pub rest: Option<Once>,
+    pub rest: Option<SingleUseBody>,
 }
 
 /// A real server's answer.
@@ -62,7 +62,7 @@
     /// How long the body is, where that is told.
     pub length: Option<usize>,
     /// What is still to come of the body.
-    pub rest: Option<Pieces>,
+    pub rest: Option<BodyReceiver>,
 }
 
 type Flows = Exchange<Question, Answer>;
@@ -394,11 +394,11 @@
                 };
                 let mut bytes = BytesMut::new();
                 match &piece {
-                    Some(Piece::Data(data)) => {
+                    Some(BodyPiece::Data(data)) => {
                         frame(&mut bytes, data, chunked);
                         missing = missing.map(|missing| missing.saturating_sub(data.len()));
                     }
-                    Some(Piece::End) => {
+                    Some(BodyPiece::End) => {
                         bytes.extend_from_slice(if chunked { b"0\r\n\r\n" } else { b"" });
                         missing = Some(0);
                     }
@@ -491,7 +491,7 @@
         head: &Head,
         (mut body, first): (Body, Bytes),
     ) -> Went {
-        let (pieces, rest) = pieces::way();
+        let (pieces, rest) = body_channel::channel();
         let load = load(head, &self.site.load_names);
         let answer =
             Answer { body: first, content_type: kind(head), length: head.length(), rest: Some(rest) };
@@ -500,22 +500,22 @@
         }
         let end = |outcome| Ending { outcome, load, answer: None };
         loop {
-            match body.take(buffer, PIECE) {
+            match body.take(buffer, MAX_PIECE_BYTES) {
                 Ok(Some(data)) => {
-                    if pieces.send(Piece::Data(data)).await.is_err() {
+                    if pieces.send(BodyPiece::Data(data)).await.is_err() {
                         return (end(Outcome::Cancelled), false);
                     }
                     continue;
                 }
                 Ok(None) if body.done() => {
-                    let _ = pieces.send(Piece::End).await;
+                    let _ = pieces.send(BodyPiece::End).await;
                     return (end(Outcome::Served), !head.close && buffer.is_empty());
                 }
                 Ok(None) => {}
                 Err(_) => return (end(Outcome::Error), false),
             }
-            buffer.reserve(PIECE);
-            let mut room = (&mut *buffer).limit(PIECE);
+            buffer.reserve(MAX_PIECE_BYTES);
+            let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
             let read = tokio::select! {
                 read = self.deadlines.within(SILENT, stream.read_buf(&mut room)) => read,
                 () = pieces.closed() => return (end(Outcome::Cancelled), false),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,13 +1,13 @@
-//! The network code: who talks with clients, real servers, discovery, the counter and the peers. It carries out
-//! and decides nothing.
+//! Network I/O: connections with clients, backends, discovery, the counter and peers. This code carries out the
+//! decisions of the engine and makes none of its own.
 
+pub mod body_channel;
 pub mod budget;
 pub mod client_side;
 pub mod counter;
 pub mod discovery;
 pub mod http;
 pub mod peers;
-pub mod pieces;
 pub mod schedulings;
 pub mod server_side;
 pub mod stream;
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -1,10 +1,10 @@
 //! The server side: takes flows in from clients over HTTP/1.1, awaits their verdicts at the exchange and writes
 //! the answers. What a flow means is read by the front, in `fronts::platform`.
 
+use super::body_channel::{self, BodyPiece, BodyReceiver, MAX_PIECE_BYTES, SingleUseBody};
 use super::budget::{MemoryBudget, Reservation};
 use super::client_side::{Answer, Question};
 use super::http::{BODY, Bad, Body, Head, Kind, LONG, MESSAGE, peek_head};
-use super::pieces::{self, Once, PIECE, Piece, Pieces};
 use super::stream::{came, ended, read_more};
 use crate::deadlines::Deadlines;
 use crate::exchange::{Exchange, FinalAnswer, RequestInfo};
@@ -481,7 +481,7 @@
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         ahead: &mut Ahead,
-        mut rest: Pieces,
+        mut rest: BodyReceiver,
         chunked: bool,
     ) -> Passed {
         let mut bytes = BytesMut::new();
@@ -496,13 +496,13 @@
             };
             bytes.clear();
             match piece {
-                Some(Piece::Data(data)) => {
+                Some(BodyPiece::Data(data)) => {
                     chunk(&mut bytes, &data, chunked);
                     if !self.write(stream, &bytes).await {
                         return Passed::Left;
                     }
                 }
-                Some(Piece::End) => {
+                Some(BodyPiece::End) => {
                     let end: &[u8] = if chunked { b"0\r\n\r\n" } else { b"" };
                     return if self.write(stream, end).await { Passed::Whole } else { Passed::Left };
                 }
@@ -746,19 +746,19 @@
         buffer: &mut BytesMut,
         held: &mut Reservation<'_>,
         (body, read): (&mut Body, &mut usize),
-        pieces: mpsc::Sender<Piece>,
+        pieces: mpsc::Sender<BodyPiece>,
     ) -> Upload {
         let mut started = self.shared.deadlines.clock().now();
         let mut upload = Handover { pieces, handed: 0 };
         loop {
-            let piece = match body.take(buffer, PIECE) {
-                Ok(Some(data)) => Some(Piece::Data(data)),
-                Ok(None) if body.done() => Some(Piece::End),
+            let piece = match body.take(buffer, MAX_PIECE_BYTES) {
+                Ok(Some(data)) => Some(BodyPiece::Data(data)),
+                Ok(None) if body.done() => Some(BodyPiece::End),
                 Ok(None) => None,
                 Err(bad) => return Upload::Wrong(what_is_wrong(bad)),
             };
             if let Some(piece) = piece {
-                let (before, ends) = (self.shared.deadlines.clock().now(), piece == Piece::End);
+                let (before, ends) = (self.shared.deadlines.clock().now(), piece == BodyPiece::End);
                 match self.hand_over(stream, buffer, held, (&mut upload, piece, body.done()), read).await {
                     // An attempt whose body has a known length takes no end, and may have dropped its receiver.
                     Handed::Over | Handed::Ended if ends => return Upload::Whole,
@@ -772,8 +772,8 @@
                 continue;
             }
             let within = self.pace(started, *read);
-            buffer.reserve(PIECE);
-            let mut room = (&mut *buffer).limit(PIECE);
+            buffer.reserve(MAX_PIECE_BYTES);
+            let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
             match self.shared.deadlines.within(within, stream.read_buf(&mut room)).await {
                 Some(Ok(n)) if n > 0 => *read += n,
                 None => return Upload::Wrong(TOO_SLOW),
@@ -790,7 +790,7 @@
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         held: &mut Reservation<'_>,
-        (upload, piece, last): (&mut Handover, Piece, bool),
+        (upload, piece, last): (&mut Handover, BodyPiece, bool),
         read: &mut usize,
     ) -> Handed {
         let room = loop {
@@ -824,13 +824,15 @@
         held: &mut Reservation<'_>,
         (waits, read): (bool, &mut usize),
     ) -> bool {
-        let reads = waits && buffer.len() <= FLOOD && held.try_resize_read_ahead(BODY + buffer.len() + PIECE);
+        let reads = waits
+            && buffer.len() <= FLOOD
+            && held.try_resize_read_ahead(BODY + buffer.len() + MAX_PIECE_BYTES);
         if !reads {
             self.gone(stream).await;
             return false;
         }
-        buffer.reserve(PIECE);
-        let mut room = (&mut *buffer).limit(PIECE);
+        buffer.reserve(MAX_PIECE_BYTES);
+        let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
         let more = stream.read_buf(&mut room).await.unwrap_or(0);
         *read += more;
         more > 0
@@ -861,8 +863,8 @@
                 Ok(None) => {}
                 Err(_) => break false,
             }
-            buffer.reserve(PIECE);
-            let mut room = (&mut *buffer).limit(PIECE);
+            buffer.reserve(MAX_PIECE_BYTES);
+            let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
             let within = self.pace(started, read);
             let more = tokio::select! {
                 more = self.shared.deadlines.within(within, stream.read_buf(&mut room)) => more,
@@ -933,8 +935,8 @@
                     terms.time_left.min((shared.ends.get() - shared.deadlines.clock().now()).max(1.0));
                 let taken = shared.stats.request_started(terms.class);
                 let upload = rest.map(|body| {
-                    let (sender, pieces) = pieces::way();
-                    question.rest = Some(Once::new(pieces));
+                    let (sender, pieces) = body_channel::channel();
+                    question.rest = Some(SingleUseBody::new(pieces));
                     (body, sender)
                 });
                 let mut waiting = shared.exchange.submit(terms, question);
@@ -1004,7 +1006,7 @@
 
 /// The rest of a body on its way to the scheduling that takes it.
 struct Handover {
-    pieces: mpsc::Sender<Piece>,
+    pieces: mpsc::Sender<BodyPiece>,
     /// So many pieces were handed over; there is room for one that was not taken.
     handed: usize,
 }
@@ -1053,7 +1055,7 @@
     /// How a flow ends once that is written.
     counts: Option<(RequestInProgress, RequestOutcome)>,
     /// What follows, and whether in chunks.
-    rest: Option<(Pieces, bool)>,
+    rest: Option<(BodyReceiver, bool)>,
     /// What of its body is not read yet: the next message begins after it.
     unread: Option<Body>,
     /// What came ahead of it.
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -23,10 +23,10 @@
 use weldhub::entries::backend_id;
 use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
+use weldhub::net::body_channel::{self, BodyPiece, SingleUseBody};
 use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, ClientSide, Links, Question};
 use weldhub::net::http::{Kind, Message};
-use weldhub::net::pieces::{self, Once, Piece};
 use weldhub::net::server_side::Role;
 use weldhub::stats::Stats;
 
@@ -203,11 +203,11 @@
     local(async {
         let listener = listener().await;
         let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
-        let (pieces, rest) = pieces::way();
+        let (pieces, rest) = body_channel::channel();
         let head = Bytes::from_static(b"POST /move-submit/1 HTTP/1.1\r\nContent-Length: 4\r\n");
-        let rest = Some(Once::new(rest));
+        let rest = Some(SingleUseBody::new(rest));
         side.ask(1, Question { head, body: Bytes::new(), bodiless: false, length: Some(4), rest }, None);
-        pieces.send(Piece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
+        pieces.send(BodyPiece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
         assert_eq!(&request(&mut server).await.body[..], b"e2e4");
         side.orders
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -21,9 +21,9 @@
 use weldhub::exchange::{EngineEvent, Exchange, FinalAnswer};
 use weldhub::fronts::platform;
 use weldhub::interface::Millis;
+use weldhub::net::body_channel::BodyPiece;
 use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, Question};
-use weldhub::net::pieces::Piece;
 use weldhub::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
 use weldhub::stats::Stats;
 
@@ -390,7 +390,7 @@
         drop(client);
         let (mut rest, mut came) = (question.rest.unwrap().take().unwrap(), question.body.len());
         while let Some(piece) = rest.recv().await {
-            let Piece::Data(data) = piece else { panic!("it is whole") };
+            let BodyPiece::Data(data) = piece else { panic!("it is whole") };
             came += data.len();
         }
         assert!((1_000_000..length).contains(&came), "{came} of {length}");
