--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -1,7 +1,7 @@
 //! The shared counter: calls go one after another over one connection and answers return in that order, also
 //! those that the engine no longer waits for.
 
-use super::stream::{Way, connect, read_more};
+use super::stream::{ReloadableAddress, connect, read_more};
 use crate::deadlines::Deadlines;
 use crate::exchange::CounterCall;
 use crate::interface::{CounterAnswer, Millis};
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Counter {
     /// Its address.
-    pub at: Way,
+    pub at: ReloadableAddress,
     /// For its pauses.
     pub deadlines: Deadlines,
     /// Where its troubles are logged.
@@ -64,14 +64,14 @@
     ) {
         let (mut rest_until, mut resting_at) = (f64::NEG_INFINITY, None);
         while let Some(first) = calls.recv().await {
-            let at = self.at.now();
+            let at = self.at.current();
             if self.deadlines.clock().now() < rest_until && resting_at == Some(at) {
                 tell(first.seq, CounterAnswer::NotAdded);
                 continue;
             }
             let connected = tokio::select! {
                 connected = self.deadlines.within(PATIENCE, connect(at)) => connected,
-                () = self.at.moved_from(at) => None,
+                () = self.at.changed_from(at) => None,
             };
             let Some(Ok(stream)) = connected else {
                 info!(self.log, "the counter cannot be reached"; "counter" => %at);
@@ -136,7 +136,7 @@
                     Ok(false) => return line.lost("it ended", tell),
                     Err(why) => return line.lost(why, tell),
                 },
-                () = self.at.moved_from(at) => return End::Moved(line),
+                () = self.at.changed_from(at) => return End::Moved(line),
                 call = calls.recv() => match call {
                     Some(call) => next = Some(call),
                     None => return End::Idle,
@@ -251,7 +251,7 @@
         let at = listener.local_addr().unwrap();
         let ways = Ways::default();
         let (_ways, ways) = watch::channel(ways);
-        let at = Way::new(&ways, at, |ways| ways.counter);
+        let at = ReloadableAddress::new(&ways, at, |ways| ways.counter);
         let counter = Counter { at, deadlines, log };
         let (made, coming) = mpsc::unbounded_channel();
         (0..calls).for_each(|seq| made.send(call(seq)).unwrap());
@@ -325,7 +325,7 @@
             ];
             let [old_at, new_at] = [&old, &new].map(|at| at.local_addr().unwrap());
             let (move_to, ways) = watch::channel(Ways { counter: Some(old_at), ..Ways::default() });
-            let at = Way::new(&ways, old_at, |ways| ways.counter);
+            let at = ReloadableAddress::new(&ways, old_at, |ways| ways.counter);
             let log = Logger::root(slog::Discard, slog::o!());
             let counter = Counter { at, deadlines: Deadlines::new(Clock::new()), log };
             let (made, coming) = mpsc::unbounded_channel();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: keeps a watch on the service entries open and tells the engine of every change.
 
 use super::http::{self, Kind};
-use super::stream::{Way, connect, read_more};
+use super::stream::{ReloadableAddress, connect, read_more};
 use crate::config::{MAX_WATCH_ATTEMPTS, Site};
 use crate::deadlines::Deadlines;
 use crate::entries::{BackendList, Places};
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Discovery {
     /// The agent's address.
-    pub agent: Way,
+    pub agent: ReloadableAddress,
     /// For reading entries.
     pub site: Site,
     /// For its pauses.
@@ -64,12 +64,12 @@
         // Who knows no list cannot serve without one.
         let mut pause = if known.is_some() && !pushed { pacing.first() } else { 0.0 };
         loop {
-            let at = self.agent.now();
+            let at = self.agent.current();
             tokio::select! {
                 () = self.deadlines.sleep(pause) => {}
-                () = self.agent.moved_from(at) => {}
+                () = self.agent.changed_from(at) => {}
             }
-            let at = self.agent.now();
+            let at = self.agent.current();
             let asked = self.deadlines.clock().now();
             let mut heard = None;
             let watch = self.watch(at, &mut known, &mut heard, &mut tell);
@@ -91,7 +91,7 @@
                     };
                     info!(self.log, "discovery watch ended"; "why" => why, "again_in_ms" => pause.round());
                 }
-                () = self.agent.moved_from(at) => pause = 0.0,
+                () = self.agent.changed_from(at) => pause = 0.0,
             }
         }
     }
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -5,7 +5,7 @@
 use super::budget::{MemoryBudget, Reservation};
 use super::client_side::{Answer, Question};
 use super::http::{BODY, Bad, Body, Head, Kind, LONG, MESSAGE, peek_head};
-use super::stream::{came, ended, read_more};
+use super::stream::{has_unread_bytes, is_closed, read_more};
 use crate::deadlines::Deadlines;
 use crate::exchange::{Exchange, FinalAnswer, RequestInfo};
 use crate::interface::Millis;
@@ -663,7 +663,7 @@
             };
             // Asked of the system itself: the runtime may not have seen yet what came since it last waited, and a close
             // over unread bytes would reset the connection.
-            if !came(stream) {
+            if !has_unread_bytes(stream) {
                 return Ok(if closes { Next::Over } else { Next::Close });
             }
             if !read_more(stream, buffer).await.unwrap_or(false) {
@@ -806,7 +806,7 @@
             }
         };
         let Ok(room) = room else { return Handed::Ended };
-        if last && ended(stream) {
+        if last && is_closed(stream) {
             return Handed::Left;
         }
         room.send(piece);
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! Small helpers for TCP streams.
+//! Helpers for TCP streams, and an address that a reload of the configuration may change.
 
 use crate::config::Ways;
 use bytes::BytesMut;
@@ -10,60 +10,67 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Connects without delaying small writes.
+/// The least buffer space that one read reserves, in bytes.
+const MIN_READ_BYTES: usize = 2048;
+/// The most buffer space that one read reserves, in bytes.
+const MAX_READ_BYTES: usize = 32 * 1024;
+
+/// Connects to `to` with `TCP_NODELAY` set, so that small writes are not delayed.
 pub async fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Reads what has come into the buffer; false at the end of the stream.
+/// Appends the bytes that are available to `buffer`. Returns `false` at the end of the stream.
 pub async fn read_more(stream: &mut (impl AsyncReadExt + Unpin), buffer: &mut BytesMut) -> io::Result<bool> {
-    // A message that goes on is read in growing pieces: it is looked at again for each.
-    buffer.reserve(buffer.len().clamp(2048, 32 * 1024));
+    // The reads grow with the message, as an incomplete message is parsed again after each of them.
+    buffer.reserve(buffer.len().clamp(MIN_READ_BYTES, MAX_READ_BYTES));
     Ok(stream.read_buf(buffer).await? > 0)
 }
 
-/// Whether bytes have come that nobody has read, asked of the system itself.
-pub fn came(stream: &TcpStream) -> bool {
+/// Returns whether received bytes are unread. Asks the system, as the runtime may not have seen them yet.
+pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|n| n > 0)
 }
 
-/// Whether a connection is over and nothing unread is ahead of its end, asked of the system itself.
-pub fn ended(stream: &TcpStream) -> bool {
+/// Returns whether the peer has closed the connection, or it has failed, and no unread bytes precede that. Asks the
+/// system, as the runtime may not have seen it yet.
+pub fn is_closed(stream: &TcpStream) -> bool {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(n) => n == 0,
         Err(e) => !matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
     }
 }
 
-/// An address that a new configuration may move.
+/// An address that a reload of the configuration may change.
 #[derive(Debug, Clone)]
-pub struct Way {
+pub struct ReloadableAddress {
     ways: watch::Receiver<Ways>,
-    pick: fn(&Ways) -> Option<SocketAddr>,
-    first: SocketAddr,
+    select: fn(&Ways) -> Option<SocketAddr>,
+    initial: SocketAddr,
 }
 
-impl Way {
-    /// The address that `pick` picks; a configuration without one leaves it at `first`.
+impl ReloadableAddress {
+    /// Creates an address that `select` picks from the current configuration. While that returns `None`, the address
+    /// is `initial`.
     pub fn new(
         ways: &watch::Receiver<Ways>,
-        first: SocketAddr,
-        pick: fn(&Ways) -> Option<SocketAddr>,
+        initial: SocketAddr,
+        select: fn(&Ways) -> Option<SocketAddr>,
     ) -> Self {
-        Self { ways: ways.clone(), pick, first }
+        Self { ways: ways.clone(), select, initial }
     }
 
-    /// Where it is now.
-    pub fn now(&self) -> SocketAddr {
-        (self.pick)(&self.ways.borrow()).unwrap_or(self.first)
+    /// Returns the current address.
+    pub fn current(&self) -> SocketAddr {
+        (self.select)(&self.ways.borrow()).unwrap_or(self.initial)
     }
 
-    /// Resolves once it is elsewhere; never where no new configuration can come any more.
-    pub async fn moved_from(&self, at: SocketAddr) {
-        let (pick, first, mut ways) = (self.pick, self.first, self.ways.clone());
-        if ways.wait_for(|ways| pick(ways).unwrap_or(first) != at).await.is_err() {
+    /// Waits until the address is no longer `at`. Never resolves once no configuration can be loaded any more.
+    pub async fn changed_from(&self, at: SocketAddr) {
+        let (select, initial, mut ways) = (self.select, self.initial, self.ways.clone());
+        if ways.wait_for(|ways| select(ways).unwrap_or(initial) != at).await.is_err() {
             std::future::pending().await
         }
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -26,7 +26,7 @@
 use crate::net::discovery::Discovery;
 use crate::net::peers::Peers;
 use crate::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
-use crate::net::stream::Way;
+use crate::net::stream::ReloadableAddress;
 use crate::recovery::{self, Heard, Recovery};
 use crate::state::Limiter;
 use crate::stats::Stats;
@@ -238,7 +238,7 @@
         if let Some(at) = instance.counter.filter(|_| site.settings.counter) {
             let (calls, made) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
-            let at = Way::new(ways, at, |ways| ways.counter);
+            let at = ReloadableAddress::new(ways, at, |ways| ways.counter);
             let counter = Counter { at, deadlines: deadlines.clone(), log: log.clone() };
             parts.spawn_local(
                 counter
@@ -504,7 +504,7 @@
     core.parts.spawn_local(side.run(orders, passed_servers));
     match source {
         Source::Discovery(agent) => {
-            let agent = Way::new(&ways, agent, |ways| ways.discovery);
+            let agent = ReloadableAddress::new(&ways, agent, |ways| ways.discovery);
             let (pauses, seed) = (deadlines.clone(), instance.seed);
             let discovery =
                 Discovery { agent, site: site.clone(), deadlines: pauses, seed, log: log.clone() };
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -21,7 +21,7 @@
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
 use weldhub::net::http::Kind;
-use weldhub::net::stream::Way;
+use weldhub::net::stream::ReloadableAddress;
 
 /// What discovery has counts as told so long after it could be reached.
 const CLOCK: Duration = Duration::from_secs(6);
@@ -136,7 +136,7 @@
         text["settings"]["membershipMode"] = json!(mode);
         let config = Config::read(&text.to_string(), |_| None).unwrap();
         let (ways, moved) = watch::channel(config.ways());
-        let agent = Way::new(&moved, agent, |ways| ways.discovery);
+        let agent = ReloadableAddress::new(&moved, agent, |ways| ways.discovery);
         let site = config.instance.site;
         let discovery = Discovery { agent, site, deadlines: swept(), seed, log: quiet() };
         let (tell, told) = mpsc::unbounded_channel();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -20,7 +20,7 @@
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
 use weldhub::net::http::Kind;
-use weldhub::net::stream::Way;
+use weldhub::net::stream::ReloadableAddress;
 
 /// What discovery has to say counts as told so long after a watch has fallen silent.
 const CLOCK: Duration = Duration::from_secs(6);
@@ -63,7 +63,7 @@
     let config = Config::read(&text.to_string(), |_| None).unwrap();
     let deadlines = swept();
     let (ways, moved) = watch::channel(config.ways());
-    let agent = Way::new(&moved, agent, |ways| ways.discovery);
+    let agent = ReloadableAddress::new(&moved, agent, |ways| ways.discovery);
     let discovery = Discovery { agent, site: config.instance.site, deadlines, seed, log: quiet() };
     let (tell, tells) = mpsc::unbounded_channel();
     let running = spawn_local(discovery.run(Some(41), move |list| drop(tell.send(list))));
