--- a/emulator/tests/sockets.rs
+++ b/emulator/tests/sockets.rs
@@ -13,7 +13,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 use weldhub::config::Config;
-use weldhub::net::http::{Kind, take_message};
+use weldhub::net::http::{MessageKind, take_message};
 use weldhub_emulator::script::Script;
 use weldhub_emulator::world::play;
 use weldhub_load::run::run;
@@ -34,7 +34,7 @@
             spawn_local(async move {
                 let mut buffer = BytesMut::new();
                 loop {
-                    while take_message(&mut buffer, Kind::Request, false).unwrap().is_none() {
+                    while take_message(&mut buffer, MessageKind::Request, false).unwrap().is_none() {
                         if stream.read_buf(&mut buffer).await.unwrap_or(0) == 0 {
                             return;
                         }
--- a/load/tests/compare.rs
+++ b/load/tests/compare.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::{LocalSet, spawn_local};
 use weldhub::config::Config;
-use weldhub::net::http::{Kind, take_message};
+use weldhub::net::http::{MessageKind, take_message};
 use weldhub_client::{Care, Manner};
 use weldhub_load::model::{Fleet, play};
 use weldhub_load::run::run;
@@ -26,7 +26,7 @@
             spawn_local(async move {
                 let mut buffer = BytesMut::new();
                 loop {
-                    while take_message(&mut buffer, Kind::Request, false).unwrap().is_none() {
+                    while take_message(&mut buffer, MessageKind::Request, false).unwrap().is_none() {
                         if stream.read_buf(&mut buffer).await.unwrap_or(0) == 0 {
                             return;
                         }
--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -22,7 +22,7 @@
 use weldhub::consul::Watch;
 use weldhub::consul::agent::Counts;
 use weldhub::deadlines::{Clock, Deadlines, Expiry};
-use weldhub::net::http::{Kind, take_message};
+use weldhub::net::http::{MessageKind, take_message};
 use weldhub_load::run::run;
 use weldhub_load::work::Work;
 
@@ -61,7 +61,7 @@
                         return;
                     }
                     *seen.borrow_mut() = Some(Instant::now());
-                    while let Ok(Some(_)) = take_message(&mut buffer, Kind::Request, false) {
+                    while let Ok(Some(_)) = take_message(&mut buffer, MessageKind::Request, false) {
                         sleep(Duration::from_millis(1)).await;
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").await;
                     }
--- a/src/fronts/ext_authz/authorisers.rs
+++ b/src/fronts/ext_authz/authorisers.rs
@@ -7,7 +7,7 @@
 use crate::deadlines::Deadlines;
 use crate::exchange::{ClientSideCommand, Exchange};
 use crate::interface::*;
-use crate::net::http::BODY;
+use crate::net::http::MAX_BUFFERED_BODY_BYTES;
 use crate::net::schedulings::{Ending, Job, Schedulings, Stage};
 use crate::net::stream::connect;
 use crate::stats::Stats;
@@ -175,7 +175,7 @@
         .parse()
         .map_err(|_| (Outcome::ConnectFailed, Status::internal("the address is no authority")))?;
     let service = Sender { sender, proof: proof.clone() };
-    let mut client = Grpc::with_origin(service, origin).max_decoding_message_size(BODY);
+    let mut client = Grpc::with_origin(service, origin).max_decoding_message_size(MAX_BUFFERED_BODY_BYTES);
     let answer = client.unary(request, PathAndQuery::from_static(CHECK), Raw).await;
     answer.map(tonic::Response::into_inner).map_err(|status| {
         let outcome = proof.get().unwrap_or_else(|| outcome(&status));
--- a/src/fronts/ext_authz/mod.rs
+++ b/src/fronts/ext_authz/mod.rs
@@ -8,7 +8,7 @@
 use crate::config::{Authz, Field, Site};
 use crate::exchange::{FinalAnswer, RequestInfo};
 use crate::interface::*;
-use crate::net::http::BODY;
+use crate::net::http::MAX_BUFFERED_BODY_BYTES;
 use bytes::Bytes;
 use prost::Message;
 use proto::*;
@@ -39,7 +39,7 @@
     /// Makes a flow of a check; a bad one never reaches an authoriser.
     pub fn read(&self, check: &Check) -> Result<RequestInfo, Status> {
         let bad = |what: &str| Status::invalid_argument(what.to_owned());
-        if check.message.len() > BODY {
+        if check.message.len() > MAX_BUFFERED_BODY_BYTES {
             return Err(bad("the check is larger than 64 KiB"));
         }
         let request = CheckRequest::decode(check.message.clone()).map_err(|e| bad(&e.to_string()))?;
--- a/src/fronts/ext_authz/service.rs
+++ b/src/fronts/ext_authz/service.rs
@@ -3,7 +3,7 @@
 use super::proto::{CHECK, Raw};
 use super::{Check, Front};
 use crate::exchange::Exchange;
-use crate::net::http::BODY;
+use crate::net::http::MAX_BUFFERED_BODY_BYTES;
 use crate::net::server_side::{Drain, Phase, Signals};
 use crate::stats::Stats;
 use bytes::Bytes;
@@ -92,7 +92,7 @@
                 return Ok(Status::unimplemented("there is only Authorization/Check").into_http());
             }
             // Somewhat more than a check may hold is read, to say what is wrong with it.
-            let mut grpc = Grpc::new(Raw).max_decoding_message_size(2 * BODY);
+            let mut grpc = Grpc::new(Raw).max_decoding_message_size(2 * MAX_BUFFERED_BODY_BYTES);
             Ok(grpc.unary(this, request).await)
         })
     }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -50,7 +50,7 @@
     if safe && !(whole && body.is_empty()) {
         return Err((400, "a class that is safe to repeat takes no body"));
     }
-    let only = |name: &'static str, wrong: &'static str| head.only(name).map_err(|_| (400, wrong));
+    let only = |name: &'static str, wrong: &'static str| head.get_unique(name).map_err(|_| (400, wrong));
     let id = only("request-id", "Request-Id stands twice")?.filter(|v| names(v));
     let id = id.ok_or_else(bad("Request-Id is missing or no name"))?;
     let key = only("idempotency-key", "Idempotency-Key stands twice")?;
@@ -90,7 +90,7 @@
         [b"Content-Type: ", kind, b"\r\n"].into_iter().for_each(|part: &[u8]| passed.put_slice(part));
     }
     if !safe {
-        match head.length().or(whole.then_some(body.len())) {
+        match head.body_length().or(whole.then_some(body.len())) {
             Some(length) => passed.put_slice(format!("Content-Length: {length}\r\n").as_bytes()),
             None => passed.put_slice(b"Transfer-Encoding: chunked\r\n"),
         }
@@ -99,7 +99,7 @@
     let id = passed.slice(at);
     Ok(ParsedRequest::Request(
         terms,
-        Question { head: passed, body, bodiless, length: head.length(), rest: None },
+        Question { head: passed, body, bodiless, length: head.body_length(), rest: None },
         id,
     ))
 }
--- a/src/net/body_channel.rs
+++ b/src/net/body_channel.rs
@@ -1,5 +1,5 @@
-//! A channel for a body that is forwarded in pieces between a client and a backend. A slow reader holds back the
-//! writer.
+//! A channel for a body that is forwarded in pieces between a client and a backend. A slow reader holds back
+//! the writer.
 
 use bytes::Bytes;
 use std::cell::RefCell;
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,15 +1,15 @@
-//! A memory budget for the messages that many connections buffer: each connection may buffer a whole message, but
-//! all of them together must not exhaust the memory.
+//! A memory budget for the messages that many connections buffer: each connection may buffer a whole message,
+//! but all of them together must not exhaust the memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The number of connections to backends that a predecessor process still holds. It is at least 1 while that process
-/// is live, and 0 otherwise.
+/// The number of connections to backends that a predecessor process still holds. It is at least 1 while that
+/// process is live, and 0 otherwise.
 pub type PredecessorConnections = Rc<Cell<usize>>;
 
-/// A reservation of up to this many bytes is always granted, whatever the budget: the number of connections bounds
-/// the sum of these.
+/// A reservation of up to this many bytes is always granted, whatever the budget: the number of connections
+/// bounds the sum of these.
 const ALWAYS_GRANTED_BYTES: usize = 8 * 1024;
 
 /// Bytes that are read ahead are granted only while the total is within the budget divided by this.
@@ -31,8 +31,8 @@
 }
 
 impl MemoryBudget {
-    /// Creates a budget of `max_bytes`. Only half of it is available while a predecessor process is live, which uses
-    /// the same memory.
+    /// Creates a budget of `max_bytes`. Only half of it is available while a predecessor process is live,
+    /// which uses the same memory.
     pub fn new(max_bytes: usize, predecessor: PredecessorConnections) -> Self {
         Self { max_bytes, predecessor, reserved_bytes: Cell::new(0) }
     }
@@ -48,15 +48,15 @@
 }
 
 impl Reservation<'_> {
-    /// Changes this reservation to `bytes` in total. Returns `false`, and changes nothing, if the budget does not
-    /// allow it.
+    /// Changes this reservation to `bytes` in total. Returns `false`, and changes nothing, if the budget does
+    /// not allow it.
     pub fn try_resize(&mut self, bytes: usize) -> bool {
         let fits = bytes <= ALWAYS_GRANTED_BYTES || self.total_with(bytes) <= self.budget.available_bytes();
         fits && self.set(bytes)
     }
 
-    /// Like [`try_resize`](Self::try_resize), for bytes that may as well stay unread: half of the budget is left to
-    /// messages that must be read. A smaller reservation is always granted.
+    /// Like [`try_resize`](Self::try_resize), for bytes that may as well stay unread: half of the budget is
+    /// left to messages that must be read. A smaller reservation is always granted.
     pub fn try_resize_read_ahead(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.bytes
             || self.total_with(bytes) <= self.budget.available_bytes() / READ_AHEAD_DIVISOR;
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -3,7 +3,10 @@
 
 use super::body_channel::{self, BodyPiece, BodyReceiver, MAX_PIECE_BYTES, SingleUseBody};
 use super::budget::{MemoryBudget, PredecessorConnections};
-use super::http::{BODY, Bad, Body, Head, Kind, MESSAGE, peek_head};
+use super::http::{
+    BodyDecoder, Head, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_MESSAGE_BYTES, MessageKind, ParseError,
+    peek_head,
+};
 use super::schedulings::{Ending, Id, Job, Pool, Schedulings, Stage};
 use super::server_side::Role;
 use super::stream::{connect, read_more};
@@ -417,7 +420,7 @@
     async fn hear(&self, stream: &mut TcpStream, buffer: &mut BytesMut, id: Id, question: &Question) -> Went {
         let (mut held, mut ahead) = (self.budget.reserve(), 0);
         let head = loop {
-            match peek_head(buffer, Kind::Response) {
+            match peek_head(buffer, MessageKind::Response) {
                 // What a server says ahead of its answer is no answer; 101 would leave HTTP, which nobody asked for.
                 Ok(Some((head, length))) if matches!(head.status(), 100 | 102..200) => {
                     drop(buffer.split_to(length));
@@ -429,9 +432,10 @@
                     break head;
                 }
                 // Prevents what goes on for ever ahead of an answer from taking time or memory.
-                Ok(None) if ahead <= MESSAGE => {}
+                Ok(None) if ahead <= MAX_BUFFERED_MESSAGE_BYTES => {}
                 // Garbage: it may have run.
-                Ok(None) | Err(Bad::Malformed | Bad::BodyTooLarge | Bad::HeadTooLarge) => {
+                Ok(None)
+                | Err(ParseError::Malformed | ParseError::BodyTooLarge | ParseError::HeadTooLarge) => {
                     return badly(Outcome::Error);
                 }
             }
@@ -440,25 +444,27 @@
                 _ => return badly(Outcome::Reset),
             }
         };
-        let mut body = if question.bodiless { Body::none() } else { Body::of(&head) };
-        let (mut taken, long) = (BytesMut::new(), head.length().is_some_and(|length| length > BODY));
+        let mut body = if question.bodiless { BodyDecoder::empty() } else { BodyDecoder::new(&head) };
+        let (mut taken, long) =
+            (BytesMut::new(), head.body_length().is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES));
         let mut patience = std::pin::pin!(self.deadlines.sleep(PATIENCE));
         let mut waited = false;
         loop {
-            match body.take(buffer, BODY) {
+            match body.take(buffer, MAX_BUFFERED_BODY_BYTES) {
                 Ok(Some(data)) => {
                     taken.extend_from_slice(&data);
-                    if taken.len() <= BODY && !long {
+                    if taken.len() <= MAX_BUFFERED_BODY_BYTES && !long {
                         continue;
                     }
                 }
-                Ok(None) if body.done() => {
+                Ok(None) if body.is_done() => {
                     return judge(&head, taken.freeze(), buffer.is_empty(), &self.site);
                 }
                 Ok(None) => {}
                 Err(_) => return badly(Outcome::Error),
             }
-            let some = !taken.is_empty() && (long || taken.len() > BODY || waited && head.length().is_none());
+            let some = !taken.is_empty()
+                && (long || taken.len() > MAX_BUFFERED_BODY_BYTES || waited && head.body_length().is_none());
             if some || !held.try_resize(taken.len() + buffer.len()) {
                 if head.status() != 200 {
                     return badly(Outcome::Error);
@@ -476,7 +482,7 @@
             };
             match more {
                 Ok(true) => {}
-                Ok(false) if body.ended() => {}
+                Ok(false) if body.finish_at_eof() => {}
                 _ => return badly(Outcome::Reset),
             }
         }
@@ -489,12 +495,12 @@
         buffer: &mut BytesMut,
         id: Id,
         head: &Head,
-        (mut body, first): (Body, Bytes),
+        (mut body, first): (BodyDecoder, Bytes),
     ) -> Went {
         let (pieces, rest) = body_channel::channel();
         let load = load(head, &self.site.load_names);
         let answer =
-            Answer { body: first, content_type: kind(head), length: head.length(), rest: Some(rest) };
+            Answer { body: first, content_type: kind(head), length: head.body_length(), rest: Some(rest) };
         if !self.schedulings.began(id, answer) {
             return badly(Outcome::Cancelled);
         }
@@ -507,7 +513,7 @@
                     }
                     continue;
                 }
-                Ok(None) if body.done() => {
+                Ok(None) if body.is_done() => {
                     let _ = pieces.send(BodyPiece::End).await;
                     return (end(Outcome::Served), !head.close && buffer.is_empty());
                 }
@@ -522,7 +528,7 @@
             };
             match read {
                 Some(Ok(n)) if n > 0 => {}
-                Some(Ok(_)) if body.ended() => {}
+                Some(Ok(_)) if body.finish_at_eof() => {}
                 _ => return (end(Outcome::Reset), false),
             }
         }
@@ -564,7 +570,7 @@
     // A status that no real server has to give is garbage: nobody knows what follows it.
     let known = matches!(head.status(), 200 | 500 | 503 | 504);
     let reusable = !head.close && nothing_left && known;
-    let answer = Answer { body, content_type: kind(head), length: head.length(), rest: None };
+    let answer = Answer { body, content_type: kind(head), length: head.body_length(), rest: None };
     (Ending { outcome, load, answer: (outcome == Outcome::Served).then_some(answer) }, reusable)
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: keeps a watch on the service entries open and tells the engine of every change.
 
-use super::http::{self, Kind};
+use super::http::{self, MessageKind};
 use super::stream::{ReloadableAddress, connect, read_more};
 use crate::config::{MAX_WATCH_ATTEMPTS, Site};
 use crate::deadlines::Deadlines;
@@ -250,8 +250,8 @@
     /// The next line; none where more must come first.
     pub(super) fn next(&mut self) -> Result<Option<BytesMut>, &'static str> {
         if !self.begun {
-            match http::peek_head(&self.buffer, Kind::Response) {
-                Ok(Some((head, length))) if head.status() == 200 && head.chunked() => {
+            match http::peek_head(&self.buffer, MessageKind::Response) {
+                Ok(Some((head, length))) if head.status() == 200 && head.is_chunked() => {
                     self.begun = true;
                     drop(self.buffer.split_to(length));
                 }
@@ -263,13 +263,13 @@
             if let Some(line) = self.whole() {
                 return Ok(Some(line));
             }
-            match http::peek_chunk(&self.buffer, http::LIST) {
+            match http::peek_chunk(&self.buffer, http::MAX_LIST_BYTES) {
                 Ok(Some((data, _))) if data.is_empty() => return Err("the watch was ended"),
                 Ok(Some((data, length))) => {
                     self.line.extend_from_slice(&self.buffer[data]);
                     drop(self.buffer.split_to(length));
                 }
-                Ok(None) if self.line.len() + self.buffer.len() > http::LIST => {
+                Ok(None) if self.line.len() + self.buffer.len() > http::MAX_LIST_BYTES => {
                     return Err("a line is too long");
                 }
                 Ok(None) => return Ok(None),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Network I/O: connections with clients, backends, discovery, the counter and peers. This code carries out the
-//! decisions of the engine and makes none of its own.
+//! Network I/O: connections with clients, backends, discovery, the counter and peers. This code carries out
+//! the decisions of the engine and makes none of its own.
 
 pub mod body_channel;
 pub mod budget;
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -4,7 +4,10 @@
 use super::body_channel::{self, BodyPiece, BodyReceiver, MAX_PIECE_BYTES, SingleUseBody};
 use super::budget::{MemoryBudget, Reservation};
 use super::client_side::{Answer, Question};
-use super::http::{BODY, Bad, Body, Head, Kind, LONG, MESSAGE, peek_head};
+use super::http::{
+    BodyDecoder, Head, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_MESSAGE_BYTES, MessageKind,
+    ParseError, peek_head,
+};
 use super::stream::{has_unread_bytes, is_closed, read_more};
 use crate::deadlines::Deadlines;
 use crate::exchange::{Exchange, FinalAnswer, RequestInfo};
@@ -357,7 +360,7 @@
     /// Its body, or the first of it.
     body: Bytes,
     /// Where the rest of a long body goes on.
-    rest: Option<Body>,
+    rest: Option<BodyDecoder>,
 }
 
 /// What is answered to a message that is no flow.
@@ -528,8 +531,8 @@
         ahead: &mut Ahead,
         held: Option<(&mut Reservation<'_>, usize)>,
     ) -> bool {
-        let fits =
-            buffer.len() < MESSAGE && held.is_none_or(|(held, body)| held.try_resize(body + buffer.len()));
+        let fits = buffer.len() < MAX_BUFFERED_MESSAGE_BYTES
+            && held.is_none_or(|(held, body)| held.try_resize(body + buffer.len()));
         if fits && !ahead.flooded {
             return read_more(stream, buffer).await.unwrap_or(false);
         }
@@ -563,7 +566,7 @@
         let (place, closing) = shared.spare((false, false), now);
         let read_out = async {
             let mut read = 0;
-            while read < LONG
+            while read < MAX_BODY_BYTES
                 && let Some(Ok(())) = shared.deadlines.within(LINGER[0], stream.readable()).await
             {
                 // Prevents a flood from keeping this thread to itself.
@@ -606,7 +609,7 @@
             if *role.borrow() == Role::Retiring && !self.full {
                 return Ok(Next::Pass);
             }
-            match peek_head(buffer, Kind::Request) {
+            match peek_head(buffer, MessageKind::Request) {
                 Ok(Some((head, length))) => {
                     drop(buffer.split_to(length));
                     break head;
@@ -670,24 +673,24 @@
                 return Ok(Next::Over);
             }
         };
-        let mut body = Body::of(&head);
+        let mut body = BodyDecoder::new(&head);
         let (mut taken, mut read, started) = (BytesMut::new(), 0, shared.deadlines.clock().now());
         loop {
-            match body.take(buffer, BODY) {
+            match body.take(buffer, MAX_BUFFERED_BODY_BYTES) {
                 Ok(Some(data)) => {
                     taken.extend_from_slice(&data);
-                    if taken.len() <= BODY && held.try_resize(taken.len() + buffer.len()) {
+                    if taken.len() <= MAX_BUFFERED_BODY_BYTES && held.try_resize(taken.len() + buffer.len()) {
                         continue;
                     }
                 }
                 Ok(None) => {}
                 Err(bad) => return Err(what_is_wrong(bad)),
             }
-            let whole = body.done();
-            if whole && taken.len() <= BODY {
+            let whole = body.is_done();
+            if whole && taken.len() <= MAX_BUFFERED_BODY_BYTES {
                 return Ok(Next::Message(Message { head, body: taken.freeze(), rest: None }));
             }
-            if taken.len() > BODY || !held.try_resize(taken.len() + buffer.len()) {
+            if taken.len() > MAX_BUFFERED_BODY_BYTES || !held.try_resize(taken.len() + buffer.len()) {
                 return Ok(Next::Message(Message { head, body: taken.freeze(), rest: Some(body) }));
             }
             if read == 0 {
@@ -698,7 +701,7 @@
                 if self.full {
                     return Err(NO_ROOM);
                 }
-                if head.expects() && taken.is_empty() && !self.write(stream, CONTINUE).await {
+                if head.expects_continue() && taken.is_empty() && !self.write(stream, CONTINUE).await {
                     return Ok(Next::Over);
                 }
             }
@@ -724,7 +727,7 @@
                 return Ok(Next::Over);
             }
             if *role.borrow() == Role::Retiring && !self.full {
-                let mut again = body.again(&head, &taken);
+                let mut again = body.reencode(&head, &taken);
                 again.extend_from_slice(buffer);
                 *buffer = again;
                 *began = Some(started);
@@ -745,7 +748,7 @@
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         held: &mut Reservation<'_>,
-        (body, read): (&mut Body, &mut usize),
+        (body, read): (&mut BodyDecoder, &mut usize),
         pieces: mpsc::Sender<BodyPiece>,
     ) -> Upload {
         let mut started = self.shared.deadlines.clock().now();
@@ -753,13 +756,13 @@
         loop {
             let piece = match body.take(buffer, MAX_PIECE_BYTES) {
                 Ok(Some(data)) => Some(BodyPiece::Data(data)),
-                Ok(None) if body.done() => Some(BodyPiece::End),
+                Ok(None) if body.is_done() => Some(BodyPiece::End),
                 Ok(None) => None,
                 Err(bad) => return Upload::Wrong(what_is_wrong(bad)),
             };
             if let Some(piece) = piece {
                 let (before, ends) = (self.shared.deadlines.clock().now(), piece == BodyPiece::End);
-                match self.hand_over(stream, buffer, held, (&mut upload, piece, body.done()), read).await {
+                match self.hand_over(stream, buffer, held, (&mut upload, piece, body.is_done()), read).await {
                     // An attempt whose body has a known length takes no end, and may have dropped its receiver.
                     Handed::Over | Handed::Ended if ends => return Upload::Whole,
                     Handed::Over => {}
@@ -811,7 +814,7 @@
         }
         room.send(piece);
         upload.handed += 1;
-        held.try_resize_read_ahead(BODY + buffer.len());
+        held.try_resize_read_ahead(MAX_BUFFERED_BODY_BYTES + buffer.len());
         Handed::Over
     }
 
@@ -826,7 +829,7 @@
     ) -> bool {
         let reads = waits
             && buffer.len() <= FLOOD
-            && held.try_resize_read_ahead(BODY + buffer.len() + MAX_PIECE_BYTES);
+            && held.try_resize_read_ahead(MAX_BUFFERED_BODY_BYTES + buffer.len() + MAX_PIECE_BYTES);
         if !reads {
             self.gone(stream).await;
             return false;
@@ -852,14 +855,14 @@
     /// Reads out the rest of a body that was answered half way, as long as it comes as fast as a body must; whether it
     /// came to its end, so that the connection can go on. Prevents a reset from cutting off a client that sends all
     /// before it reads its answer. Its connection is closed where room is needed.
-    async fn read_out(&self, stream: &mut TcpStream, buffer: &mut BytesMut, mut body: Body) -> bool {
+    async fn read_out(&self, stream: &mut TcpStream, buffer: &mut BytesMut, mut body: BodyDecoder) -> bool {
         let started = self.shared.deadlines.clock().now();
         let (place, mut closing) = self.shared.spare((false, false), started);
         let (mut read, mut drain) = (0, self.shared.signals.drain.clone());
         let whole = loop {
             match body.take(buffer, usize::MAX) {
                 Ok(Some(_)) => continue,
-                Ok(None) if body.done() => break true,
+                Ok(None) if body.is_done() => break true,
                 Ok(None) => {}
                 Err(_) => break false,
             }
@@ -980,8 +983,8 @@
                 match verdict {
                     FinalAnswer::Served(answer) => {
                         // Without a length and without chunks, only the end of the connection tells the end.
-                        let chunked = answer.rest.is_some() && answer.length.is_none() && !head.old;
-                        close |= answer.rest.is_some() && answer.length.is_none() && head.old;
+                        let chunked = answer.rest.is_some() && answer.length.is_none() && !head.is_http_1_0;
+                        close |= answer.rest.is_some() && answer.length.is_none() && head.is_http_1_0;
                         served(out, &answer, chunked, bodiless, close);
                         rest = answer.rest.map(|rest| (rest, chunked));
                     }
@@ -995,7 +998,7 @@
                 if bodiless {
                     strip(out, before);
                 }
-                if head.old && !close {
+                if head.is_http_1_0 && !close {
                     keep_alive(out, before);
                 }
                 Some(Said { close, counts: Some((taken, end)), rest, unread, ahead })
@@ -1057,7 +1060,7 @@
     /// What follows, and whether in chunks.
     rest: Option<(BodyReceiver, bool)>,
     /// What of its body is not read yet: the next message begins after it.
-    unread: Option<Body>,
+    unread: Option<BodyDecoder>,
     /// What came ahead of it.
     ahead: Ahead,
 }
@@ -1071,11 +1074,11 @@
     dropped: usize,
 }
 
-fn what_is_wrong(bad: Bad) -> Wrong {
+fn what_is_wrong(bad: ParseError) -> Wrong {
     match bad {
-        Bad::Malformed => (400, "malformed request"),
-        Bad::BodyTooLarge => (413, "the body is too large"),
-        Bad::HeadTooLarge => (431, "the head is too large"),
+        ParseError::Malformed => (400, "malformed request"),
+        ParseError::BodyTooLarge => (413, "the body is too large"),
+        ParseError::HeadTooLarge => (431, "the head is too large"),
     }
 }
 
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -34,8 +34,8 @@
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|n| n > 0)
 }
 
-/// Returns whether the peer has closed the connection, or it has failed, and no unread bytes precede that. Asks the
-/// system, as the runtime may not have seen it yet.
+/// Returns whether the peer has closed the connection, or it has failed, and no unread bytes precede that.
+/// Asks the system, as the runtime may not have seen it yet.
 pub fn is_closed(stream: &TcpStream) -> bool {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(n) => n == 0,
@@ -52,8 +52,8 @@
 }
 
 impl ReloadableAddress {
-    /// Creates an address that `select` picks from the current configuration. While that returns `None`, the address
-    /// is `initial`.
+    /// Creates an address that `select` picks from the current configuration. While that returns `None`, the
+    /// address is `initial`.
     pub fn new(
         ways: &watch::Receiver<Ways>,
         initial: SocketAddr,
@@ -67,7 +67,8 @@
         (self.select)(&self.ways.borrow()).unwrap_or(self.initial)
     }
 
-    /// Waits until the address is no longer `at`. Never resolves once no configuration can be loaded any more.
+    /// Waits until the address is no longer `at`. Never resolves once no configuration can be loaded any
+    /// more.
     pub async fn changed_from(&self, at: SocketAddr) {
         let (select, initial, mut ways) = (self.select, self.initial, self.ways.clone());
         if ways.wait_for(|ways| select(ways).unwrap_or(initial) != at).await.is_err() {
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -2,7 +2,10 @@
 
 use super::counter::take_answer;
 use super::discovery::Lines;
-use super::http::{BODY, Bad, Body, Kind, LONG, Message, peek_head, take_message};
+use super::http::{
+    BodyDecoder, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Message, MessageKind, ParseError, peek_head,
+    take_message,
+};
 use crate::config::{Pairs, Site};
 use crate::fronts::platform;
 use crate::interface::CounterAnswer;
@@ -24,7 +27,7 @@
 }
 
 /// What is in the pieces: bodies and first lines, or what is wrong, which ends it.
-fn messages(bytes: &[u8], cuts: &[u16], kind: Kind) -> Vec<Result<(String, Vec<u8>), Bad>> {
+fn messages(bytes: &[u8], cuts: &[u16], kind: MessageKind) -> Vec<Result<(String, Vec<u8>), ParseError>> {
     let (mut buffer, mut broken) = (BytesMut::new(), false);
     let text = |message: &Message| {
         let (method, target) = message.head.request_line();
@@ -59,22 +62,27 @@
 
 #[test]
 fn messages_are_the_same_however_they_are_cut() {
-    for (bytes, kind, count) in [(REQUESTS, Kind::Request, 3), (RESPONSES, Kind::Response, 4)] {
+    for (bytes, kind, count) in [(REQUESTS, MessageKind::Request, 3), (RESPONSES, MessageKind::Response, 4)] {
         let whole = messages(bytes, &[], kind);
         assert!(whole.len() == count && whole.iter().all(Result::is_ok), "{whole:?}");
     }
-    check(|_, cuts| messages(REQUESTS, &cuts, Kind::Request) == messages(REQUESTS, &[], Kind::Request));
-    check(|_, cuts| messages(RESPONSES, &cuts, Kind::Response) == messages(RESPONSES, &[], Kind::Response));
-    let bodies: Vec<_> = messages(REQUESTS, &[], Kind::Request).into_iter().map(|m| m.unwrap().1).collect();
+    check(|_, cuts| {
+        messages(REQUESTS, &cuts, MessageKind::Request) == messages(REQUESTS, &[], MessageKind::Request)
+    });
+    check(|_, cuts| {
+        messages(RESPONSES, &cuts, MessageKind::Response) == messages(RESPONSES, &[], MessageKind::Response)
+    });
+    let bodies: Vec<_> =
+        messages(REQUESTS, &[], MessageKind::Request).into_iter().map(|m| m.unwrap().1).collect();
     assert_eq!(bodies, [&b"hello"[..], b"", b"abc0123456789"]);
 }
 
 /// What a body brings, and what a reader brings that has it again from the place of any cut on.
-fn body_of(bytes: &[u8], cuts: &[u16]) -> Result<[Vec<u8>; 2], Bad> {
+fn body_of(bytes: &[u8], cuts: &[u16]) -> Result<[Vec<u8>; 2], ParseError> {
     let (mut buffer, mut all, mut again) = (BytesMut::from(bytes), Vec::new(), None);
-    let (head, length) = peek_head(&buffer, Kind::Request)?.ok_or(Bad::Malformed)?;
+    let (head, length) = peek_head(&buffer, MessageKind::Request)?.ok_or(ParseError::Malformed)?;
     let mut rest = buffer.split_off(length);
-    let mut body = Body::of(&head);
+    let mut body = BodyDecoder::new(&head);
     let (mut came, mut place) = (BytesMut::new(), 0);
     let mut found = Ok(());
     in_pieces(&rest.split(), cuts, |piece| {
@@ -90,8 +98,11 @@
                 }
             }
         }
-        if !body.done() && cuts.first().is_some_and(|cut| place > usize::from(*cut) % 60) && again.is_none() {
-            let mut bytes_again = body.again(&head, &all);
+        if !body.is_done()
+            && cuts.first().is_some_and(|cut| place > usize::from(*cut) % 60)
+            && again.is_none()
+        {
+            let mut bytes_again = body.reencode(&head, &all);
             bytes_again.extend_from_slice(&came);
             bytes_again.extend_from_slice(&bytes[length + place..]);
             again = Some(bytes_again);
@@ -101,7 +112,7 @@
     found?;
     let again = again.map(|bytes| body_of(&bytes, &[])).transpose()?;
     let again = again.map_or(all.clone(), |[again, _]| again);
-    if body.done() { Ok([all, again]) } else { Err(Bad::Malformed) }
+    if body.is_done() { Ok([all, again]) } else { Err(ParseError::Malformed) }
 }
 
 #[test]
@@ -126,7 +137,8 @@
 #[test]
 fn garbage_and_damaged_messages_are_turned_away_without_a_panic() {
     fn parse(bytes: &[u8], cuts: &[u16]) -> bool {
-        let all = [Kind::Request, Kind::Response, Kind::ListResponse].map(|kind| messages(bytes, cuts, kind));
+        let all = [MessageKind::Request, MessageKind::Response, MessageKind::ListResponse]
+            .map(|kind| messages(bytes, cuts, kind));
         all.iter().flatten().flatten().all(|(_, body)| body.len() <= bytes.len())
     }
     check(|garbage, cuts| parse(&garbage, &cuts));
@@ -138,7 +150,7 @@
         }
         parse(&damaged, &cuts)
     });
-    let bad = |text: &str| messages(text.as_bytes(), &[], Kind::Request).pop();
+    let bad = |text: &str| messages(text.as_bytes(), &[], MessageKind::Request).pop();
     // Two readers must not cut a message in different places.
     let cases = [
         "POST /x HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -148,15 +160,15 @@
         "POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
         "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcde",
     ];
-    assert!(cases.iter().all(|text| bad(text) == Some(Err(Bad::Malformed))), "{:?}", cases.map(bad));
-    let large = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n", BODY + 1);
-    assert_eq!(bad(&large), Some(Err(Bad::BodyTooLarge)));
-    let huge = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n", LONG + 1);
-    assert!(matches!(peek_head(huge.as_bytes(), Kind::Request), Err(Bad::BodyTooLarge)));
+    assert!(cases.iter().all(|text| bad(text) == Some(Err(ParseError::Malformed))), "{:?}", cases.map(bad));
+    let large = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BUFFERED_BODY_BYTES + 1);
+    assert_eq!(bad(&large), Some(Err(ParseError::BodyTooLarge)));
+    let huge = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BODY_BYTES + 1);
+    assert!(matches!(peek_head(huge.as_bytes(), MessageKind::Request), Err(ParseError::BodyTooLarge)));
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
     let chunks = format!("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk.repeat(3));
-    assert_eq!(bad(&chunks), Some(Err(Bad::BodyTooLarge)));
-    assert_eq!(bad(&format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000))), Some(Err(Bad::HeadTooLarge)));
+    assert_eq!(bad(&chunks), Some(Err(ParseError::BodyTooLarge)));
+    assert_eq!(bad(&format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000))), Some(Err(ParseError::HeadTooLarge)));
 }
 
 #[test]
@@ -216,7 +228,7 @@
     ));
     let site = site.unwrap();
     let read = |text: &[u8]| {
-        let message = take_message(&mut BytesMut::from(text), Kind::Request, false).unwrap().unwrap();
+        let message = take_message(&mut BytesMut::from(text), MessageKind::Request, false).unwrap().unwrap();
         platform::read(&message.head, message.body, true, &site)
     };
     let sound = String::from_utf8(REQUESTS.to_vec()).unwrap();
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -26,7 +26,7 @@
 use weldhub::net::body_channel::{self, BodyPiece, SingleUseBody};
 use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, ClientSide, Links, Question};
-use weldhub::net::http::{Kind, Message};
+use weldhub::net::http::{Message, MessageKind};
 use weldhub::net::server_side::Role;
 use weldhub::stats::Stats;
 
@@ -179,7 +179,7 @@
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 2900)).await;
         let (mut stream, _) = server.listener.accept().await.unwrap();
-        message(&mut stream, &mut BytesMut::new(), Kind::Request).await.unwrap();
+        message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
         server.fill_up().await;
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         drop(stream);
@@ -226,7 +226,7 @@
 }
 
 async fn request(stream: &mut TcpStream) -> Message {
-    message(stream, &mut BytesMut::new(), Kind::Request).await.unwrap()
+    message(stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap()
 }
 
 fn good(body: &str) -> Vec<u8> {
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -98,7 +98,10 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             spawn_local(async move {
                 let mut buffer = bytes::BytesMut::new();
-                while message(&mut stream, &mut buffer, weldhub::net::http::Kind::Request).await.is_some() {
+                while message(&mut stream, &mut buffer, weldhub::net::http::MessageKind::Request)
+                    .await
+                    .is_some()
+                {
                     tokio::time::sleep(span).await;
                     if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").await.is_err() {
                         return;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -135,7 +135,7 @@
     }
 
     async fn answer(&mut self) -> Option<weldhub::net::http::Message> {
-        message(&mut self.reads, &mut self.buffer, weldhub::net::http::Kind::Response).await
+        message(&mut self.reads, &mut self.buffer, weldhub::net::http::MessageKind::Response).await
     }
 
     /// The connection's end as the client sees it: nothing more, and no reset.
@@ -449,7 +449,8 @@
         // Others are served meanwhile.
         side.idle().await;
         verdict.send(served("1")).unwrap();
-        let answer = message(&mut reads, &mut buffer, weldhub::net::http::Kind::Response).await.unwrap();
+        let answer =
+            message(&mut reads, &mut buffer, weldhub::net::http::MessageKind::Response).await.unwrap();
         assert_eq!((&answer.body[..], answer.head.close), (&b"1"[..], true));
         let taken = flood.await.unwrap();
         assert!(taken < 64, "{taken} MiB were taken from one client");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use weldhub::config::MAX_ADMIN_CONNECTIONS;
-use weldhub::net::http::Kind;
+use weldhub::net::http::MessageKind;
 
 /// What discovery has counts as told so long after it could be reached.
 const CLOCK: Duration = Duration::from_secs(6);
@@ -45,7 +45,7 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             let list = list.clone();
             spawn_local(async move {
-                message(&mut stream, &mut BytesMut::new(), Kind::Request).await;
+                message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await;
                 let told = list.borrow().clone();
                 let Some(line) = told else { return drop(stream.read_to_end(&mut Vec::new()).await) };
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -13,7 +13,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
-use weldhub::net::http::Kind;
+use weldhub::net::http::MessageKind;
 
 /// From then on nothing may begin.
 const GONE: Duration = Duration::from_millis(100);
@@ -97,7 +97,7 @@
 
 async fn first_request(server: &TcpListener) -> TcpStream {
     let (mut stream, _) = server.accept().await.unwrap();
-    message(&mut stream, &mut BytesMut::new(), Kind::Request).await.unwrap();
+    message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
     stream
 }
 
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -34,7 +34,10 @@
             let answer = answer.clone();
             spawn_local(async move {
                 let mut buffer = bytes::BytesMut::new();
-                while message(&mut stream, &mut buffer, weldhub::net::http::Kind::Request).await.is_some() {
+                while message(&mut stream, &mut buffer, weldhub::net::http::MessageKind::Request)
+                    .await
+                    .is_some()
+                {
                     if stream.write_all(&answer).await.is_err() {
                         return;
                     }
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -13,7 +13,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
-use weldhub::net::http::Kind;
+use weldhub::net::http::MessageKind;
 
 /// Nine of ten are to be ready by then, on the shortest days.
 const READY: Duration = Duration::from_secs(6);
@@ -49,7 +49,7 @@
 }
 
 async fn answer(mut stream: TcpStream, how: Discovery) {
-    if message(&mut stream, &mut BytesMut::new(), Kind::Request).await.is_none() {
+    if message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.is_none() {
         return;
     }
     if let Discovery::Silent = how {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use weldhub::net::http::Kind;
+use weldhub::net::http::MessageKind;
 
 fn told(agent: SocketAddr, known: Vec<Value>) -> Value {
     json!({
@@ -34,7 +34,7 @@
          Request-Timeout-Ms: 1400\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
     );
     stream.write_all(text.as_bytes()).await.unwrap();
-    let answer = message(&mut stream, &mut BytesMut::new(), Kind::Response).await.unwrap();
+    let answer = message(&mut stream, &mut BytesMut::new(), MessageKind::Response).await.unwrap();
     (answer.head.status(), answer.body.to_vec())
 }
 
--- a/tests/stand_ins/consul.rs
+++ b/tests/stand_ins/consul.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
-use weldhub::net::http::{Kind, take_message};
+use weldhub::net::http::{MessageKind, take_message};
 
 /// What is wrong with the agent.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -179,7 +179,7 @@
     async fn answer(&self, stream: &mut (impl AsyncRead + AsyncWrite + Unpin)) -> Option<()> {
         let mut buffer = BytesMut::new();
         let request = loop {
-            if let Some(request) = take_message(&mut buffer, Kind::Request, false).ok()? {
+            if let Some(request) = take_message(&mut buffer, MessageKind::Request, false).ok()? {
                 break request;
             }
             if stream.read_buf(&mut buffer).await.ok()? == 0 {
--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -66,7 +66,7 @@
     }
 
     pub async fn answer(&mut self) -> Option<Message> {
-        message(&mut self.0, &mut self.1, Kind::Response).await
+        message(&mut self.0, &mut self.1, MessageKind::Response).await
     }
 
     pub async fn ask(&mut self, text: &str) -> Message {
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -34,7 +34,7 @@
 use weldhub::entries::{BackendList, ServiceEntry, backend_id};
 use weldhub::fronts::ext_authz::proto::Raw;
 use weldhub::interface::{BackendEntry, BackendState, CellId, KindId, ZoneId};
-use weldhub::net::http::{Kind, Message, take_message};
+use weldhub::net::http::{Message, MessageKind, take_message};
 
 /// Runs a test on one thread; it fails if it takes longer than anything here may.
 pub fn local(test: impl Future<Output = ()>) {
@@ -65,7 +65,7 @@
 pub async fn message(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
-    kind: Kind,
+    kind: MessageKind,
 ) -> Option<Message> {
     loop {
         if let Some(message) = take_message(buffer, kind, false).unwrap() {
@@ -363,7 +363,7 @@
         let [number, closed] = self.connections.get();
         self.connections.set([number + 1, closed]);
         let mut buffer = BytesMut::new();
-        while let Some(message) = message(&mut stream, &mut buffer, Kind::Request).await {
+        while let Some(message) = message(&mut stream, &mut buffer, MessageKind::Request).await {
             self.got.borrow_mut().push((number, message));
             let manner = self.manner.borrow().clone();
             match manner {
@@ -435,7 +435,9 @@
     }
 
     async fn tell(self, mut stream: TcpStream) {
-        let Some(request) = message(&mut stream, &mut BytesMut::new(), Kind::Request).await else { return };
+        let Some(request) = message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await else {
+            return;
+        };
         let mut lines = self.lines.subscribe();
         let mut told = lines.borrow_and_update().len();
         self.asked.borrow_mut().push(String::from_utf8(request.head.request_line().1.to_vec()).unwrap());
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
-use weldhub::net::http::{Body, Kind, peek_head};
+use weldhub::net::http::{BodyDecoder, MessageKind, peek_head};
 
 /// A real server that takes bodies of any length and writes what it is told, cut as it is told.
 #[derive(Clone, Default)]
@@ -72,7 +72,7 @@
 /// The body of the next request; none where the connection ends before its end.
 async fn request(stream: &mut TcpStream, buffer: &mut BytesMut, begun: &Cell<usize>) -> Option<Vec<u8>> {
     let head = loop {
-        if let Some((head, length)) = peek_head(buffer, Kind::Request).unwrap() {
+        if let Some((head, length)) = peek_head(buffer, MessageKind::Request).unwrap() {
             let _ = buffer.split_to(length);
             begun.set(begun.get() + 1);
             break head;
@@ -81,12 +81,12 @@
             return None;
         }
     };
-    let (mut body, mut all) = (Body::of(&head), Vec::new());
+    let (mut body, mut all) = (BodyDecoder::new(&head), Vec::new());
     loop {
         while let Some(data) = body.take(buffer, usize::MAX).unwrap() {
             all.extend_from_slice(&data);
         }
-        if body.done() {
+        if body.is_done() {
             return Some(all);
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
@@ -99,21 +99,21 @@
 /// A client's answer: its status and body; none where it is not whole.
 async fn answer(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<(u16, Vec<u8>)> {
     loop {
-        if let Some((head, length)) = peek_head(buffer, Kind::Response).unwrap() {
+        if let Some((head, length)) = peek_head(buffer, MessageKind::Response).unwrap() {
             let _ = buffer.split_to(length);
             if head.status() == 100 {
                 continue;
             }
-            let (mut body, mut all) = (Body::of(&head), Vec::new());
+            let (mut body, mut all) = (BodyDecoder::new(&head), Vec::new());
             loop {
                 while let Some(data) = body.take(buffer, usize::MAX).unwrap() {
                     all.extend_from_slice(&data);
                 }
-                if body.done() {
+                if body.is_done() {
                     return Some((head.status(), all));
                 }
                 if stream.read_buf(buffer).await.ok()? == 0 {
-                    return body.ended().then_some((head.status(), all));
+                    return body.finish_at_eof().then_some((head.status(), all));
                 }
             }
         }
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -20,7 +20,7 @@
 use weldhub::config::{Config, Ways};
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
-use weldhub::net::http::Kind;
+use weldhub::net::http::MessageKind;
 use weldhub::net::stream::ReloadableAddress;
 
 /// What discovery has counts as told so long after it could be reached.
@@ -82,7 +82,7 @@
     }
 
     async fn answer(self: Rc<Self>, mut stream: TcpStream) {
-        if message(&mut stream, &mut BytesMut::new(), Kind::Request).await.is_none() {
+        if message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.is_none() {
             return;
         }
         let fault = self.fault.get();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -19,7 +19,7 @@
 use weldhub::config::{Config, Ways};
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
-use weldhub::net::http::Kind;
+use weldhub::net::http::MessageKind;
 use weldhub::net::stream::ReloadableAddress;
 
 /// What discovery has to say counts as told so long after a watch has fallen silent.
@@ -72,7 +72,7 @@
 
 async fn asked(agent: &TcpListener) -> (TcpStream, String) {
     let (mut stream, _) = agent.accept().await.unwrap();
-    let request = message(&mut stream, &mut BytesMut::new(), Kind::Request).await.unwrap();
+    let request = message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
     (stream, String::from_utf8(request.head.request_line().1.to_vec()).unwrap())
 }
 
