--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -1,5 +1,6 @@
-//! The server side: takes flows in from clients over HTTP/1.1, awaits their verdicts at the exchange and writes
-//! the answers. What a flow means is read by the front, in `fronts::platform`.
+//! The server side of the platform front: accepts clients' connections, reads their HTTP/1.1 requests, awaits
+//! the final answers from the exchange and writes them. What a request means is decided by the front, in
+//! `fronts::platform`.
 
 use super::body_channel::{self, BodyPiece, BodyReceiver, MAX_PIECE_BYTES, SingleUseBody};
 use super::budget::{MemoryBudget, Reservation};
@@ -27,99 +28,112 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
-/// A client's connection is closed when idle for this long: many ask once and stay.
-const IDLE: Millis = 5000.0;
-/// A client's first message is to be whole so long after it has connected, any other after its first byte. Bad
-/// clients are owed an error or a close within 3 s, silence included.
-const SLOW: Millis = 2850.0;
-/// The first of a body is to come so long after its head.
-const FIRST: Millis = 2500.0;
-/// A body comes at so many bytes a millisecond at the least, on average after that first while.
-const PACE: f64 = 16.0;
-/// A client that takes no bytes of its answer for this long is done without.
-const STALLED: Millis = 5000.0;
-/// After its last answer a connection is read out until it is silent for the first, at the most for the second.
-const LINGER: [Millis; 2] = [500.0, 5000.0];
-/// Nothing is sent this fast but by the way: what has no whole message after this may be closed for new ones.
-const YOUNG: Millis = 100.0;
-/// So far below the most spare connections begin to be closed for new ones.
-const HEADROOM: usize = 4;
-/// Bytes read out at a time.
-const SCRATCH: usize = 64 * 1024;
-/// Of what comes ahead of an answer, or of a body that waits for its first attempt, so many bytes are read at the most: more
-/// than a system holds for a connection, so that the end behind all that a client has sent before it left is seen.
-const FLOOD: usize = 8 << 20;
-/// So often it is looked whether a client has left whose bytes are not read: no attempt is to begin 0.1 s after that.
-const GONE: Millis = 20.0;
+/// A client's connection is closed when it has been idle for this long. Many clients send one request and
+/// keep the connection open.
+const IDLE_TIMEOUT: Millis = 5000.0;
+/// The time within which a head must be complete: the first one counted from the start of the connection, any
+/// other from its first byte. A misbehaving client must get an error or a close within 3 seconds, even if it
+/// is silent.
+const HEAD_TIMEOUT: Millis = 2850.0;
+/// The time after its head within which the first bytes of a body must arrive. Later ones have this time in
+/// addition to what [`MIN_BODY_BYTES_PER_MS`] allows.
+const BODY_GRACE_PERIOD: Millis = 2500.0;
+/// The minimum average rate at which a client must send a body after the grace period, in bytes per
+/// millisecond.
+const MIN_BODY_BYTES_PER_MS: f64 = 16.0;
+/// A client that accepts no bytes of its answer for this long is dropped.
+const WRITE_TIMEOUT: Millis = 5000.0;
+/// After its last answer a connection is read until it has been silent for this long.
+const LINGER_SILENCE_TIMEOUT: Millis = 500.0;
+/// The maximum time for which a connection is read after its last answer.
+const LINGER_TIMEOUT: Millis = 5000.0;
+/// The minimum age at which a connection without a complete message may be evicted for new ones. A usual
+/// client has sent its message by then.
+const MIN_EVICTION_AGE: Millis = 100.0;
+/// Eviction starts when fewer than this many connections are left below the limit.
+const EVICTION_HEADROOM: usize = 4;
+/// The number of bytes that are read and discarded at a time.
+const SCRATCH_BYTES: usize = 64 * 1024;
+/// The time to wait after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Millis = 50.0;
+/// The buffer space reserved for the head of a backend's answer, in bytes.
+const ANSWER_HEAD_BYTES: usize = 192;
+/// The maximum number of bytes that are read from a client that waits for its answer, or of a body that waits
+/// for its first attempt. A system buffers fewer bytes for a connection, so that the end of the stream is
+/// reached behind all that a client sent before it left.
+const MAX_READ_AHEAD_BYTES: usize = 8 << 20;
+/// The interval at which a connection that is not read is checked for whether its client has left. No attempt
+/// may start more than 0.1 s after that.
+const CLOSE_POLL_INTERVAL: Millis = 20.0;
 
-/// What the front makes of a message.
+/// The front's reading of a message.
 #[derive(Debug)]
 pub enum ParsedRequest {
-    /// A flow, and its id.
+    /// A request: what the engine needs to know of it, what is sent to a backend, and the request's id.
     Request(RequestInfo, Question, Bytes),
-    /// Whether the program is ready.
+    /// A readiness check.
     Readiness,
-    /// It is answered with this status: no flow, or one that cannot be read.
+    /// Not a valid request. It is answered with this status code and text.
     Invalid(u16, &'static str),
 }
 
-/// How far the program is on its way out.
+/// The phase of the process, in the order in which it passes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It starts: not ready yet.
+    /// Not ready yet.
     Starting,
-    /// It serves.
+    /// Ready and serving.
     Serving,
-    /// It was told to stop and still serves what comes.
+    /// Told to stop: not ready any more, and still serving new requests.
     Stopping,
-    /// It closes every connection after its answer.
+    /// Closes every connection after its answer.
     Draining,
 }
 
-/// Whether an operator sends the clients of this instance away.
+/// Whether an operator drains this instance of its clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Drain {
-    /// No.
+    /// No drain.
     Inactive,
-    /// Yes, and so far only `/ready` says it.
+    /// `/ready` reports that the instance is not ready. Connections are served as before.
     Announced,
-    /// Every connection is closed after its answer, and idle ones at once.
+    /// Every connection is closed after its answer, and idle ones are closed at once.
     Closing,
 }
 
-/// Which of two processes at one address this is.
+/// The role of this process in an upgrade, in which two processes share one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It comes next, and waits for what the other one has.
+    /// The next process, which waits for the state of the active one.
     Standby,
-    /// It decides.
+    /// The process that accepts connections and decides.
     Active,
-    /// It has handed all over, and ends what it has out.
+    /// The previous process, which has handed everything over and finishes its attempts in flight.
     Retiring,
 }
 
-/// What the server side goes by.
+/// The state of the process that a front follows.
 #[derive(Debug, Clone)]
 pub struct Signals {
-    /// Whether this process takes flows.
+    /// The role of this process. Only an active one accepts connections.
     pub role: watch::Receiver<Role>,
-    /// How far the program is.
+    /// The phase of the process.
     pub phase: watch::Receiver<Phase>,
-    /// Whether clients are sent away.
+    /// The operator's drain.
     pub drain: watch::Receiver<Drain>,
 }
 
-/// A client's connection between answers, on its way to another process.
+/// A client's connection that is handed over to another process, between answers.
 #[derive(Debug)]
 pub struct ConnectionHandover {
     /// The connection.
     pub stream: TcpStream,
-    /// What has come of a message.
+    /// The received bytes of an incomplete message.
     pub bytes: BytesMut,
-    /// It has brought flows.
-    pub flows: bool,
-    /// How long ago its message began, where one has.
-    pub age: Option<Millis>,
+    /// Whether the connection has carried a request.
+    pub has_carried_request: bool,
+    /// The time since the message began, or `None` if none has begun.
+    pub message_age: Option<Millis>,
 }
 
 /// The server side of the platform's front.
@@ -130,159 +144,175 @@
 
 #[derive(Debug)]
 struct Shared<F> {
-    read: F,
+    /// Reads a message: its head, its body as far as received, and whether that is the whole body.
+    parse: F,
     exchange: Exchange<Question, Answer>,
     deadlines: Deadlines,
     signals: Signals,
     stats: Arc<Stats>,
-    room: Room,
+    limits: ServerLimits,
+    /// The value of `Retry-After` in answers of status 503 that the server side gives by itself.
     retry_after: Millis,
+    /// The number of open connections.
     open: Cell<usize>,
+    /// Notified when a connection has closed.
     closed: Notify,
-    /// Connections that may be closed for others, the oldest first: those that never brought a flow, and those that
-    /// are idle after one.
-    spare: RefCell<[BTreeMap<u64, Spare>; 2]>,
-    turns: Cell<u64>,
-    /// Where connections go that another process is to have.
-    passing: mpsc::UnboundedSender<ConnectionHandover>,
-    /// The ids of the flows that are open.
-    ids: RefCell<HashSet<Bytes>>,
-    /// Where bytes go that nobody wants.
+    /// The connections that may be closed to make room for others, oldest first. Index 0: those that have not
+    /// carried a request and have sent no complete message, and those whose bytes are only discarded. Index
+    /// 1: those that are idle after a request.
+    evictable: RefCell<[BTreeMap<u64, Evictable>; 2]>,
+    /// The key of the next evictable connection.
+    next_key: Cell<u64>,
+    /// Receives the connections that are handed over to another process.
+    handover: mpsc::UnboundedSender<ConnectionHandover>,
+    /// The ids of the open requests.
+    open_ids: RefCell<HashSet<Bytes>>,
+    /// A buffer for bytes that are discarded.
     scratch: RefCell<Vec<u8>>,
-    /// What is taken in has its answer by then, while this process drains.
-    ends: Cell<Millis>,
+    /// While this process drains, the time by which every request must be answered. Infinite before that.
+    drain_deadline: Cell<Millis>,
     log: Logger,
 }
 
-/// What the server side may hold.
+/// The limits of the server side.
 #[derive(Debug)]
-pub struct Room {
-    /// Connections whose flows are taken.
-    pub connections: usize,
-    /// Connections beyond these, for turning their flows away.
-    pub turned_away: usize,
-    /// Connections that are idle after a flow.
-    pub idle: usize,
-    /// Bytes of messages.
-    pub budget: MemoryBudget,
-    /// Once it drains, all must be answered within this.
-    pub last: Millis,
+pub struct ServerLimits {
+    /// The maximum number of connections whose requests are served.
+    pub max_connections: usize,
+    /// The maximum number of connections beyond these. Their requests are rejected with status 503.
+    pub max_rejected_connections: usize,
+    /// The maximum number of connections that are idle after a request.
+    pub max_idle_connections: usize,
+    /// The bytes of messages that all connections may buffer.
+    pub memory_budget: MemoryBudget,
+    /// The time within which every request must be answered once the process drains.
+    pub drain_timeout: Millis,
 }
 
 #[derive(Debug)]
-struct Spare {
+struct Evictable {
+    /// The time from which its age is counted, or 0 if no message has begun.
     since: Millis,
-    /// Nothing of a message has come.
+    /// Whether no byte of a message has been received.
     idle: bool,
-    /// Has it closed; where this is dropped, at once, as its place is needed.
+    /// Closes the connection gracefully if a value is sent, and at once if it is dropped.
     close: oneshot::Sender<()>,
 }
 
-impl Spare {
-    /// Has the connection closed with care for what may still be on its way.
+impl Evictable {
+    /// Closes the connection gracefully: bytes that are still on their way do not reset it.
     fn close(self) {
         let _ = self.close.send(());
     }
 }
 
-/// Has those closed that are idle.
-fn close_idle(spare: &mut BTreeMap<u64, Spare>) {
-    spare.extract_if(.., |_, spare| spare.idle).for_each(|(_, spare)| spare.close());
+/// Closes the idle ones of these connections gracefully.
+fn close_idle(evictable: &mut BTreeMap<u64, Evictable>) {
+    evictable.extract_if(.., |_, entry| entry.idle).for_each(|(_, entry)| entry.close());
 }
 
 impl<F: Fn(&Head, Bytes, bool) -> ParsedRequest + 'static> ServerSide<F> {
-    /// A server side that reads messages by `read` and holds `most` connections.
+    /// Creates a server side. `parse` reads a message from its head, its body as far as received, and whether
+    /// that is the whole body. `handover` receives the connections for another process. `retry_after` is the
+    /// `Retry-After` of the requests that are rejected for lack of room.
     pub fn new(
-        read: F,
+        parse: F,
         exchange: Exchange<Question, Answer>,
         deadlines: Deadlines,
-        (signals, passing): (Signals, mpsc::UnboundedSender<ConnectionHandover>),
+        (signals, handover): (Signals, mpsc::UnboundedSender<ConnectionHandover>),
         stats: Arc<Stats>,
-        (room, retry_after): (Room, Millis),
+        (limits, retry_after): (ServerLimits, Millis),
         log: Logger,
     ) -> Self {
-        let (open, closed, spare, turns, ids) = Default::default();
-        let scratch = RefCell::new(vec![0; SCRATCH]);
+        let (open, closed, evictable, next_key, open_ids) = Default::default();
+        let scratch = RefCell::new(vec![0; SCRATCH_BYTES]);
         Self {
             shared: Rc::new(Shared {
-                read,
+                parse,
                 exchange,
                 deadlines,
                 signals,
                 stats,
-                room,
+                limits,
                 retry_after,
                 open,
                 closed,
-                spare,
-                turns,
-                passing,
-                ids,
+                evictable,
+                next_key,
+                handover,
+                open_ids,
                 scratch,
-                ends: Cell::new(f64::INFINITY),
+                drain_deadline: Cell::new(f64::INFINITY),
                 log,
             }),
         }
     }
 
-    /// Takes connections in, and those that another process passes on, until it drains and the last one is closed.
-    pub async fn run(self, listener: TcpListener, mut passed: mpsc::UnboundedReceiver<ConnectionHandover>) {
+    /// Serves the connections that `listener` accepts and those that another process hands over. Returns once
+    /// the process drains and the last connection is closed.
+    pub async fn run(self, listener: TcpListener, mut adopted: mpsc::UnboundedReceiver<ConnectionHandover>) {
         let shared = self.shared;
         let Signals { mut role, mut phase, mut drain } = shared.signals.clone();
-        let hard = shared.room.connections + shared.room.turned_away;
+        let max_open = shared.limits.max_connections + shared.limits.max_rejected_connections;
         loop {
             let active = *role.borrow_and_update() == Role::Active;
-            let crowded = shared.crowded();
-            if crowded > 0 && shared.make_room(crowded) {
-                // They close before others are taken.
+            let excess = shared.excess();
+            if excess > 0 && shared.evict(excess) {
+                // The evicted connections close before others are accepted.
                 tokio::task::yield_now().await;
             }
             tokio::select! {
-                // Prevents a flood of connections from using up the descriptors kept for real servers.
-                // Nor are flows turned away while room is soon to be had.
-                accepted = listener.accept(), if active && shared.open.get() < hard && !shared.waits() => match accepted {
-                    Ok((stream, _)) => Self::take(&shared, stream),
+                // The limit prevents a flood of connections from using up the descriptors reserved for
+                // backends. No connection is accepted for rejection while a place is about to become free.
+                accepted = listener.accept(),
+                if active && shared.open.get() < max_open && !shared.eviction_pending() => match accepted {
+                    Ok((stream, _)) => Self::accept(&shared, stream),
                     Err(e) => {
                         warn!(shared.log, "a connection could not be accepted"; "error" => %e);
-                        shared.deadlines.sleep(50.0).await;
+                        shared.deadlines.sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
-                Some(ConnectionHandover { stream, bytes, flows, age }) = passed.recv() => {
+                Some(handover) = adopted.recv() => {
+                    let ConnectionHandover { stream, bytes, has_carried_request, message_age } = handover;
                     shared.open.set(shared.open.get() + 1);
-                    let began = age.map(|age| shared.deadlines.clock().now() - age);
-                    let connection = Connection { shared: shared.clone(), full: false, flows: Cell::new(flows) };
-                    spawn_local(connection.run(stream, bytes, began));
+                    let message_start = message_age.map(|age| shared.deadlines.clock().now() - age);
+                    let connection = Connection {
+                        shared: shared.clone(),
+                        over_limit: false,
+                        has_carried_request: Cell::new(has_carried_request),
+                    };
+                    spawn_local(connection.run(stream, bytes, message_start));
                 }
                 Ok(()) = role.changed() => {}
-                () = shared.closed.notified(), if shared.open.get() >= hard => {}
-                // The spare ones of now are old enough then.
-                () = shared.deadlines.sleep(YOUNG / 4.0), if crowded > 0 => {}
+                () = shared.closed.notified(), if shared.open.get() >= max_open => {}
+                // More connections are old enough for eviction then.
+                () = shared.deadlines.sleep(MIN_EVICTION_AGE / 4.0), if excess > 0 => {}
                 Ok(()) = drain.changed() => {
                     if *drain.borrow_and_update() == Drain::Closing {
                         info!(shared.log, "clients are sent away"; "connections" => shared.open.get());
-                        close_idle(&mut shared.spare.borrow_mut()[1]);
+                        close_idle(&mut shared.evictable.borrow_mut()[1]);
                     }
                 }
                 _ = phase.wait_for(|phase| *phase == Phase::Draining) => break,
             }
         }
-        shared.ends.set(shared.deadlines.clock().now() + shared.room.last);
-        shared.spare.borrow_mut().iter_mut().for_each(close_idle);
+        shared.drain_deadline.set(shared.deadlines.clock().now() + shared.limits.drain_timeout);
+        shared.evictable.borrow_mut().iter_mut().for_each(close_idle);
         info!(shared.log, "draining"; "connections" => shared.open.get());
-        // Prevents those that the system has accepted from being reset, unread: they come in as room is had. Where another
-        // process has taken over, they are its own.
+        // Prevents connections that wait in the system's backlog from being reset unread: they are accepted
+        // as places become free. If another process has taken over, it accepts them.
         let mut backlog = listener.into_std().ok().filter(|_| *role.borrow() == Role::Active);
         loop {
-            while shared.open.get() < hard
+            while shared.open.get() < max_open
                 && let Some(listener) = &backlog
             {
                 match listener.accept() {
                     Ok((stream, _)) => {
                         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                        stream.into_iter().for_each(|stream| Self::take(&shared, stream));
+                        stream.into_iter().for_each(|stream| Self::accept(&shared, stream));
                     }
                     Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                    // All that had come is in.
+                    // The backlog is empty.
                     Err(_) => backlog = None,
                 }
             }
@@ -293,33 +323,36 @@
         }
     }
 
-    /// Takes in a connection that a client has opened.
-    fn take(shared: &Rc<Shared<F>>, stream: TcpStream) {
+    /// Serves a connection that a client has opened.
+    fn accept(shared: &Rc<Shared<F>>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let full = shared.open.get() >= shared.room.connections;
+        let over_limit = shared.open.get() >= shared.limits.max_connections;
         shared.open.set(shared.open.get() + 1);
-        let began = Some(shared.deadlines.clock().now());
-        let connection = Connection { shared: shared.clone(), full, flows: Cell::new(false) };
-        spawn_local(connection.run(stream, BytesMut::new(), began));
+        let message_start = Some(shared.deadlines.clock().now());
+        let connection =
+            Connection { shared: shared.clone(), over_limit, has_carried_request: Cell::new(false) };
+        spawn_local(connection.run(stream, BytesMut::new(), message_start));
     }
 }
 
 impl<F> Shared<F> {
-    /// How many connections too many are open for taking the next ones with some headroom.
-    fn crowded(&self) -> usize {
-        (self.open.get() + HEADROOM).saturating_sub(self.room.connections)
+    /// Returns the number of connections to evict so that [`EVICTION_HEADROOM`] more can be accepted.
+    fn excess(&self) -> usize {
+        (self.open.get() + EVICTION_HEADROOM).saturating_sub(self.limits.max_connections)
     }
 
-    /// Closes up to `many` spare connections: between messages, and before a whole one, they may be closed. Prevents
-    /// those who connect and say nothing, or half of it, from crowding out usual clients; what has only just come may
-    /// be one of these, and so are those that are idle after a flow, which go only where no other is spare.
-    fn make_room(&self, many: usize) -> bool {
-        let (mut spare, old) = (self.spare.borrow_mut(), self.deadlines.clock().now() - YOUNG);
-        let [silent, idle] = &mut *spare;
+    /// Evicts up to `count` connections, and returns whether it evicted any. Prevents clients that connect
+    /// and send nothing, or an incomplete message, from crowding out usual clients. Recent connections may be
+    /// those of usual clients and stay. Connections that are idle after a request are usual clients' as well,
+    /// and are evicted only while no others are evictable.
+    fn evict(&self, count: usize) -> bool {
+        let (mut evictable, started_before) =
+            (self.evictable.borrow_mut(), self.deadlines.clock().now() - MIN_EVICTION_AGE);
+        let [silent, idle] = &mut *evictable;
         let before = silent.len() + idle.len();
-        for _ in 0..many {
+        for _ in 0..count {
             match (silent.first_entry(), idle.first_entry()) {
-                (Some(first), _) if first.get().since < old => drop(first.remove()),
+                (Some(first), _) if first.get().since < started_before => drop(first.remove()),
                 (None, Some(first)) => drop(first.remove()),
                 _ => break,
             }
@@ -327,76 +360,88 @@
         silent.len() + idle.len() < before
     }
 
-    /// Whether the table is full, and connections are open that will be old enough for being closed in a moment.
-    fn waits(&self) -> bool {
-        !self.spare.borrow()[0].is_empty() && self.open.get() >= self.room.connections
+    /// Returns whether all places are taken, and some of them by connections that will be old enough for
+    /// eviction shortly.
+    fn eviction_pending(&self) -> bool {
+        !self.evictable.borrow()[0].is_empty() && self.open.get() >= self.limits.max_connections
     }
 
-    /// Lists a connection as spare; it is to be closed when this resolves. Too many that are idle after a flow are not
-    /// kept: clients hold only so many connections, and those that ask once and stay would leave none to the others.
-    fn spare(&self, (flows, idle): (bool, bool), since: Millis) -> ((bool, u64), oneshot::Receiver<()>) {
+    /// Lists a connection as evictable. Returns its key, and a receiver that resolves when the connection is
+    /// to be closed. If too many connections are idle after a request, the oldest of them is closed: clients
+    /// that send one request and stay connected would leave no places to others.
+    fn add_evictable(
+        &self,
+        (has_carried_request, idle): (bool, bool),
+        since: Millis,
+    ) -> (EvictableKey, oneshot::Receiver<()>) {
         let (close, closing) = oneshot::channel();
-        let turn = self.turns.replace(self.turns.get() + 1);
-        let spare = &mut self.spare.borrow_mut()[usize::from(flows)];
-        spare.insert(turn, Spare { since, idle, close });
-        if flows
-            && spare.len() > self.room.idle
-            && let Some((_, oldest)) = spare.pop_first()
+        let key = self.next_key.replace(self.next_key.get() + 1);
+        let evictable = &mut self.evictable.borrow_mut()[usize::from(has_carried_request)];
+        evictable.insert(key, Evictable { since, idle, close });
+        if has_carried_request
+            && evictable.len() > self.limits.max_idle_connections
+            && let Some((_, oldest)) = evictable.pop_first()
         {
             oldest.close();
         }
-        ((flows, turn), closing)
+        ((has_carried_request, key), closing)
     }
 
-    /// It is spare no more.
-    fn keep(&self, (flows, turn): (bool, u64)) {
-        self.spare.borrow_mut()[usize::from(flows)].remove(&turn);
+    /// Removes a connection from the evictable ones.
+    fn remove_evictable(&self, (has_carried_request, key): EvictableKey) {
+        self.evictable.borrow_mut()[usize::from(has_carried_request)].remove(&key);
     }
 }
 
-/// A message as far as it has come.
+/// The key of an evictable connection: whether it has carried a request, and its number.
+type EvictableKey = (bool, u64);
+
+/// A message as far as it has been read.
 struct Message {
     head: Head,
-    /// Its body, or the first of it.
+    /// The body, or its first bytes.
     body: Bytes,
-    /// Where the rest of a long body goes on.
+    /// The decoder of the rest of the body, or `None` if `body` is complete.
     rest: Option<BodyDecoder>,
 }
 
-/// What is answered to a message that is no flow.
-type Wrong = (u16, &'static str);
+/// The status code and the text of an answer to a message that is not a valid request.
+type ErrorAnswer = (u16, &'static str);
 
-const NO_ROOM: Wrong = (503, "no room");
-const TOO_SLOW: Wrong = (408, "the request took too long to come in");
+/// The answer to a request for which there is no connection or memory left.
+const NO_ROOM: ErrorAnswer = (503, "no room");
+/// The answer to a request that did not arrive in time.
+const TOO_SLOW: ErrorAnswer = (408, "the request took too long to come in");
+/// The interim response that asks a client for the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What follows on a connection.
-enum Next {
-    /// A message: a short one whole.
+/// The next step of a connection.
+enum Step {
+    /// A message is to be answered. A short one is complete.
     Message(Message),
-    /// It has ended between messages, or its place is needed.
-    Over,
-    /// It is closed between messages.
+    /// The connection is dropped: it has ended between messages, or its place is needed.
+    Drop,
+    /// The connection is closed gracefully between messages.
     Close,
-    /// Another process is to have it.
-    Pass,
+    /// The connection is handed over to another process.
+    HandOver,
 }
 
 /// A client's connection.
 struct Connection<F> {
     shared: Rc<Shared<F>>,
-    /// It came when there was no room: its flow is turned away.
-    full: bool,
-    /// It has brought a flow.
-    flows: Cell<bool>,
+    /// Whether it was accepted over the limit: its request is rejected.
+    over_limit: bool,
+    /// Whether it has carried a request.
+    has_carried_request: Cell<bool>,
 }
 
-/// An open flow's id.
-struct Id<'a, F>(&'a Shared<F>, Bytes);
+/// The id of an open request, which is freed on drop.
+struct OpenId<'a, F>(&'a Shared<F>, Bytes);
 
-impl<F> Drop for Id<'_, F> {
+impl<F> Drop for OpenId<'_, F> {
     fn drop(&mut self) {
-        self.0.ids.borrow_mut().remove(&self.1);
+        self.0.open_ids.borrow_mut().remove(&self.1);
     }
 }
 
@@ -408,69 +453,76 @@
 }
 
 impl<F: Fn(&Head, Bytes, bool) -> ParsedRequest> Connection<F> {
-    async fn run(self, mut stream: TcpStream, mut buffer: BytesMut, mut began: Option<Millis>) {
+    /// Serves the connection until it ends. `buffer` holds bytes that were received before, and
+    /// `message_start` is the time at which the first message began, or `None` if none has begun.
+    async fn run(self, mut stream: TcpStream, mut buffer: BytesMut, mut message_start: Option<Millis>) {
         let mut out = BytesMut::new();
         loop {
             out.clear();
-            let mut held = self.shared.room.budget.reserve();
-            let said = match self.next(&mut stream, &mut buffer, &mut held, &mut began).await {
-                Ok(Next::Message(message)) => {
-                    let said = self.answer(message, &mut stream, &mut buffer, &mut held, &mut out).await;
-                    let Some(said) = said else { return };
-                    said
-                }
-                Ok(Next::Over) => return,
-                Ok(Next::Close) => {
-                    let _ = stream.shutdown().await;
-                    drop((buffer, out));
-                    return self.linger(stream).await;
-                }
-                Ok(Next::Pass) => {
-                    let age = began.map(|began| self.shared.deadlines.clock().now() - began);
-                    let (bytes, flows) = (buffer, self.flows.get());
-                    let _ = self.shared.passing.send(ConnectionHandover { stream, bytes, flows, age });
-                    return;
-                }
-                Err(wrong) => self.wrong(&mut out, wrong),
-            };
-            drop(held);
-            let Said { mut close, counts, rest, unread, mut ahead } = said;
+            let mut reservation = self.shared.limits.memory_budget.reserve();
+            let prepared =
+                match self.next_step(&mut stream, &mut buffer, &mut reservation, &mut message_start).await {
+                    Ok(Step::Message(message)) => {
+                        let prepared =
+                            self.answer(message, &mut stream, &mut buffer, &mut reservation, &mut out).await;
+                        let Some(prepared) = prepared else { return };
+                        prepared
+                    }
+                    Ok(Step::Drop) => return,
+                    Ok(Step::Close) => {
+                        let _ = stream.shutdown().await;
+                        drop((buffer, out));
+                        return self.linger(stream).await;
+                    }
+                    Ok(Step::HandOver) => {
+                        let message_age =
+                            message_start.map(|start| self.shared.deadlines.clock().now() - start);
+                        let (bytes, has_carried_request) = (buffer, self.has_carried_request.get());
+                        let handover = ConnectionHandover { stream, bytes, has_carried_request, message_age };
+                        let _ = self.shared.handover.send(handover);
+                        return;
+                    }
+                    Err(error) => self.answer_error(&mut out, error),
+                };
+            drop(reservation);
+            let PreparedAnswer { mut close, outcome, rest, unread, mut ahead } = prepared;
             if !self.write(&mut stream, &out).await {
                 return;
             }
             if let Some((rest, chunked)) = rest {
-                match self.pass_on(&mut stream, &mut buffer, &mut ahead, rest, chunked).await {
-                    Passed::Whole => {}
-                    Passed::Broken => {
-                        if let Some((taken, _)) = counts {
-                            taken.ended(RequestOutcome::Failed);
+                match self.forward_answer(&mut stream, &mut buffer, &mut ahead, rest, chunked).await {
+                    Forwarded::Complete => {}
+                    Forwarded::Incomplete => {
+                        if let Some((request, _)) = outcome {
+                            request.ended(RequestOutcome::Failed);
                         }
-                        // Prevents an answer that has no other end from looking whole.
+                        // A reset prevents an answer that lasts until the connection closes from looking
+                        // complete.
                         let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                         return;
                     }
-                    Passed::Left => return,
+                    Forwarded::ClientLeft => return,
                 }
             }
-            if let Some((taken, end)) = counts {
-                taken.ended(end);
+            if let Some((request, end)) = outcome {
+                request.ended(end);
             }
             if let Some(unread) = unread {
-                close |= !self.read_out(&mut stream, &mut buffer, unread).await;
+                close |= !self.discard_body(&mut stream, &mut buffer, unread).await;
             }
-            if close || ahead.flooded {
+            if close || ahead.overflowed {
                 let _ = stream.shutdown().await;
                 drop((buffer, out));
                 return self.linger(stream).await;
             }
-            began = None;
+            message_start = None;
         }
     }
 
-    /// Writes bytes as fast as the client takes them; false where it takes none any more.
+    /// Writes bytes as fast as the client accepts them. Returns `false` if it accepts none any more.
     async fn write(&self, stream: &mut TcpStream, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() {
-            match self.shared.deadlines.within(STALLED, stream.write(bytes)).await {
+            match self.shared.deadlines.within(WRITE_TIMEOUT, stream.write(bytes)).await {
                 Some(Ok(n)) if n > 0 => bytes = &bytes[n..],
                 _ => return false,
             }
@@ -478,98 +530,105 @@
         true
     }
 
-    /// Writes the rest of an answer as it comes.
-    async fn pass_on(
+    /// Forwards the rest of an answer from the backend to the client.
+    async fn forward_answer(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        ahead: &mut Ahead,
+        ahead: &mut ReadAhead,
         mut rest: BodyReceiver,
         chunked: bool,
-    ) -> Passed {
+    ) -> Forwarded {
         let mut bytes = BytesMut::new();
         loop {
             let piece = tokio::select! {
                 biased;
                 piece = rest.recv() => piece,
-                stays = self.hear_ahead(stream, buffer, ahead, None) => match stays {
+                connected = self.watch_client(stream, buffer, ahead, None) => match connected {
                     true => continue,
-                    false => return Passed::Left,
+                    false => return Forwarded::ClientLeft,
                 },
             };
             bytes.clear();
             match piece {
                 Some(BodyPiece::Data(data)) => {
-                    chunk(&mut bytes, &data, chunked);
+                    put_data(&mut bytes, &data, chunked);
                     if !self.write(stream, &bytes).await {
-                        return Passed::Left;
+                        return Forwarded::ClientLeft;
                     }
                 }
                 Some(BodyPiece::End) => {
                     let end: &[u8] = if chunked { b"0\r\n\r\n" } else { b"" };
-                    return if self.write(stream, end).await { Passed::Whole } else { Passed::Left };
+                    return if self.write(stream, end).await {
+                        Forwarded::Complete
+                    } else {
+                        Forwarded::ClientLeft
+                    };
                 }
-                None => return Passed::Broken,
+                None => return Forwarded::Incomplete,
             }
         }
     }
 
-    /// Words what is wrong with a message; its connection ends, since nobody knows what follows.
-    fn wrong(&self, out: &mut BytesMut, (status, text): Wrong) -> Said {
-        let after = (status == 503).then_some(self.shared.retry_after);
-        plain(out, status, text, after, true);
-        Said { close: true, counts: None, rest: None, unread: None, ahead: Ahead::default() }
+    /// Writes the answer to an invalid message. The connection closes after it, as the start of the next
+    /// message is unknown.
+    fn answer_error(&self, out: &mut BytesMut, (status, text): ErrorAnswer) -> PreparedAnswer {
+        let retry_after = (status == 503).then_some(self.shared.retry_after);
+        put_text_answer(out, status, text, retry_after, true);
+        PreparedAnswer { close: true, outcome: None, rest: None, unread: None, ahead: ReadAhead::default() }
     }
 
-    /// Reads what a client says while it waits for its answer, to see whether it stays; false where it has left. What
-    /// comes early is kept for later, up to a whole message; of more nothing is kept, and the connection closes after
-    /// the answer. Prevents a client that has sent much and gone from being taken for one that waits.
-    async fn hear_ahead(
+    /// Reads from a client that waits for its answer, to notice when it leaves. Returns `false` if it has
+    /// left. The bytes are kept for the next message, up to the size of one. If there are more, they are all
+    /// dropped, and the connection closes after the answer. Prevents a client that has sent much and left
+    /// from being taken for one that waits. `reserved` is the reservation for the buffered bytes, with the
+    /// length of the body that it covers as well.
+    async fn watch_client(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        ahead: &mut Ahead,
-        held: Option<(&mut Reservation<'_>, usize)>,
+        ahead: &mut ReadAhead,
+        reserved: Option<(&mut Reservation<'_>, usize)>,
     ) -> bool {
         let fits = buffer.len() < MAX_BUFFERED_MESSAGE_BYTES
-            && held.is_none_or(|(held, body)| held.try_resize(body + buffer.len()));
-        if fits && !ahead.flooded {
+            && reserved.is_none_or(|(reservation, body)| reservation.try_resize(body + buffer.len()));
+        if fits && !ahead.overflowed {
             return read_more(stream, buffer).await.unwrap_or(false);
         }
-        if !ahead.flooded {
-            ahead.flooded = true;
+        if !ahead.overflowed {
+            ahead.overflowed = true;
             *buffer = BytesMut::new();
         }
-        if ahead.dropped > FLOOD {
-            self.gone(stream).await;
+        if ahead.dropped_bytes > MAX_READ_AHEAD_BYTES {
+            self.client_left(stream).await;
             return false;
         }
-        // Prevents a flood from keeping this thread to itself.
+        // Prevents a client that floods this connection from blocking the thread.
         tokio::task::yield_now().await;
         if stream.readable().await.is_err() {
             return false;
         }
         match stream.try_read(&mut self.shared.scratch.borrow_mut()) {
             Ok(n) => {
-                ahead.dropped += n;
+                ahead.dropped_bytes += n;
                 n > 0
             }
             Err(e) => e.kind() == ErrorKind::WouldBlock,
         }
     }
 
-    /// Reads on after the last answer, whatever still comes: prevents a reset from overtaking it. Nothing of it is
-    /// looked at.
+    /// Reads and discards what still arrives after the last answer. Prevents a reset, which a close over
+    /// unread bytes causes, from overtaking the answer.
     async fn linger(&self, stream: TcpStream) {
         let shared = &self.shared;
         let now = shared.deadlines.clock().now();
-        let (place, closing) = shared.spare((false, false), now);
-        let read_out = async {
+        let (key, closing) = shared.add_evictable((false, false), now);
+        let discard = async {
             let mut read = 0;
             while read < MAX_BODY_BYTES
-                && let Some(Ok(())) = shared.deadlines.within(LINGER[0], stream.readable()).await
+                && let Some(Ok(())) = shared.deadlines.within(LINGER_SILENCE_TIMEOUT, stream.readable()).await
             {
-                // Prevents a flood from keeping this thread to itself.
+                // Prevents a client that floods this connection from blocking the thread.
                 tokio::task::yield_now().await;
                 match stream.try_read(&mut shared.scratch.borrow_mut()) {
                     Ok(0) => return,
@@ -580,34 +639,35 @@
             }
         };
         tokio::select! {
-            _ = shared.deadlines.within(LINGER[1], read_out) => {}
+            _ = shared.deadlines.within(LINGER_TIMEOUT, discard) => {}
             _ = closing => {}
         }
-        shared.keep(place);
+        shared.remove_evictable(key);
     }
 
-    fn draining(&self) -> bool {
+    /// Returns whether the connection closes after its answer because the process or the operator drains.
+    fn is_draining(&self) -> bool {
         let Signals { role, phase, drain } = &self.shared.signals;
-        let ends = *phase.borrow() == Phase::Draining || *drain.borrow() == Drain::Closing;
-        // Where another process has taken over, it has the connection next.
-        ends && *role.borrow() != Role::Retiring
+        let drains = *phase.borrow() == Phase::Draining || *drain.borrow() == Drain::Closing;
+        // If another process has taken over, the connection is handed over instead.
+        drains && *role.borrow() != Role::Retiring
     }
 
-    /// The next message: a short one whole, of a long one the head and what has come of its body; or that the connection
-    /// ends, is closed or passes on before it.
-    async fn next(
+    /// Reads the next message: a short one completely, of a long one the head and the first bytes of the
+    /// body. Returns another step if the connection ends, closes or is handed over before that.
+    async fn next_step(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Reservation<'_>,
-        began: &mut Option<Millis>,
-    ) -> Result<Next, Wrong> {
+        reservation: &mut Reservation<'_>,
+        message_start: &mut Option<Millis>,
+    ) -> Result<Step, ErrorAnswer> {
         let shared = &self.shared;
-        let first = began.is_some() && !self.flows.get();
+        let is_first_message = message_start.is_some() && !self.has_carried_request.get();
         let mut role = shared.signals.role.clone();
         let head = loop {
-            if *role.borrow() == Role::Retiring && !self.full {
-                return Ok(Next::Pass);
+            if *role.borrow() == Role::Retiring && !self.over_limit {
+                return Ok(Step::HandOver);
             }
             match peek_head(buffer, MessageKind::Request) {
                 Ok(Some((head, length))) => {
@@ -615,29 +675,32 @@
                     break head;
                 }
                 Ok(None) => {}
-                Err(bad) => return Err(what_is_wrong(bad)),
+                Err(error) => return Err(error_answer(error)),
             }
             let (now, idle) = (shared.deadlines.clock().now(), buffer.is_empty());
             if idle {
                 // Prevents idle connections from holding memory.
                 *buffer = BytesMut::new();
-            } else if !held.try_resize(buffer.len()) {
+            } else if !reservation.try_resize(buffer.len()) {
                 return Err(NO_ROOM);
             }
-            let ends = match (idle, *began) {
-                (true, None) => now + IDLE,
-                _ => *began.get_or_insert(now) + SLOW,
+            let deadline = match (idle, *message_start) {
+                (true, None) => now + IDLE_TIMEOUT,
+                _ => *message_start.get_or_insert(now) + HEAD_TIMEOUT,
             };
-            // A message that has begun on a connection that brought flows is a usual client's.
-            // While an operator's drain lasts, who has just come is still heard.
-            let closes = self.draining() && (!first || *shared.signals.phase.borrow() == Phase::Draining);
-            let spared = if idle { !closes } else { !self.flows.get() };
-            let mut spare = spared.then(|| shared.spare((self.flows.get(), idle), began.unwrap_or(0.0)));
+            // A message that has begun on a connection that has carried a request is a usual client's, and is
+            // not evicted. During an operator's drain the first message of a new connection is still read.
+            let closes = self.is_draining()
+                && (!is_first_message || *shared.signals.phase.borrow() == Phase::Draining);
+            let is_evictable = if idle { !closes } else { !self.has_carried_request.get() };
+            let mut evictable = is_evictable.then(|| {
+                shared.add_evictable((self.has_carried_request.get(), idle), message_start.unwrap_or(0.0))
+            });
             let at_once = Cell::new(false);
             let closing = async {
-                match &mut spare {
+                match &mut evictable {
                     Some((_, closing)) => at_once.set(closing.await.is_err()),
-                    // While draining only what has come already is still read.
+                    // While draining, only bytes that have already been received are read.
                     None if idle => {}
                     None => std::future::pending().await,
                 }
@@ -652,63 +715,68 @@
                 biased;
                 more = more => Some(more.unwrap_or(false)),
                 () = closing => None,
-                Ok(_) = role.wait_for(|role| *role == Role::Retiring), if !self.full => Some(true),
-                () = shared.deadlines.sleep(ends - now) => None,
+                Ok(_) = role.wait_for(|role| *role == Role::Retiring), if !self.over_limit => Some(true),
+                () = shared.deadlines.sleep(deadline - now) => None,
             };
-            if let Some((place, _)) = spare {
-                shared.keep(place);
+            if let Some((key, _)) = evictable {
+                shared.remove_evictable(key);
             }
-            let closes = match more {
+            let evicted = match more {
                 Some(true) => continue,
-                Some(false) => return Ok(Next::Over),
+                Some(false) => return Ok(Step::Drop),
                 None if !idle => return Err(TOO_SLOW),
                 None => at_once.get(),
             };
-            // Asked of the system itself: the runtime may not have seen yet what came since it last waited, and a close
-            // over unread bytes would reset the connection.
+            // The system is asked, as the runtime may not have seen bytes that arrived since it last waited,
+            // and a close over unread bytes would reset the connection.
             if !has_unread_bytes(stream) {
-                return Ok(if closes { Next::Over } else { Next::Close });
+                return Ok(if evicted { Step::Drop } else { Step::Close });
             }
             if !read_more(stream, buffer).await.unwrap_or(false) {
-                return Ok(Next::Over);
+                return Ok(Step::Drop);
             }
         };
         let mut body = BodyDecoder::new(&head);
-        let (mut taken, mut read, started) = (BytesMut::new(), 0, shared.deadlines.clock().now());
+        let (mut decoded, mut read, started) = (BytesMut::new(), 0, shared.deadlines.clock().now());
         loop {
             match body.take(buffer, MAX_BUFFERED_BODY_BYTES) {
                 Ok(Some(data)) => {
-                    taken.extend_from_slice(&data);
-                    if taken.len() <= MAX_BUFFERED_BODY_BYTES && held.try_resize(taken.len() + buffer.len()) {
+                    decoded.extend_from_slice(&data);
+                    if decoded.len() <= MAX_BUFFERED_BODY_BYTES
+                        && reservation.try_resize(decoded.len() + buffer.len())
+                    {
                         continue;
                     }
                 }
                 Ok(None) => {}
-                Err(bad) => return Err(what_is_wrong(bad)),
+                Err(error) => return Err(error_answer(error)),
             }
-            let whole = body.is_done();
-            if whole && taken.len() <= MAX_BUFFERED_BODY_BYTES {
-                return Ok(Next::Message(Message { head, body: taken.freeze(), rest: None }));
+            let complete = body.is_done();
+            if complete && decoded.len() <= MAX_BUFFERED_BODY_BYTES {
+                return Ok(Step::Message(Message { head, body: decoded.freeze(), rest: None }));
             }
-            if taken.len() > MAX_BUFFERED_BODY_BYTES || !held.try_resize(taken.len() + buffer.len()) {
-                return Ok(Next::Message(Message { head, body: taken.freeze(), rest: Some(body) }));
+            if decoded.len() > MAX_BUFFERED_BODY_BYTES
+                || !reservation.try_resize(decoded.len() + buffer.len())
+            {
+                return Ok(Step::Message(Message { head, body: decoded.freeze(), rest: Some(body) }));
             }
             if read == 0 {
-                // What nobody wants, nobody is asked to send.
-                if let ParsedRequest::Invalid(status, text) = (shared.read)(&head, Bytes::new(), false) {
+                // A body that will not be used is not requested from the client.
+                if let ParsedRequest::Invalid(status, text) = (shared.parse)(&head, Bytes::new(), false) {
                     return Err((status, text));
                 }
-                if self.full {
+                if self.over_limit {
                     return Err(NO_ROOM);
                 }
-                if head.expects_continue() && taken.is_empty() && !self.write(stream, CONTINUE).await {
-                    return Ok(Next::Over);
+                if head.expects_continue() && decoded.is_empty() && !self.write(stream, CONTINUE).await {
+                    return Ok(Step::Drop);
                 }
             }
-            // As with a head that is not whole: it may go where room is needed.
-            let mut spare = (!self.flows.get()).then(|| shared.spare((false, false), started));
+            // As with an incomplete head, the connection may be evicted.
+            let mut evictable =
+                (!self.has_carried_request.get()).then(|| shared.add_evictable((false, false), started));
             let closing = async {
-                match &mut spare {
+                match &mut evictable {
                     Some((_, closing)) => drop(closing.await),
                     None => std::future::pending().await,
                 }
@@ -717,149 +785,165 @@
                 biased;
                 more = read_more(stream, buffer) => Ok(more.unwrap_or(false)),
                 () = closing => Err(TOO_SLOW),
-                Ok(_) = role.wait_for(|role| *role == Role::Retiring), if !self.full => Ok(true),
-                () = shared.deadlines.sleep(self.pace(started, read)) => Err(TOO_SLOW),
+                Ok(_) = role.wait_for(|role| *role == Role::Retiring), if !self.over_limit => Ok(true),
+                () = shared.deadlines.sleep(self.body_time_left(started, read)) => Err(TOO_SLOW),
             };
-            if let Some((place, _)) = spare {
-                shared.keep(place);
+            if let Some((key, _)) = evictable {
+                shared.remove_evictable(key);
             }
             if !more? {
-                return Ok(Next::Over);
+                return Ok(Step::Drop);
             }
-            if *role.borrow() == Role::Retiring && !self.full {
-                let mut again = body.reencode(&head, &taken);
-                again.extend_from_slice(buffer);
-                *buffer = again;
-                *began = Some(started);
-                return Ok(Next::Pass);
+            if *role.borrow() == Role::Retiring && !self.over_limit {
+                let mut received = body.reencode(&head, &decoded);
+                received.extend_from_slice(buffer);
+                *buffer = received;
+                *message_start = Some(started);
+                return Ok(Step::HandOver);
             }
             read += buffer.len();
         }
     }
 
-    /// How long a body may still take from now on that began then and has brought so many bytes.
-    fn pace(&self, started: Millis, bytes: usize) -> Millis {
-        started + FIRST + bytes as f64 / PACE - self.shared.deadlines.clock().now()
+    /// Returns the time left for the next bytes of a body that started at `started` and of which `bytes`
+    /// bytes have been received.
+    fn body_time_left(&self, started: Millis, bytes: usize) -> Millis {
+        started + BODY_GRACE_PERIOD + bytes as f64 / MIN_BODY_BYTES_PER_MS
+            - self.shared.deadlines.clock().now()
     }
 
-    /// Passes the rest of a body on as it comes, to its end.
-    async fn upload(
+    /// Forwards the rest of a request's body to its attempt, until it is complete. `read` is the number of
+    /// body bytes received so far.
+    async fn forward_body(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Reservation<'_>,
+        reservation: &mut Reservation<'_>,
         (body, read): (&mut BodyDecoder, &mut usize),
         pieces: mpsc::Sender<BodyPiece>,
-    ) -> Upload {
+    ) -> UploadResult {
         let mut started = self.shared.deadlines.clock().now();
-        let mut upload = Handover { pieces, handed: 0 };
+        let mut upload = Upload { pieces, sent: 0 };
         loop {
             let piece = match body.take(buffer, MAX_PIECE_BYTES) {
                 Ok(Some(data)) => Some(BodyPiece::Data(data)),
                 Ok(None) if body.is_done() => Some(BodyPiece::End),
                 Ok(None) => None,
-                Err(bad) => return Upload::Wrong(what_is_wrong(bad)),
+                Err(error) => return UploadResult::Invalid(error_answer(error)),
             };
             if let Some(piece) = piece {
-                let (before, ends) = (self.shared.deadlines.clock().now(), piece == BodyPiece::End);
-                match self.hand_over(stream, buffer, held, (&mut upload, piece, body.is_done()), read).await {
-                    // An attempt whose body has a known length takes no end, and may have dropped its receiver.
-                    Handed::Over | Handed::Ended if ends => return Upload::Whole,
-                    Handed::Over => {}
-                    Handed::Left => return Upload::Left,
-                    // Its verdict says what that means.
-                    Handed::Ended => return std::future::pending().await,
+                let (before, is_end) = (self.shared.deadlines.clock().now(), piece == BodyPiece::End);
+                match self
+                    .send_piece(stream, buffer, reservation, (&mut upload, piece, body.is_done()), read)
+                    .await
+                {
+                    // An attempt whose body has a known length reads no `End`, and may have dropped its
+                    // receiver.
+                    SendResult::Sent | SendResult::ReceiverClosed if is_end => return UploadResult::Complete,
+                    SendResult::Sent => {}
+                    SendResult::ClientLeft => return UploadResult::ClientLeft,
+                    // The final answer of the request decides what follows.
+                    SendResult::ReceiverClosed => return std::future::pending().await,
                 }
-                // The time that the real server took is not the client's.
+                // The time for which the backend did not read is not counted against the client.
                 started += self.shared.deadlines.clock().now() - before;
                 continue;
             }
-            let within = self.pace(started, *read);
+            let within = self.body_time_left(started, *read);
             buffer.reserve(MAX_PIECE_BYTES);
-            let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
-            match self.shared.deadlines.within(within, stream.read_buf(&mut room)).await {
+            let mut limited = (&mut *buffer).limit(MAX_PIECE_BYTES);
+            match self.shared.deadlines.within(within, stream.read_buf(&mut limited)).await {
                 Some(Ok(n)) if n > 0 => *read += n,
-                None => return Upload::Wrong(TOO_SLOW),
-                _ => return Upload::Left,
+                None => return UploadResult::Invalid(TOO_SLOW),
+                _ => return UploadResult::ClientLeft,
             }
         }
     }
 
-    /// Hands the next piece of a body over once the scheduling takes it. Until the first one is taken the request waits for
-    /// its first attempt: meanwhile the body is read ahead, as its client's end is behind it. The last piece of all is kept
-    /// back where the client has left by then: what is not whole never runs.
-    async fn hand_over(
+    /// Sends the next piece of a body once the channel has room for it. Until an attempt has received the
+    /// first piece, the request waits for its first attempt. Meanwhile the body is read ahead, because only
+    /// behind it can the end of the client's stream be seen. The last piece is held back if the client has
+    /// left by then: a backend never runs an incomplete request.
+    async fn send_piece(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Reservation<'_>,
-        (upload, piece, last): (&mut Handover, BodyPiece, bool),
+        reservation: &mut Reservation<'_>,
+        (upload, piece, last): (&mut Upload, BodyPiece, bool),
         read: &mut usize,
-    ) -> Handed {
-        let room = loop {
-            let waits = upload.waits();
+    ) -> SendResult {
+        let permit = loop {
+            let waits = upload.waits_for_attempt();
             tokio::select! {
                 biased;
-                room = upload.pieces.reserve() => break room,
-                stays = self.hear_body(stream, buffer, held, (waits, read)) => {
-                    if !stays {
-                        return Handed::Left;
+                permit = upload.pieces.reserve() => break permit,
+                connected = self.watch_uploading_client(stream, buffer, reservation, (waits, read)) => {
+                    if !connected {
+                        return SendResult::ClientLeft;
                     }
                 }
             }
         };
-        let Ok(room) = room else { return Handed::Ended };
+        let Ok(permit) = permit else { return SendResult::ReceiverClosed };
         if last && is_closed(stream) {
-            return Handed::Left;
+            return SendResult::ClientLeft;
         }
-        room.send(piece);
-        upload.handed += 1;
-        held.try_resize_read_ahead(MAX_BUFFERED_BODY_BYTES + buffer.len());
-        Handed::Over
+        permit.send(piece);
+        upload.sent += 1;
+        reservation.try_resize_read_ahead(MAX_BUFFERED_BODY_BYTES + buffer.len());
+        SendResult::Sent
     }
 
-    /// Looks whether the client of a body stays; false where it has left. While nothing of the body was sent on, some more of
-    /// it is read; what finds no room is left unread.
-    async fn hear_body(
+    /// Waits until the client of a body leaves, or more of the body has been read. Returns `false` if the
+    /// client has left. The body is read only while it waits for its first attempt, and only as far as the
+    /// memory budget allows.
+    async fn watch_uploading_client(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Reservation<'_>,
-        (waits, read): (bool, &mut usize),
+        reservation: &mut Reservation<'_>,
+        (waits_for_attempt, read): (bool, &mut usize),
     ) -> bool {
-        let reads = waits
-            && buffer.len() <= FLOOD
-            && held.try_resize_read_ahead(MAX_BUFFERED_BODY_BYTES + buffer.len() + MAX_PIECE_BYTES);
+        let reads = waits_for_attempt
+            && buffer.len() <= MAX_READ_AHEAD_BYTES
+            && reservation.try_resize_read_ahead(MAX_BUFFERED_BODY_BYTES + buffer.len() + MAX_PIECE_BYTES);
         if !reads {
-            self.gone(stream).await;
+            self.client_left(stream).await;
             return false;
         }
         buffer.reserve(MAX_PIECE_BYTES);
-        let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
-        let more = stream.read_buf(&mut room).await.unwrap_or(0);
+        let mut limited = (&mut *buffer).limit(MAX_PIECE_BYTES);
+        let more = stream.read_buf(&mut limited).await.unwrap_or(0);
         *read += more;
         more > 0
     }
 
-    /// Resolves once a client has left whose bytes nobody reads at the moment. Prevents a request from being sent on for one
-    /// that left while it waited, with unread bytes ahead of its end: of that end the system tells all the same.
-    async fn gone(&self, stream: &TcpStream) {
+    /// Resolves once a client whose bytes are not read has left. Prevents a request from being sent for a
+    /// client that left while it waited: the system reports the end of the stream even if unread bytes
+    /// precede it.
+    async fn client_left(&self, stream: &TcpStream) {
         loop {
-            self.shared.deadlines.sleep(GONE).await;
+            self.shared.deadlines.sleep(CLOSE_POLL_INTERVAL).await;
             if stream.ready(Interest::READABLE).await.is_ok_and(|ready| ready.is_read_closed()) {
                 return;
             }
         }
     }
 
-    /// Reads out the rest of a body that was answered half way, as long as it comes as fast as a body must; whether it
-    /// came to its end, so that the connection can go on. Prevents a reset from cutting off a client that sends all
-    /// before it reads its answer. Its connection is closed where room is needed.
-    async fn read_out(&self, stream: &mut TcpStream, buffer: &mut BytesMut, mut body: BodyDecoder) -> bool {
+    /// Reads and discards the rest of a body whose request was answered before it was complete, as long as it
+    /// arrives at the required rate. Returns whether it was completed, so that the connection can be used
+    /// again. Prevents a reset from cutting off a client that sends its whole body before it reads the
+    /// answer. The connection may be evicted meanwhile.
+    async fn discard_body(
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut BytesMut,
+        mut body: BodyDecoder,
+    ) -> bool {
         let started = self.shared.deadlines.clock().now();
-        let (place, mut closing) = self.shared.spare((false, false), started);
+        let (key, mut closing) = self.shared.add_evictable((false, false), started);
         let (mut read, mut drain) = (0, self.shared.signals.drain.clone());
-        let whole = loop {
+        let complete = loop {
             match body.take(buffer, usize::MAX) {
                 Ok(Some(_)) => continue,
                 Ok(None) if body.is_done() => break true,
@@ -867,10 +951,10 @@
                 Err(_) => break false,
             }
             buffer.reserve(MAX_PIECE_BYTES);
-            let mut room = (&mut *buffer).limit(MAX_PIECE_BYTES);
-            let within = self.pace(started, read);
+            let mut limited = (&mut *buffer).limit(MAX_PIECE_BYTES);
+            let within = self.body_time_left(started, read);
             let more = tokio::select! {
-                more = self.shared.deadlines.within(within, stream.read_buf(&mut room)) => more,
+                more = self.shared.deadlines.within(within, stream.read_buf(&mut limited)) => more,
                 _ = &mut closing => break false,
                 _ = drain.wait_for(|drain| *drain == Drain::Closing) => break false,
             };
@@ -879,217 +963,233 @@
                 _ => break false,
             }
         };
-        self.shared.keep(place);
-        whole
+        self.shared.remove_evictable(key);
+        complete
     }
 
-    /// Answers a message; none where the client left.
+    /// Answers a message. Writes the head and the first bytes of the body to `out`. Returns `None` if the
+    /// client has left.
     async fn answer(
         &self,
         message: Message,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        held: &mut Reservation<'_>,
+        reservation: &mut Reservation<'_>,
         out: &mut BytesMut,
-    ) -> Option<Said> {
+    ) -> Option<PreparedAnswer> {
         let shared = &self.shared;
         let Message { head, body, rest } = message;
         let read = body.len();
         let unread = rest.is_some();
-        let bodiless = head.request_line().0 == b"HEAD";
-        let closes = |close: bool| close || head.close || self.full || self.draining();
-        let mut ahead = Ahead::default();
-        let said = |close: bool, counts| {
-            Some(Said { close, counts, rest: None, unread: None, ahead: Ahead::default() })
+        let is_head = head.request_line().0 == b"HEAD";
+        let closes = |close: bool| close || head.close || self.over_limit || self.is_draining();
+        let mut ahead = ReadAhead::default();
+        let prepared = |close: bool, outcome| {
+            Some(PreparedAnswer { close, outcome, rest: None, unread: None, ahead: ReadAhead::default() })
         };
-        match (shared.read)(&head, body, !unread) {
+        match (shared.parse)(&head, body, !unread) {
             ParsedRequest::Invalid(status, text) => {
                 let close = closes(unread);
-                plain(out, status, text, None, close);
-                said(close, None)
+                put_text_answer(out, status, text, None, close);
+                prepared(close, None)
             }
             ParsedRequest::Readiness => {
                 let close = closes(unread);
                 let before = out.len();
                 match (*shared.signals.phase.borrow(), *shared.signals.drain.borrow()) {
-                    (Phase::Serving, Drain::Inactive) => plain(out, 200, "ready", None, close),
-                    _ => plain(out, 503, "not ready", None, close),
+                    (Phase::Serving, Drain::Inactive) => put_text_answer(out, 200, "ready", None, close),
+                    _ => put_text_answer(out, 503, "not ready", None, close),
                 }
-                if bodiless {
-                    strip(out, before);
+                if is_head {
+                    strip_body(out, before);
                 }
-                said(close, None)
+                prepared(close, None)
             }
-            ParsedRequest::Request(terms, ..) if self.full => {
-                plain(out, 503, "no room", Some(shared.retry_after), true);
-                said(true, Some((shared.stats.request_started(terms.class), RequestOutcome::Rejected)))
+            ParsedRequest::Request(info, ..) if self.over_limit => {
+                put_text_answer(out, 503, "no room", Some(shared.retry_after), true);
+                prepared(true, Some((shared.stats.request_started(info.class), RequestOutcome::Rejected)))
             }
-            ParsedRequest::Request(mut terms, mut question, id) => {
-                // Prevents a client from taking another's answer, and one id from being out twice.
-                if !shared.ids.borrow_mut().insert(id.clone()) {
+            ParsedRequest::Request(mut info, mut question, id) => {
+                // Prevents a client from receiving another's answer, and an id from being in flight twice.
+                if !shared.open_ids.borrow_mut().insert(id.clone()) {
                     let close = closes(unread);
-                    plain(out, 409, "the id is that of an open flow", None, close);
-                    return said(close, None);
+                    put_text_answer(out, 409, "the id is that of an open flow", None, close);
+                    return prepared(close, None);
                 }
-                let _id = Id(shared, id);
-                self.flows.set(true);
-                // Prevents one that comes late while this process drains from being lost at its end.
-                terms.time_left =
-                    terms.time_left.min((shared.ends.get() - shared.deadlines.clock().now()).max(1.0));
-                let taken = shared.stats.request_started(terms.class);
+                let _id = OpenId(shared, id);
+                self.has_carried_request.set(true);
+                // Prevents a request that arrives late while this process drains from being lost when it
+                // exits.
+                info.time_left = info
+                    .time_left
+                    .min((shared.drain_deadline.get() - shared.deadlines.clock().now()).max(1.0));
+                let request = shared.stats.request_started(info.class);
                 let upload = rest.map(|body| {
                     let (sender, pieces) = body_channel::channel();
                     question.rest = Some(SingleUseBody::new(pieces));
                     (body, sender)
                 });
-                let mut waiting = shared.exchange.submit(terms, question);
+                let mut pending = shared.exchange.submit(info, question);
                 let (mut early, mut unread) = (None, None);
                 if let Some((mut body, sender)) = upload {
                     let mut read = read;
-                    let upload = self.upload(stream, buffer, held, (&mut body, &mut read), sender);
-                    let went = tokio::select! {
+                    let upload =
+                        self.forward_body(stream, buffer, reservation, (&mut body, &mut read), sender);
+                    let result = tokio::select! {
                         biased;
-                        verdict = &mut waiting => {
-                            early = Some(verdict);
-                            Upload::Whole
+                        final_answer = &mut pending => {
+                            early = Some(final_answer);
+                            UploadResult::Complete
                         }
-                        went = upload => went,
+                        result = upload => result,
                     };
-                    match went {
-                        Upload::Whole => {}
-                        Upload::Wrong(wrong) => return Some(self.wrong(out, wrong)),
-                        Upload::Left => return None,
+                    match result {
+                        UploadResult::Complete => {}
+                        UploadResult::Invalid(error) => return Some(self.answer_error(out, error)),
+                        UploadResult::ClientLeft => return None,
                     }
-                    waiting.uploaded();
+                    pending.uploaded();
                     unread = early.is_some().then_some(body);
                 }
-                let verdict = match early {
-                    Some(verdict) => verdict,
+                let final_answer = match early {
+                    Some(final_answer) => final_answer,
                     None => loop {
                         tokio::select! {
                             biased;
-                            verdict = &mut waiting => break verdict,
-                            // A client that ends its connection has left; dropping `waiting` says so.
-                            stays = self.hear_ahead(stream, buffer, &mut ahead, Some((held, read))) => {
-                                if !stays {
+                            final_answer = &mut pending => break final_answer,
+                            // A client that closes its connection has left. Dropping `pending` tells the
+                            // engine.
+                            connected =
+                                self.watch_client(stream, buffer, &mut ahead, Some((reservation, read))) =>
+                            {
+                                if !connected {
                                     return None;
                                 }
                             }
                         }
                     },
                 };
-                let close = closes(ahead.flooded);
-                let (mut close, end, before, mut rest) = (close, verdict.end(), out.len(), None);
-                match verdict {
+                let close = closes(ahead.overflowed);
+                let (mut close, end, before, mut rest) = (close, final_answer.end(), out.len(), None);
+                match final_answer {
                     FinalAnswer::Served(answer) => {
-                        // Without a length and without chunks, only the end of the connection tells the end.
+                        // Without a length and without chunks, the body lasts until the connection closes.
                         let chunked = answer.rest.is_some() && answer.length.is_none() && !head.is_http_1_0;
                         close |= answer.rest.is_some() && answer.length.is_none() && head.is_http_1_0;
-                        served(out, &answer, chunked, bodiless, close);
+                        put_served_answer(out, &answer, chunked, is_head, close);
                         rest = answer.rest.map(|rest| (rest, chunked));
                     }
-                    FinalAnswer::Rejected(after) => plain(out, 429, "turned down", Some(after), close),
-                    FinalAnswer::NoRoom(after) => plain(out, 503, "no room", Some(after), close),
+                    FinalAnswer::Rejected(retry_after) => {
+                        put_text_answer(out, 429, "turned down", Some(retry_after), close)
+                    }
+                    FinalAnswer::NoRoom(retry_after) => {
+                        put_text_answer(out, 503, "no room", Some(retry_after), close)
+                    }
                     FinalAnswer::Failed { timed_out: true } => {
-                        plain(out, 504, "no answer in time", None, close)
+                        put_text_answer(out, 504, "no answer in time", None, close)
+                    }
+                    FinalAnswer::Failed { timed_out: false } => {
+                        put_text_answer(out, 502, "failed", None, close)
                     }
-                    FinalAnswer::Failed { timed_out: false } => plain(out, 502, "failed", None, close),
                 }
-                if bodiless {
-                    strip(out, before);
+                if is_head {
+                    strip_body(out, before);
                 }
                 if head.is_http_1_0 && !close {
-                    keep_alive(out, before);
+                    insert_keep_alive(out, before);
                 }
-                Some(Said { close, counts: Some((taken, end)), rest, unread, ahead })
+                Some(PreparedAnswer { close, outcome: Some((request, end)), rest, unread, ahead })
             }
         }
     }
 }
 
-/// The rest of a body on its way to the scheduling that takes it.
-struct Handover {
+/// The rest of a request's body that is forwarded to the attempt that reads it.
+struct Upload {
     pieces: mpsc::Sender<BodyPiece>,
-    /// So many pieces were handed over; there is room for one that was not taken.
-    handed: usize,
+    /// The number of pieces sent to the channel, which buffers one that the attempt has not received.
+    sent: usize,
 }
 
-impl Handover {
-    /// Nothing was taken yet, as far as is known: no attempt has begun.
-    fn waits(&self) -> bool {
-        self.handed <= 1
+impl Upload {
+    /// Returns whether, as far as is known, no attempt has received any of the body.
+    fn waits_for_attempt(&self) -> bool {
+        self.sent <= 1
     }
 }
 
-/// How a piece of a body went.
-enum Handed {
-    /// To the scheduling, or to where it will take it.
-    Over,
-    /// Nobody takes it: the scheduling has ended.
-    Ended,
-    /// Nowhere: the client has left.
-    Left,
+/// The result of sending a piece of a body.
+enum SendResult {
+    /// The piece is in the channel.
+    Sent,
+    /// The attempt has ended and receives no more.
+    ReceiverClosed,
+    /// The client has left. Nothing was sent.
+    ClientLeft,
 }
 
-/// How the rest of a body came.
-enum Upload {
-    /// To its end.
-    Whole,
-    /// Not as it should: this is to be answered.
-    Wrong(Wrong),
-    /// The client left.
-    Left,
+/// The result of forwarding the rest of a request's body.
+enum UploadResult {
+    /// The body was forwarded completely, or the request was answered before.
+    Complete,
+    /// The body is invalid or too slow, and is answered with this.
+    Invalid(ErrorAnswer),
+    /// The client has left.
+    ClientLeft,
 }
 
-/// How the rest of an answer went.
-enum Passed {
-    /// To its end.
-    Whole,
-    /// It broke off at the real server.
-    Broken,
-    /// The client left, or takes no more.
-    Left,
+/// The result of forwarding the rest of an answer.
+enum Forwarded {
+    /// The answer was forwarded completely.
+    Complete,
+    /// The backend broke off.
+    Incomplete,
+    /// The client has left, or accepts no more bytes.
+    ClientLeft,
 }
 
-/// What was said to a message.
-struct Said {
-    /// The connection is to be closed then.
+/// An answer that is ready to be written, and what follows it.
+struct PreparedAnswer {
+    /// Whether the connection closes after the answer.
     close: bool,
-    /// How a flow ends once that is written.
-    counts: Option<(RequestInProgress, RequestOutcome)>,
-    /// What follows, and whether in chunks.
+    /// The request, and how it is counted once the answer is written. `None` if the message was not a
+    /// request.
+    outcome: Option<(RequestInProgress, RequestOutcome)>,
+    /// The rest of the answer's body, and whether it is sent in chunks.
     rest: Option<(BodyReceiver, bool)>,
-    /// What of its body is not read yet: the next message begins after it.
+    /// The part of the request's body that is not read yet, before the next message.
     unread: Option<BodyDecoder>,
-    /// What came ahead of it.
-    ahead: Ahead,
+    /// What was read ahead while the client waited.
+    ahead: ReadAhead,
 }
 
-/// What a client says while it waits for its answer.
+/// The state of reading ahead while a client waits for its answer.
 #[derive(Debug, Default)]
-struct Ahead {
-    /// It was more than is kept: nothing of it is.
-    flooded: bool,
-    /// So many bytes were dropped.
-    dropped: usize,
+struct ReadAhead {
+    /// Whether more bytes were received than are kept. None are kept then.
+    overflowed: bool,
+    /// The number of bytes dropped since.
+    dropped_bytes: usize,
 }
 
-fn what_is_wrong(bad: ParseError) -> Wrong {
-    match bad {
+/// Returns the answer to a message that cannot be parsed.
+fn error_answer(error: ParseError) -> ErrorAnswer {
+    match error {
         ParseError::Malformed => (400, "malformed request"),
         ParseError::BodyTooLarge => (413, "the body is too large"),
         ParseError::HeadTooLarge => (431, "the head is too large"),
     }
 }
 
-/// Leaves of what was written from here on only the head.
-fn strip(out: &mut BytesMut, from: usize) {
+/// Removes the body of the answer that begins at `from`.
+fn strip_body(out: &mut BytesMut, from: usize) {
     let head = out[from..].windows(4).position(|end| end == b"\r\n\r\n");
     head.inspect(|end| out.truncate(from + end + 4));
 }
 
-/// Says in the head that begins here that the connection stays open: HTTP/1.0 takes it for closed otherwise.
-fn keep_alive(out: &mut BytesMut, from: usize) {
+/// Adds `Connection: keep-alive` to the head that begins at `from`. Without it, an HTTP/1.0 client assumes
+/// that the connection closes.
+fn insert_keep_alive(out: &mut BytesMut, from: usize) {
     if let Some(end) = out[from..].windows(2).position(|end| end == b"\r\n") {
         let rest = out.split_off(from + end + 2);
         out.put_slice(b"Connection: keep-alive\r\n");
@@ -1097,8 +1197,8 @@
     }
 }
 
-/// Appends a piece of a body.
-fn chunk(bytes: &mut BytesMut, data: &[u8], chunked: bool) {
+/// Appends data of a body, as a chunk if `chunked`.
+fn put_data(bytes: &mut BytesMut, data: &[u8], chunked: bool) {
     if chunked {
         bytes.put_slice(format!("{:x}\r\n", data.len()).as_bytes());
     }
@@ -1108,7 +1208,8 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+/// Returns the reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -1126,17 +1227,20 @@
     }
 }
 
-fn head(out: &mut BytesMut, status: u16, length: Option<usize>, close: bool) {
+/// Appends the status line and the fields that frame the answer, without the empty line.
+fn put_head(out: &mut BytesMut, status: u16, length: Option<usize>, close: bool) {
     let connection = if close { "Connection: close\r\n" } else { "" };
     let length = length.map(|length| format!("Content-Length: {length}\r\n")).unwrap_or_default();
-    let text = format!("HTTP/1.1 {status} {}\r\n{length}{connection}", reason(status));
+    let text = format!("HTTP/1.1 {status} {}\r\n{length}{connection}", reason_phrase(status));
     out.put_slice(text.as_bytes());
 }
 
-fn served(out: &mut BytesMut, answer: &Answer, chunked: bool, bodiless: bool, close: bool) {
-    out.reserve(answer.body.len() + 192);
-    let whole = (answer.rest.is_none() && !bodiless).then_some(answer.body.len());
-    head(out, 200, whole.or(answer.length), close);
+/// Appends a backend's answer, or its first part if the rest is forwarded later. `is_head` says that the
+/// request was `HEAD`.
+fn put_served_answer(out: &mut BytesMut, answer: &Answer, chunked: bool, is_head: bool, close: bool) {
+    out.reserve(answer.body.len() + ANSWER_HEAD_BYTES);
+    let length = (answer.rest.is_none() && !is_head).then_some(answer.body.len());
+    put_head(out, 200, length.or(answer.length), close);
     if let Some(content_type) = &answer.content_type {
         out.put_slice(b"Content-Type: ");
         out.put_slice(content_type);
@@ -1144,20 +1248,22 @@
     }
     out.put_slice(if chunked { b"Transfer-Encoding: chunked\r\n\r\n".as_slice() } else { b"\r\n" });
     if !answer.body.is_empty() {
-        chunk(out, &answer.body, chunked);
+        put_data(out, &answer.body, chunked);
     }
 }
 
-fn plain(out: &mut BytesMut, status: u16, text: &str, retry_after: Option<Millis>, close: bool) {
-    head(out, status, Some(text.len() + 1), close);
-    if let Some(after) = retry_after {
-        out.put_slice(format!("Retry-After: {}\r\n", seconds(after)).as_bytes());
+/// Appends an answer with a text as its body.
+fn put_text_answer(out: &mut BytesMut, status: u16, text: &str, retry_after: Option<Millis>, close: bool) {
+    put_head(out, status, Some(text.len() + 1), close);
+    if let Some(retry_after) = retry_after {
+        out.put_slice(format!("Retry-After: {}\r\n", retry_after_seconds(retry_after)).as_bytes());
     }
     out.put_slice(format!("Content-Type: text/plain\r\n\r\n{text}\n").as_bytes());
 }
 
-/// Seconds, as a decimal number where they are not whole.
-pub fn seconds(span: Millis) -> f64 {
+/// Converts a time to the value of `Retry-After`: in seconds, with a fraction, rounded up to a whole
+/// millisecond and at least 1 ms.
+pub fn retry_after_seconds(span: Millis) -> f64 {
     let span = Duration::from_millis(span.max(1.0).ceil() as u64);
     span.as_secs_f64()
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -25,7 +25,7 @@
 use crate::net::counter::Counter;
 use crate::net::discovery::Discovery;
 use crate::net::peers::Peers;
-use crate::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
+use crate::net::server_side::{Drain, Phase, Role, ServerLimits, ServerSide, Signals};
 use crate::net::stream::ReloadableAddress;
 use crate::recovery::{self, Heard, Recovery};
 use crate::state::Limiter;
@@ -516,11 +516,17 @@
         }
     }
     let (idle, last) = (instance.limits.idle(), core.longest);
-    let room = Room { connections: flows, turned_away, idle, budget: budget(), last };
+    let limits = ServerLimits {
+        max_connections: flows,
+        max_rejected_connections: turned_away,
+        max_idle_connections: idle,
+        memory_budget: budget(),
+        drain_timeout: last,
+    };
     let reader = site.clone();
     let read = move |head: &_, body, whole| platform::read(head, body, whole, &reader);
     let (signals, stats) = ((core.signals(), passing), core.stats.clone());
-    let bounds = (room, site.max_retry_after);
+    let bounds = (limits, site.max_retry_after);
     let side = ServerSide::new(read, exchange, deadlines, signals, stats, bounds, log.clone());
     let taking = spawn_local(side.run(listener, passed));
     let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
--- a/src/upgrade/succession.rs
+++ b/src/upgrade/succession.rs
@@ -147,7 +147,12 @@
         let Frame::Client { flows, age, bytes } = parcel.frame else { return };
         let Some(stream) = first_stream(parcel.descriptors) else { return };
         let bytes = BytesMut::from(&bytes[..]);
-        let _ = self.adopt.send(ConnectionHandover { stream, bytes, flows, age });
+        let _ = self.adopt.send(ConnectionHandover {
+            stream,
+            bytes,
+            has_carried_request: flows,
+            message_age: age,
+        });
     }
 
     /// Waits for next processes, for ever, and hands everything over to each.
@@ -286,6 +291,6 @@
 }
 
 fn client_parcel(passing: ConnectionHandover) -> io::Result<Parcel> {
-    let ConnectionHandover { stream, bytes, flows, age } = passing;
+    let ConnectionHandover { stream, bytes, has_carried_request: flows, message_age: age } = passing;
     Parcel::with_stream(Frame::Client { flows, age, bytes: bytes.to_vec() }, stream)
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -24,7 +24,7 @@
 use weldhub::net::body_channel::BodyPiece;
 use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, Question};
-use weldhub::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
+use weldhub::net::server_side::{Drain, Phase, Role, ServerLimits, ServerSide, Signals};
 use weldhub::stats::Stats;
 
 fn site() -> Site {
@@ -73,7 +73,13 @@
         );
         let signals = Signals { role: role.subscribe(), phase: phase.subscribe(), drain: drain.subscribe() };
         let budget = MemoryBudget::new(bytes, PredecessorConnections::default());
-        let room = Room { connections, turned_away, idle, budget, last: LAST };
+        let limits = ServerLimits {
+            max_connections: connections,
+            max_rejected_connections: turned_away,
+            max_idle_connections: idle,
+            memory_budget: budget,
+            drain_timeout: LAST,
+        };
         let (passing, _) = mpsc::unbounded_channel();
         let site = site();
         let stats = Stats::new(site.classes.iter().map(|class| class.name.as_str()));
@@ -84,7 +90,7 @@
             deadlines.clone(),
             (signals, passing),
             stats,
-            (room, 700.0),
+            (limits, 700.0),
             quiet(),
         );
         let running = spawn_local(side.run(listener, mpsc::unbounded_channel().1));
