--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -1,4 +1,4 @@
-//! The parsers against random cuts of valid messages and random garbage, from fixed seeds.
+//! Property tests of the parsers with fixed seeds: valid input that is split at random places, and garbage.
 
 use super::counter::take_answer;
 use super::discovery::Lines;
@@ -13,36 +13,45 @@
 use bytes::BytesMut;
 use quickcheck::{Gen, QuickCheck};
 
-/// Holds for any garbage and any cuts.
-fn check(holds: fn(Vec<u8>, Vec<u16>) -> bool) {
-    QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(400).quickcheck(holds);
+/// Checks that a property holds for random garbage and random places to split the input at.
+fn check_property(property: fn(Vec<u8>, Vec<u16>) -> bool) {
+    QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(400).quickcheck(property);
 }
 
-/// Feeds `bytes` in pieces cut at these places and collects what `parse` gives; it says when it wants more.
-pub(crate) fn in_pieces<T>(bytes: &[u8], cuts: &[u16], mut parse: impl FnMut(&[u8]) -> Vec<T>) -> Vec<T> {
+/// Splits `bytes` at these places, modulo their length, and collects the results of `parse` for each piece in
+/// turn.
+pub(crate) fn parse_in_pieces<T>(
+    bytes: &[u8],
+    cuts: &[u16],
+    mut parse: impl FnMut(&[u8]) -> Vec<T>,
+) -> Vec<T> {
     let mut places: Vec<usize> = cuts.iter().map(|cut| usize::from(*cut) % (bytes.len() + 1)).collect();
     places.extend([0, bytes.len()]);
     places.sort_unstable();
     places.windows(2).flat_map(|pair| parse(&bytes[pair[0]..pair[1]])).collect()
 }
 
-/// What is in the pieces: bodies and first lines, or what is wrong, which ends it.
-fn messages(bytes: &[u8], cuts: &[u16], kind: MessageKind) -> Vec<Result<(String, Vec<u8>), ParseError>> {
-    let (mut buffer, mut broken) = (BytesMut::new(), false);
-    let text = |message: &Message| {
+/// Parses messages from split input. Returns the first line and the body of each, up to the first error.
+fn parse_messages(
+    bytes: &[u8],
+    cuts: &[u16],
+    kind: MessageKind,
+) -> Vec<Result<(String, Vec<u8>), ParseError>> {
+    let (mut buffer, mut failed) = (BytesMut::new(), false);
+    let first_line = |message: &Message| {
         let (method, target) = message.head.request_line();
         format!("{:?} {:?} {} {}", method, target, message.head.status(), message.head.close)
     };
-    in_pieces(bytes, cuts, |piece| {
+    parse_in_pieces(bytes, cuts, |piece| {
         buffer.extend_from_slice(piece);
         let mut found = Vec::new();
-        while !broken {
+        while !failed {
             match take_message(&mut buffer, kind, false) {
-                Ok(Some(message)) => found.push(Ok((text(&message), message.body.to_vec()))),
+                Ok(Some(message)) => found.push(Ok((first_line(&message), message.body.to_vec()))),
                 Ok(None) => break,
-                Err(bad) => {
-                    found.push(Err(bad));
-                    broken = true;
+                Err(error) => {
+                    found.push(Err(error));
+                    failed = true;
                 }
             }
         }
@@ -61,88 +70,91 @@
     HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn messages_are_the_same_however_they_are_cut() {
+fn parses_the_same_messages_however_the_input_is_split() {
     for (bytes, kind, count) in [(REQUESTS, MessageKind::Request, 3), (RESPONSES, MessageKind::Response, 4)] {
-        let whole = messages(bytes, &[], kind);
+        let whole = parse_messages(bytes, &[], kind);
         assert!(whole.len() == count && whole.iter().all(Result::is_ok), "{whole:?}");
     }
-    check(|_, cuts| {
-        messages(REQUESTS, &cuts, MessageKind::Request) == messages(REQUESTS, &[], MessageKind::Request)
+    check_property(|_, cuts| {
+        parse_messages(REQUESTS, &cuts, MessageKind::Request)
+            == parse_messages(REQUESTS, &[], MessageKind::Request)
     });
-    check(|_, cuts| {
-        messages(RESPONSES, &cuts, MessageKind::Response) == messages(RESPONSES, &[], MessageKind::Response)
+    check_property(|_, cuts| {
+        parse_messages(RESPONSES, &cuts, MessageKind::Response)
+            == parse_messages(RESPONSES, &[], MessageKind::Response)
     });
     let bodies: Vec<_> =
-        messages(REQUESTS, &[], MessageKind::Request).into_iter().map(|m| m.unwrap().1).collect();
+        parse_messages(REQUESTS, &[], MessageKind::Request).into_iter().map(|m| m.unwrap().1).collect();
     assert_eq!(bodies, [&b"hello"[..], b"", b"abc0123456789"]);
 }
 
-/// What a body brings, and what a reader brings that has it again from the place of any cut on.
-fn body_of(bytes: &[u8], cuts: &[u16]) -> Result<[Vec<u8>; 2], ParseError> {
-    let (mut buffer, mut all, mut again) = (BytesMut::from(bytes), Vec::new(), None);
+/// Decodes the body of a request from split input. Returns it twice: as decoded, and as decoded from the
+/// message that is encoded again after the first part.
+fn decode_body(bytes: &[u8], cuts: &[u16]) -> Result<[Vec<u8>; 2], ParseError> {
+    let (mut buffer, mut decoded, mut reencoded) = (BytesMut::from(bytes), Vec::new(), None);
     let (head, length) = peek_head(&buffer, MessageKind::Request)?.ok_or(ParseError::Malformed)?;
     let mut rest = buffer.split_off(length);
     let mut body = BodyDecoder::new(&head);
-    let (mut came, mut place) = (BytesMut::new(), 0);
-    let mut found = Ok(());
-    in_pieces(&rest.split(), cuts, |piece| {
-        came.extend_from_slice(piece);
-        place += piece.len();
+    let (mut received, mut position) = (BytesMut::new(), 0);
+    let mut result = Ok(());
+    parse_in_pieces(&rest.split(), cuts, |piece| {
+        received.extend_from_slice(piece);
+        position += piece.len();
         loop {
-            match body.take(&mut came, 7) {
-                Ok(Some(data)) => all.extend_from_slice(&data),
+            match body.take(&mut received, 7) {
+                Ok(Some(data)) => decoded.extend_from_slice(&data),
                 Ok(None) => break,
-                Err(bad) => {
-                    found = Err(bad);
+                Err(error) => {
+                    result = Err(error);
                     break;
                 }
             }
         }
         if !body.is_done()
-            && cuts.first().is_some_and(|cut| place > usize::from(*cut) % 60)
-            && again.is_none()
+            && cuts.first().is_some_and(|cut| position > usize::from(*cut) % 60)
+            && reencoded.is_none()
         {
-            let mut bytes_again = body.reencode(&head, &all);
-            bytes_again.extend_from_slice(&came);
-            bytes_again.extend_from_slice(&bytes[length + place..]);
-            again = Some(bytes_again);
+            let mut message = body.reencode(&head, &decoded);
+            message.extend_from_slice(&received);
+            message.extend_from_slice(&bytes[length + position..]);
+            reencoded = Some(message);
         }
         Vec::<()>::new()
     });
-    found?;
-    let again = again.map(|bytes| body_of(&bytes, &[])).transpose()?;
-    let again = again.map_or(all.clone(), |[again, _]| again);
-    if body.is_done() { Ok([all, again]) } else { Err(ParseError::Malformed) }
+    result?;
+    let again = reencoded.map(|bytes| decode_body(&bytes, &[])).transpose()?;
+    let again = again.map_or(decoded.clone(), |[again, _]| again);
+    if body.is_done() { Ok([decoded, again]) } else { Err(ParseError::Malformed) }
 }
 
 #[test]
-fn a_body_is_the_same_however_it_is_cut_and_wherever_another_reader_goes_on() {
-    fn cut(cuts: Vec<u16>) -> bool {
-        let chunks: &[u8] = b"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
+fn decodes_the_same_body_however_split_and_wherever_it_is_encoded_again() {
+    fn split_keeps_body(cuts: Vec<u16>) -> bool {
+        let chunked: &[u8] = b"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
             3\r\nabc\r\nA;ext=1\r\n0123456789\r\n1c\r\nabcdefghijklmnopqrstuvwxyz01\r\n0\r\nT: 1\r\n\r\n";
-        let known: &[u8] = b"POST /x HTTP/1.1\r\nContent-Length: 41\r\n\r\n\
+        let sized: &[u8] = b"POST /x HTTP/1.1\r\nContent-Length: 41\r\n\r\n\
             abc0123456789abcdefghijklmnopqrstuvwxyz01";
-        let all = b"abc0123456789abcdefghijklmnopqrstuvwxyz01".to_vec();
-        [chunks, known].iter().all(|bytes| body_of(bytes, &cuts) == Ok([all.clone(), all.clone()]))
+        let body = b"abc0123456789abcdefghijklmnopqrstuvwxyz01".to_vec();
+        [chunked, sized].iter().all(|bytes| decode_body(bytes, &cuts) == Ok([body.clone(), body.clone()]))
     }
-    fn garbage(garbage: Vec<u8>, cuts: Vec<u16>) -> bool {
+    fn body_is_no_longer_than_garbage(garbage: Vec<u8>, cuts: Vec<u16>) -> bool {
         let bytes = [b"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", &garbage[..]].concat();
-        body_of(&bytes, &cuts).map_or(true, |[all, _]| all.len() <= garbage.len())
+        decode_body(&bytes, &cuts).map_or(true, |[body, _]| body.len() <= garbage.len())
     }
-    let check = || QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(400);
-    check().quickcheck(cut as fn(Vec<u16>) -> bool);
-    check().quickcheck(garbage as fn(Vec<u8>, Vec<u16>) -> bool);
+    let quick_check = || QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(400);
+    quick_check().quickcheck(split_keeps_body as fn(Vec<u16>) -> bool);
+    quick_check().quickcheck(body_is_no_longer_than_garbage as fn(Vec<u8>, Vec<u16>) -> bool);
 }
 
 #[test]
-fn garbage_and_damaged_messages_are_turned_away_without_a_panic() {
+fn rejects_garbage_and_damaged_messages_without_panic() {
     fn parse(bytes: &[u8], cuts: &[u16]) -> bool {
         let all = [MessageKind::Request, MessageKind::Response, MessageKind::ListResponse]
-            .map(|kind| messages(bytes, cuts, kind));
+            .map(|kind| parse_messages(bytes, cuts, kind));
         all.iter().flatten().flatten().all(|(_, body)| body.len() <= bytes.len())
     }
-    check(|garbage, cuts| parse(&garbage, &cuts));
-    check(|garbage, cuts| {
+    check_property(|garbage, cuts| parse(&garbage, &cuts));
+    check_property(|garbage, cuts| {
         let mut damaged = [REQUESTS, RESPONSES].concat();
         for (byte, at) in garbage.iter().zip(&cuts).take(3) {
             let at = usize::from(*at) % damaged.len();
@@ -150,8 +162,8 @@
         }
         parse(&damaged, &cuts)
     });
-    let bad = |text: &str| messages(text.as_bytes(), &[], MessageKind::Request).pop();
-    // Two readers must not cut a message in different places.
+    let last_of = |text: &str| parse_messages(text.as_bytes(), &[], MessageKind::Request).pop();
+    // Requests in which two parsers could see the end in different places, which allows request smuggling.
     let cases = [
         "POST /x HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
         "POST /x HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
@@ -160,28 +172,35 @@
         "POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
         "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcde",
     ];
-    assert!(cases.iter().all(|text| bad(text) == Some(Err(ParseError::Malformed))), "{:?}", cases.map(bad));
+    assert!(
+        cases.iter().all(|text| last_of(text) == Some(Err(ParseError::Malformed))),
+        "{:?}",
+        cases.map(last_of)
+    );
     let large = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BUFFERED_BODY_BYTES + 1);
-    assert_eq!(bad(&large), Some(Err(ParseError::BodyTooLarge)));
+    assert_eq!(last_of(&large), Some(Err(ParseError::BodyTooLarge)));
     let huge = format!("POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BODY_BYTES + 1);
     assert!(matches!(peek_head(huge.as_bytes(), MessageKind::Request), Err(ParseError::BodyTooLarge)));
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
     let chunks = format!("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk.repeat(3));
-    assert_eq!(bad(&chunks), Some(Err(ParseError::BodyTooLarge)));
-    assert_eq!(bad(&format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000))), Some(Err(ParseError::HeadTooLarge)));
+    assert_eq!(last_of(&chunks), Some(Err(ParseError::BodyTooLarge)));
+    assert_eq!(
+        last_of(&format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000))),
+        Some(Err(ParseError::HeadTooLarge))
+    );
 }
 
 #[test]
-fn a_watch_has_the_same_lines_however_it_is_cut() {
+fn reads_the_same_watch_lines_however_the_input_is_split() {
     const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
         4\r\n{\"a\"\r\n6\r\n:1}\n\n{\r\n2\r\n}\n\r\n\
         16\r\n {\n  \"a\": [ \"\\\"}\",\n 2]\r\n3\r\n\n}\n\r\n7\r\n}\"a\n{}\n\r\n";
     fn lines(bytes: &[u8], cuts: &[u16]) -> Vec<Result<Vec<u8>, &'static str>> {
         let mut lines = Lines::default();
-        in_pieces(bytes, cuts, |piece| {
+        parse_in_pieces(bytes, cuts, |piece| {
             lines.buffer.extend_from_slice(piece);
             let next = || lines.next().map(|line| line.map(|line| line.to_vec())).transpose();
-            // An error stays one: it is told once a piece.
+            // The error is permanent, and is reported once for each piece.
             let mut failed = false;
             std::iter::from_fn(next)
                 .take_while(|line| !std::mem::replace(&mut failed, line.is_err()))
@@ -189,35 +208,36 @@
         })
     }
     let whole: Vec<_> = lines(WATCH, &[]).into_iter().map(Result::unwrap).collect();
-    // An indented one is whole at its last bracket; a text that goes over the end of a line is garbage by itself.
+    // An indented list is complete at its last bracket. A string that continues over the end of a line is
+    // garbage.
     let indented = &b" {\n  \"a\": [ \"\\\"}\",\n 2]\n}\n"[..];
     assert_eq!(whole, [&b"{\"a\":1}\n"[..], b"\n", b"{}\n", indented, b"}\"a\n", b"{}\n"]);
-    check(|_, cuts| lines(WATCH, &cuts) == lines(WATCH, &[]));
-    check(|garbage, cuts| {
+    check_property(|_, cuts| lines(WATCH, &cuts) == lines(WATCH, &[]));
+    check_property(|garbage, cuts| {
         let damaged = [&WATCH[..47], &garbage].concat();
         lines(&damaged, &cuts).iter().flatten().all(|line| line.len() <= garbage.len())
     });
 }
 
 #[test]
-fn the_counters_answers_are_the_same_however_they_are_cut() {
+fn parses_the_same_counter_answers_however_the_input_is_split() {
     fn answers(bytes: &[u8], cuts: &[u16]) -> Vec<Option<CounterAnswer>> {
         let mut buffer = BytesMut::new();
-        in_pieces(bytes, cuts, |piece| {
+        parse_in_pieces(bytes, cuts, |piece| {
             buffer.extend_from_slice(piece);
             std::iter::from_fn(|| take_answer(&mut buffer)).collect()
         })
     }
     const ANSWERS: &[u8] = b"ok 12.5\r\nbusy\r\nok -3\r\nerror\r\nok many\r\nok inf\r\n";
     let total = |n| Some(CounterAnswer::Total(n));
-    let not = Some(CounterAnswer::NotAdded);
-    assert_eq!(answers(ANSWERS, &[]), [total(12.5), not, total(-3.0), not, None, None]);
-    check(|_, cuts| answers(ANSWERS, &cuts) == answers(ANSWERS, &[]));
-    check(|garbage, cuts| answers(&garbage, &cuts).len() <= garbage.len());
+    let not_added = Some(CounterAnswer::NotAdded);
+    assert_eq!(answers(ANSWERS, &[]), [total(12.5), not_added, total(-3.0), not_added, None, None]);
+    check_property(|_, cuts| answers(ANSWERS, &cuts) == answers(ANSWERS, &[]));
+    check_property(|garbage, cuts| answers(&garbage, &cuts).len() <= garbage.len());
 }
 
 #[test]
-fn only_a_sound_request_is_a_flow() {
+fn accepts_only_valid_requests() {
     let site = Site::read(&Pairs::from_text(
         "balancers=3\nmyNumber=0\nlimits.maxAttempts=5\nclasses.count=2\nclasses.0.aim=500.0\n\
          classes.0.name=board-state\nclasses.0.effect=read_like\nclasses.1.aim=800.0\nclasses.1.name=move-submit\n\
@@ -231,18 +251,18 @@
         let message = take_message(&mut BytesMut::from(text), MessageKind::Request, false).unwrap().unwrap();
         platform::read(&message.head, message.body, true, &site)
     };
-    let sound = String::from_utf8(REQUESTS.to_vec()).unwrap();
-    let ParsedRequest::Request(terms, question, id) = read(sound.as_bytes()) else {
-        panic!("the first is a flow")
+    let valid = String::from_utf8(REQUESTS.to_vec()).unwrap();
+    let ParsedRequest::Request(info, question, id) = read(valid.as_bytes()) else {
+        panic!("the first message is a valid request")
     };
-    assert_eq!((terms.units, terms.spread, terms.first_ingress.0, terms.time_left), (2.0, 3, 1, 480.0));
-    assert_eq!((terms.class.0, terms.plan.0, terms.customer.0), (1, 0, 0xb4d6_5521));
+    assert_eq!((info.units, info.spread, info.first_ingress.0, info.time_left), (2.0, 3, 1, 480.0));
+    assert_eq!((info.class.0, info.plan.0, info.customer.0), (1, 0, 0xb4d6_5521));
     assert_eq!(id, "9b1f03aa5c7e2d41");
     let head = String::from_utf8(question.head.to_vec()).unwrap();
-    let passed = "POST /move-submit/a?client=00000000b4d65521 HTTP/1.1\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n\
+    let forwarded = "POST /move-submit/a?client=00000000b4d65521 HTTP/1.1\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n\
         Idempotency-Key: 5c0f\r\nContent-Length: 5\r\n";
-    assert_eq!((head.as_str(), &question.body[..]), (passed, &b"hello"[..]));
-    let wrong = [
+    assert_eq!((head.as_str(), &question.body[..]), (forwarded, &b"hello"[..]));
+    let invalid = [
         ("POST", "GET", 405),
         ("/move-submit/a", "/checkout", 404),
         ("/move-submit/a", "/move-submit/\u{e4}", 400),
@@ -262,8 +282,8 @@
         ("spread=3", "spread=4", 400),
         ("first=1", "first=3", 400),
     ];
-    for (old, new, status) in wrong {
-        let asked = read(sound.replacen(old, new, 1).as_bytes());
-        assert!(matches!(asked, ParsedRequest::Invalid(s, _) if s == status), "{new}: {asked:?}");
+    for (old, new, status) in invalid {
+        let parsed = read(valid.replacen(old, new, 1).as_bytes());
+        assert!(matches!(parsed, ParsedRequest::Invalid(s, _) if s == status), "{new}: {parsed:?}");
     }
 }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -22,7 +22,7 @@
 
 fn taken(bytes: &[u8], cuts: &[u16]) -> Vec<Result<Frame, FrameError>> {
     let (mut buffer, mut all, mut broken) = (BytesMut::new(), Vec::new(), false);
-    crate::net::tests::in_pieces(bytes, cuts, |piece| {
+    crate::net::tests::parse_in_pieces(bytes, cuts, |piece| {
         buffer.extend_from_slice(piece);
         while !broken {
             match take_frame(&mut buffer) {
