--- a/src/node.rs
+++ b/src/node.rs
@@ -20,13 +20,13 @@
 use crate::interface::{AttemptEnd, Millis};
 use crate::maintenance::{Maintenance, read_bans};
 use crate::membership::traffic::Witness;
-use crate::net::budget::{Budget, Elsewhere};
+use crate::net::budget::{MemoryBudget, PredecessorConnections};
 use crate::net::client_side::{Answer, ClientSide, Links, Question};
 use crate::net::counter::Counter;
 use crate::net::discovery::Discovery;
 use crate::net::peers::Peers;
-use crate::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
-use crate::net::stream::Way;
+use crate::net::server_side::{Drain, Phase, Role, ServerLimits, ServerSide, Signals};
+use crate::net::stream::ReloadableAddress;
 use crate::recovery::{self, Heard, Recovery};
 use crate::state::Limiter;
 use crate::stats::Stats;
@@ -238,7 +238,7 @@
         if let Some(at) = instance.counter.filter(|_| site.settings.counter) {
             let (calls, made) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
-            let at = Way::new(ways, at, |ways| ways.counter);
+            let at = ReloadableAddress::new(ways, at, |ways| ways.counter);
             let counter = Counter { at, deadlines: deadlines.clone(), log: log.clone() };
             parts.spawn_local(
                 counter
@@ -450,8 +450,8 @@
     let Config { instance, source, known } = config;
     let (site, generation) = (&instance.site, known.as_ref().map(|known| known.generation));
     let ConnectionLimits { clients: flows, turned_away, backends: servers } = instance.limits.connections();
-    let elsewhere = Elsewhere::default();
-    let budget = || Budget::new(instance.limits.messages(), elsewhere.clone());
+    let elsewhere = PredecessorConnections::default();
+    let budget = || MemoryBudget::new(instance.limits.messages(), elsewhere.clone());
     let Sockets { listener, peers, link } = sockets.into();
     let peers = match instance.peer_listen.filter(|_| site.settings.peers) {
         Some(at) if peers.is_none() => Some(bind_peers(&instance, at)?),
@@ -504,7 +504,7 @@
     core.parts.spawn_local(side.run(orders, passed_servers));
     match source {
         Source::Discovery(agent) => {
-            let agent = Way::new(&ways, agent, |ways| ways.discovery);
+            let agent = ReloadableAddress::new(&ways, agent, |ways| ways.discovery);
             let (pauses, seed) = (deadlines.clone(), instance.seed);
             let discovery =
                 Discovery { agent, site: site.clone(), deadlines: pauses, seed, log: log.clone() };
@@ -516,11 +516,17 @@
         }
     }
     let (idle, last) = (instance.limits.idle(), core.longest);
-    let room = Room { connections: flows, turned_away, idle, budget: budget(), last };
+    let limits = ServerLimits {
+        max_connections: flows,
+        max_rejected_connections: turned_away,
+        max_idle_connections: idle,
+        memory_budget: budget(),
+        drain_timeout: last,
+    };
     let reader = site.clone();
     let read = move |head: &_, body, whole| platform::read(head, body, whole, &reader);
     let (signals, stats) = ((core.signals(), passing), core.stats.clone());
-    let bounds = (room, site.max_retry_after);
+    let bounds = (limits, site.max_retry_after);
     let side = ServerSide::new(read, exchange, deadlines, signals, stats, bounds, log.clone());
     let taking = spawn_local(side.run(listener, passed));
     let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
--- a/src/upgrade/succession.rs
+++ b/src/upgrade/succession.rs
@@ -8,7 +8,7 @@
 use crate::deadlines::Deadlines;
 use crate::exchange::{EngineEvent, EngineState, Exchange, OperationResult};
 use crate::interface::{AttemptEnd, BackendId, Millis};
-use crate::net::budget::Elsewhere;
+use crate::net::budget::PredecessorConnections;
 use crate::net::client_side::{Answer, Question};
 use crate::net::server_side::{ConnectionHandover, Drain, Phase, Role};
 use bytes::BytesMut;
@@ -47,7 +47,7 @@
     /// Takes idle connections to backends that pass to this process.
     pub adopt_server: mpsc::UnboundedSender<(BackendId, TcpStream)>,
     /// How many connections the other process still has open.
-    pub elsewhere: Elsewhere,
+    pub elsewhere: PredecessorConnections,
     /// How many connections to backends are open here.
     pub open: Rc<Cell<usize>>,
     /// The clock and the timers.
@@ -147,7 +147,12 @@
         let Frame::Client { flows, age, bytes } = parcel.frame else { return };
         let Some(stream) = first_stream(parcel.descriptors) else { return };
         let bytes = BytesMut::from(&bytes[..]);
-        let _ = self.adopt.send(ConnectionHandover { stream, bytes, flows, age });
+        let _ = self.adopt.send(ConnectionHandover {
+            stream,
+            bytes,
+            has_carried_request: flows,
+            message_age: age,
+        });
     }
 
     /// Waits for next processes, for ever, and hands everything over to each.
@@ -286,6 +291,6 @@
 }
 
 fn client_parcel(passing: ConnectionHandover) -> io::Result<Parcel> {
-    let ConnectionHandover { stream, bytes, flows, age } = passing;
+    let ConnectionHandover { stream, bytes, has_carried_request: flows, message_age: age } = passing;
     Parcel::with_stream(Frame::Client { flows, age, bytes: bytes.to_vec() }, stream)
 }
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -23,10 +23,10 @@
 use weldhub::entries::backend_id;
 use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
-use weldhub::net::budget::{Budget, Elsewhere};
+use weldhub::net::body_channel::{self, BodyPiece, SingleUseBody};
+use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, ClientSide, Links, Question};
-use weldhub::net::http::{Kind, Message};
-use weldhub::net::pieces::{self, Once, Piece};
+use weldhub::net::http::{Message, MessageKind};
 use weldhub::net::server_side::Role;
 use weldhub::stats::Stats;
 
@@ -48,10 +48,10 @@
         let deadlines = swept();
         let role = watch::Sender::new(Role::Active);
         let (passing, _) = mpsc::unbounded_channel();
-        let (elsewhere, open) = (Elsewhere::default(), Rc::new(Cell::new(0)));
+        let (elsewhere, open) = (PredecessorConnections::default(), Rc::new(Cell::new(0)));
         let links = Links { role: role.subscribe(), passing, elsewhere: elsewhere.clone(), open };
         let stats = Stats::new([]);
-        let bounds = (8, Budget::new(1 << 20, elsewhere));
+        let bounds = (8, MemoryBudget::new(1 << 20, elsewhere));
         let clock = deadlines.clock();
         let side = ClientSide::new(exchange, deadlines, site, bounds, stats, links, quiet());
         let (orders, ordered) = mpsc::unbounded_channel();
@@ -179,7 +179,7 @@
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 2900)).await;
         let (mut stream, _) = server.listener.accept().await.unwrap();
-        message(&mut stream, &mut BytesMut::new(), Kind::Request).await.unwrap();
+        message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
         server.fill_up().await;
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         drop(stream);
@@ -203,11 +203,11 @@
     local(async {
         let listener = listener().await;
         let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
-        let (pieces, rest) = pieces::way();
+        let (pieces, rest) = body_channel::channel();
         let head = Bytes::from_static(b"POST /move-submit/1 HTTP/1.1\r\nContent-Length: 4\r\n");
-        let rest = Some(Once::new(rest));
+        let rest = Some(SingleUseBody::new(rest));
         side.ask(1, Question { head, body: Bytes::new(), bodiless: false, length: Some(4), rest }, None);
-        pieces.send(Piece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
+        pieces.send(BodyPiece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
         assert_eq!(&request(&mut server).await.body[..], b"e2e4");
         side.orders
@@ -226,7 +226,7 @@
 }
 
 async fn request(stream: &mut TcpStream) -> Message {
-    message(stream, &mut BytesMut::new(), Kind::Request).await.unwrap()
+    message(stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap()
 }
 
 fn good(body: &str) -> Vec<u8> {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -21,10 +21,10 @@
 use weldhub::exchange::{EngineEvent, Exchange, FinalAnswer};
 use weldhub::fronts::platform;
 use weldhub::interface::Millis;
-use weldhub::net::budget::{Budget, Elsewhere};
+use weldhub::net::body_channel::BodyPiece;
+use weldhub::net::budget::{MemoryBudget, PredecessorConnections};
 use weldhub::net::client_side::{Answer, Question};
-use weldhub::net::pieces::Piece;
-use weldhub::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
+use weldhub::net::server_side::{Drain, Phase, Role, ServerLimits, ServerSide, Signals};
 use weldhub::stats::Stats;
 
 fn site() -> Site {
@@ -72,8 +72,14 @@
             watch::Sender::new(Drain::Inactive),
         );
         let signals = Signals { role: role.subscribe(), phase: phase.subscribe(), drain: drain.subscribe() };
-        let budget = Budget::new(bytes, Elsewhere::default());
-        let room = Room { connections, turned_away, idle, budget, last: LAST };
+        let budget = MemoryBudget::new(bytes, PredecessorConnections::default());
+        let limits = ServerLimits {
+            max_connections: connections,
+            max_rejected_connections: turned_away,
+            max_idle_connections: idle,
+            memory_budget: budget,
+            drain_timeout: LAST,
+        };
         let (passing, _) = mpsc::unbounded_channel();
         let site = site();
         let stats = Stats::new(site.classes.iter().map(|class| class.name.as_str()));
@@ -84,7 +90,7 @@
             deadlines.clone(),
             (signals, passing),
             stats,
-            (room, 700.0),
+            (limits, 700.0),
             quiet(),
         );
         let running = spawn_local(side.run(listener, mpsc::unbounded_channel().1));
@@ -135,7 +141,7 @@
     }
 
     async fn answer(&mut self) -> Option<weldhub::net::http::Message> {
-        message(&mut self.reads, &mut self.buffer, weldhub::net::http::Kind::Response).await
+        message(&mut self.reads, &mut self.buffer, weldhub::net::http::MessageKind::Response).await
     }
 
     /// The connection's end as the client sees it: nothing more, and no reset.
@@ -390,7 +396,7 @@
         drop(client);
         let (mut rest, mut came) = (question.rest.unwrap().take().unwrap(), question.body.len());
         while let Some(piece) = rest.recv().await {
-            let Piece::Data(data) = piece else { panic!("it is whole") };
+            let BodyPiece::Data(data) = piece else { panic!("it is whole") };
             came += data.len();
         }
         assert!((1_000_000..length).contains(&came), "{came} of {length}");
@@ -449,7 +455,8 @@
         // Others are served meanwhile.
         side.idle().await;
         verdict.send(served("1")).unwrap();
-        let answer = message(&mut reads, &mut buffer, weldhub::net::http::Kind::Response).await.unwrap();
+        let answer =
+            message(&mut reads, &mut buffer, weldhub::net::http::MessageKind::Response).await.unwrap();
         assert_eq!((&answer.body[..], answer.head.close), (&b"1"[..], true));
         let taken = flood.await.unwrap();
         assert!(taken < 64, "{taken} MiB were taken from one client");
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -20,8 +20,8 @@
 use weldhub::config::{Config, Ways};
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
-use weldhub::net::http::Kind;
-use weldhub::net::stream::Way;
+use weldhub::net::http::MessageKind;
+use weldhub::net::stream::ReloadableAddress;
 
 /// What discovery has counts as told so long after it could be reached.
 const CLOCK: Duration = Duration::from_secs(6);
@@ -82,7 +82,7 @@
     }
 
     async fn answer(self: Rc<Self>, mut stream: TcpStream) {
-        if message(&mut stream, &mut BytesMut::new(), Kind::Request).await.is_none() {
+        if message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.is_none() {
             return;
         }
         let fault = self.fault.get();
@@ -136,7 +136,7 @@
         text["settings"]["membershipMode"] = json!(mode);
         let config = Config::read(&text.to_string(), |_| None).unwrap();
         let (ways, moved) = watch::channel(config.ways());
-        let agent = Way::new(&moved, agent, |ways| ways.discovery);
+        let agent = ReloadableAddress::new(&moved, agent, |ways| ways.discovery);
         let site = config.instance.site;
         let discovery = Discovery { agent, site, deadlines: swept(), seed, log: quiet() };
         let (tell, told) = mpsc::unbounded_channel();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -19,8 +19,8 @@
 use weldhub::config::{Config, Ways};
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
-use weldhub::net::http::Kind;
-use weldhub::net::stream::Way;
+use weldhub::net::http::MessageKind;
+use weldhub::net::stream::ReloadableAddress;
 
 /// What discovery has to say counts as told so long after a watch has fallen silent.
 const CLOCK: Duration = Duration::from_secs(6);
@@ -63,7 +63,7 @@
     let config = Config::read(&text.to_string(), |_| None).unwrap();
     let deadlines = swept();
     let (ways, moved) = watch::channel(config.ways());
-    let agent = Way::new(&moved, agent, |ways| ways.discovery);
+    let agent = ReloadableAddress::new(&moved, agent, |ways| ways.discovery);
     let discovery = Discovery { agent, site: config.instance.site, deadlines, seed, log: quiet() };
     let (tell, tells) = mpsc::unbounded_channel();
     let running = spawn_local(discovery.run(Some(41), move |list| drop(tell.send(list))));
@@ -72,7 +72,7 @@
 
 async fn asked(agent: &TcpListener) -> (TcpStream, String) {
     let (mut stream, _) = agent.accept().await.unwrap();
-    let request = message(&mut stream, &mut BytesMut::new(), Kind::Request).await.unwrap();
+    let request = message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
     (stream, String::from_utf8(request.head.request_line().1.to_vec()).unwrap())
 }
 
