--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -70,7 +70,7 @@
         let book = Rc::new(RefCell::new(book));
         let mut start = Pacing::new(self.instances, HEALTH_BACKOFF, self.seed);
         // Prevents a fleet that starts together from asking together.
-        self.deadlines.sleep(start.first_within(START)).await;
+        self.deadlines.sleep(start.initial_delay_within(START)).await;
         let mut tasks = self.begin(&book, None, &consul);
         let mut ways = self.ways.clone();
         let first_due = self.now() + FIRST;
@@ -85,7 +85,7 @@
                 }
                 new = changed(&mut ways, &consul) => {
                     // The queries go on meanwhile.
-                    self.deadlines.sleep(start.first_within(START)).await;
+                    self.deadlines.sleep(start.initial_delay_within(START)).await;
                     tasks.abort_all();
                     tasks = self.begin(&book, Some(&consul), &new);
                     consul = new;
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -66,7 +66,7 @@
             });
             match answer {
                 Ok((index, read)) => {
-                    pacing.heard();
+                    pacing.succeeded();
                     cursor.advance(index);
                     if self.book.borrow_mut().answered(self.slot, at, self.now(), read) {
                         self.confirm.notify_one();
@@ -79,7 +79,7 @@
                     cursor.reset();
                     agents.fail();
                     line.close();
-                    pause = pacing.again().max(keep_away);
+                    pause = pacing.next_delay().max(keep_away);
                 }
             }
         }
@@ -109,7 +109,7 @@
                 match held {
                     Ok(held) => {
                         (agents, logged) = (AgentRotation::default(), false);
-                        pacing.heard();
+                        pacing.succeeded();
                         let mut book = self.book.borrow_mut();
                         let Some(known) = book.services.get_mut(&self.slot) else { return };
                         let gone = known.members.catalogue(self.now(), round, &held);
@@ -125,7 +125,7 @@
                         if !std::mem::replace(&mut logged, true) {
                             warn!(self.log, "a mass withdrawal is not believed"; "service" => &self.service.name, "agent" => %at, "why" => why);
                         }
-                        self.deadlines.sleep(pacing.again().max(keep_away)).await;
+                        self.deadlines.sleep(pacing.next_delay().max(keep_away)).await;
                     }
                 }
             }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -62,7 +62,7 @@
         let mut pacing = Pacing::new(self.site.settings.ingress_count, BACKOFF, self.seed);
         let pushed = !self.site.settings.list_on_request;
         // Who knows no list cannot serve without one.
-        let mut pause = if known.is_some() && !pushed { pacing.first() } else { 0.0 };
+        let mut pause = if known.is_some() && !pushed { pacing.initial_delay() } else { 0.0 };
         loop {
             let at = self.agent.now();
             tokio::select! {
@@ -80,14 +80,14 @@
                     let lasted = heard.is_some_and(|heard: Heard| now - heard.first > LASTED);
                     let told_up_to = heard.map_or(asked, |heard| heard.last);
                     if lasted {
-                        pacing.heard();
+                        pacing.succeeded();
                     }
                     pause = match (pushed, end) {
                         (true, _) if lasted => 0.0,
                         // Prevents an agent that ends every watch from being asked without a pause.
                         (true, _) => KNOCK,
-                        (false, End::Silence) if lasted => pacing.first_within(REOPEN),
-                        (false, _) => pacing.again_within(told_up_to + ASK_AGAIN - now),
+                        (false, End::Silence) if lasted => pacing.initial_delay_within(REOPEN),
+                        (false, _) => pacing.next_delay_within(told_up_to + ASK_AGAIN - now),
                     };
                     info!(self.log, "discovery watch ended"; "why" => why, "again_in_ms" => pause.round());
                 }
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,67 +1,77 @@
-//! When to ask again for what a whole fleet asks for. A service that all instances ask in the same moment answers
-//! none of them in time, and if all come again together it never does: the asks are spread over a time that grows
-//! with the fleet, by chance, and over twice as much after each failure. Plain arithmetic, without a clock.
+//! Delays between the queries that one instance of a fleet sends to a service that all instances query (discovery,
+//! Consul). A service that all instances query at the same moment answers none of them in time, and if all of them
+//! retry together it never recovers. Each delay is therefore drawn at random from a time span that grows with the
+//! size of the fleet and doubles after each failure. Pure arithmetic: no clock and no I/O.
 
 use crate::interface::Millis;
 use crate::prng::Prng;
 
-/// The time that each further instance of the fleet adds to what asks are spread over.
-const SHARE: Millis = 50.0;
-/// The first asks are spread over this at the most: what would have been told counts as told from then on.
-const FIRST: Millis = 150.0;
-/// After failures they are spread over so many times as much at the most.
-const MOST: f64 = 4.0;
-/// Where a bound leaves less time than the fleet needs, further pauses are at least this part of the bound.
-const NEAR: f64 = 0.8;
-
-/// The pauses of one asker.
+/// The time by which each further instance of the fleet extends the span that queries are spread over, in milliseconds.
+const SPREAD_PER_INSTANCE: Millis = 50.0;
+/// The longest span that initial queries are spread over, in milliseconds: after it, the ingress is expected to know what
+/// was published before its start.
+const MAX_INITIAL_SPREAD: Millis = 150.0;
+/// The limit of the exponential backoff, as a multiple of the fleet's spread.
+const MAX_BACKOFF_FACTOR: f64 = 4.0;
+/// Where the caller's bound is shorter than the backoff, delays after the first one are at least this fraction of the
+/// bound.
+const MIN_BOUND_FRACTION: f64 = 0.8;
+
+/// The delays between the queries of one instance.
 #[derive(Debug)]
 pub struct Pacing {
+    /// The span that the queries of the whole fleet are spread over.
     spread: Millis,
-    bounds: [Millis; 2],
+    min_delay: Millis,
+    max_delay: Millis,
+    /// Delays drawn since the last success.
     failures: u32,
     rng: Prng,
 }
 
 impl Pacing {
-    /// For one of so many instances, with the shortest pause after a failure, and the longest where the fleet does not
-    /// need a longer one. The seed is the instance's own.
-    pub fn new(instances: u16, bounds: [Millis; 2], seed: u64) -> Self {
-        let spread = SHARE * f64::from(instances.saturating_sub(1));
-        Self { spread, bounds, failures: 0, rng: Prng::new(seed) }
+    /// Creates the pacing of one of `instances` instances. `min_delay` and `max_delay` bound the delay after a failure, in
+    /// milliseconds; a large fleet exceeds `max_delay`. Each instance must pass a `seed` of its own, or all draw the same
+    /// delays.
+    pub fn new(instances: u16, [min_delay, max_delay]: [Millis; 2], seed: u64) -> Self {
+        let spread = SPREAD_PER_INSTANCE * f64::from(instances.saturating_sub(1));
+        Self { spread, min_delay, max_delay, failures: 0, rng: Prng::new(seed) }
     }
 
-    /// Before the first ask: others may have started in the same moment. Soon, as its answer is owed early.
-    pub fn first(&mut self) -> Millis {
-        self.first_within(FIRST)
+    /// Returns the delay before the first query, in milliseconds. It is short, since the answer is needed early, and
+    /// random, since other instances may have started at the same moment.
+    pub fn initial_delay(&mut self) -> Millis {
+        self.initial_delay_within(MAX_INITIAL_SPREAD)
     }
 
-    /// The same where there is more time.
-    pub fn first_within(&mut self, most: Millis) -> Millis {
-        self.spread.min(most) * self.rng.unit()
+    /// Returns the delay before the first query, at most `max_spread` milliseconds.
+    pub fn initial_delay_within(&mut self, max_spread: Millis) -> Millis {
+        self.spread.min(max_spread) * self.rng.unit()
     }
 
-    /// What was asked for has come.
-    pub fn heard(&mut self) {
+    /// Records that a query was answered: the backoff starts again.
+    pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// Before the next ask, after a failure or the end of what went well, which may have ended for all at once.
-    pub fn again(&mut self) -> Millis {
-        self.again_within(f64::INFINITY)
+    /// Returns the delay before the next query, in milliseconds, after a failure or after the end of a working connection,
+    /// which may have ended for all instances at once.
+    pub fn next_delay(&mut self) -> Millis {
+        self.next_delay_within(f64::INFINITY)
     }
 
-    /// The same where the next ask may be no later than `latest` from now. The first pause after a failure spreads a large
-    /// fleet over all of that time; further ones come near the bound, since shorter ones would only ask more often.
-    pub fn again_within(&mut self, latest: Millis) -> Millis {
-        let [shortest, most] = self.bounds;
-        let wanted = (shortest.max(self.spread) * f64::from(1u32 << self.failures.min(16)))
-            .min(most.max(MOST * self.spread));
+    /// Returns the delay before a next query that must be sent within `latest` milliseconds. The first delay after a failure
+    /// spreads a large fleet over all of that time; further ones come near the bound, since shorter ones would only raise
+    /// the rate of queries.
+    pub fn next_delay_within(&mut self, latest: Millis) -> Millis {
+        let wanted = (self.min_delay.max(self.spread) * f64::from(1u32 << self.failures.min(16)))
+            .min(self.max_delay.max(MAX_BACKOFF_FACTOR * self.spread));
         let longest = wanted.min(latest.max(0.0));
-        let bound_holds_back = wanted > longest && self.failures > 0;
-        let least = if bound_holds_back { shortest.max(NEAR * longest) } else { shortest };
+        let limited_by_bound = wanted > longest && self.failures > 0;
+        let shortest =
+            if limited_by_bound { self.min_delay.max(MIN_BOUND_FRACTION * longest) } else { self.min_delay };
         self.failures += 1;
-        least.min(longest) + (longest - least).max(0.0) * self.rng.unit()
+        shortest.min(longest) + (longest - shortest).max(0.0) * self.rng.unit()
     }
 }
 
@@ -69,64 +79,67 @@
 mod tests {
     use super::*;
 
-    const BOUNDS: [Millis; 2] = [50.0, 1000.0];
+    const DELAY_BOUNDS: [Millis; 2] = [50.0, 1000.0];
 
-    /// The most asks that come within `window` where every one of a fleet fails again and again for 20 s, each within
-    /// `latest` of the last.
-    fn crowd(instances: u16, window: Millis, latest: Millis) -> usize {
-        let mut at: Vec<Millis> = Vec::new();
+    /// Returns the highest number of queries within any `window` milliseconds where every instance of a fleet fails
+    /// repeatedly for 20 s and sends each query within `latest` milliseconds of the last.
+    fn peak_queries(instances: u16, window: Millis, latest: Millis) -> usize {
+        let mut sent_at: Vec<Millis> = Vec::new();
         for seed in 0..instances {
-            let mut pacing = Pacing::new(instances, BOUNDS, u64::from(seed));
-            let mut now = pacing.first() + pacing.again_within(latest);
+            let mut pacing = Pacing::new(instances, DELAY_BOUNDS, u64::from(seed));
+            let mut now = pacing.initial_delay() + pacing.next_delay_within(latest);
             while now < 20_000.0 {
-                at.push(now);
-                now += pacing.again_within(latest);
+                sent_at.push(now);
+                now += pacing.next_delay_within(latest);
             }
         }
-        at.sort_by(f64::total_cmp);
-        (0..at.len()).map(|i| at[i..].iter().take_while(|x| **x < at[i] + window).count()).max().unwrap()
+        sent_at.sort_by(f64::total_cmp);
+        (0..sent_at.len())
+            .map(|i| sent_at[i..].iter().take_while(|x| **x < sent_at[i] + window).count())
+            .max()
+            .unwrap()
     }
 
     #[test]
-    fn a_fleet_that_starts_or_fails_together_does_not_ask_together() {
-        // All at once, and every second from then on, 100 would ask within any such window.
-        let unbounded = |instances| crowd(instances, 100.0, f64::INFINITY);
+    fn spreads_the_queries_of_a_fleet_that_starts_or_fails_together() {
+        // Without the spread, all 100 would query within the same window, once a second.
+        let unbounded = |instances| peak_queries(instances, 100.0, f64::INFINITY);
         assert!(unbounded(100) <= 15, "{} of 100 within 100 ms", unbounded(100));
         assert!(unbounded(400) <= 20, "{} of 400 within 100 ms", unbounded(400));
-        // Within 5 s each, 400 ask eight times in 100 ms on average.
-        let bounded = |instances| crowd(instances, 100.0, 5000.0);
+        // With a bound of 5 s each, 400 instances send eight queries in 100 ms on average.
+        let bounded = |instances| peak_queries(instances, 100.0, 5000.0);
         assert!(bounded(100) <= 15, "{} of 100 within 100 ms", bounded(100));
         assert!(bounded(400) <= 28, "{} of 400 within 100 ms", bounded(400));
     }
 
     #[test]
-    fn no_pause_is_longer_than_its_bound_however_large_the_fleet() {
+    fn no_delay_exceeds_its_bound_for_any_fleet_size() {
         for instances in [1, 4, 300, 2000] {
-            let mut pacing = Pacing::new(instances, BOUNDS, 7);
+            let mut pacing = Pacing::new(instances, DELAY_BOUNDS, 7);
             for _ in 0..50 {
-                let pause = pacing.again_within(1500.0);
+                let pause = pacing.next_delay_within(1500.0);
                 assert!((50.0..=1500.0).contains(&pause), "{pause}");
             }
-            assert_eq!(pacing.again_within(-1.0), 0.0, "what is late already is asked for at once");
+            assert_eq!(pacing.next_delay_within(-1.0), 0.0, "an overdue query is sent at once");
         }
     }
 
     #[test]
-    fn a_fleet_with_time_to_start_is_spread_over_it() {
+    fn spreads_initial_queries_over_the_time_given() {
         let mut at: Vec<_> =
-            (0..100).map(|seed| Pacing::new(100, BOUNDS, seed).first_within(2000.0)).collect();
+            (0..100).map(|seed| Pacing::new(100, DELAY_BOUNDS, seed).initial_delay_within(2000.0)).collect();
         at.sort_by(f64::total_cmp);
         let most = (0..100).map(|i| at[i..].iter().take_while(|x| **x < at[i] + 100.0).count()).max();
         assert!(most <= Some(15) && at[99] > 1800.0, "{most:?} of 100 within 100 ms");
     }
 
     #[test]
-    fn one_alone_asks_at_once_and_a_few_come_again_soon() {
-        assert_eq!(Pacing::new(1, BOUNDS, 7).first(), 0.0);
-        let mut pacing = Pacing::new(4, BOUNDS, 7);
-        let pauses: Vec<_> = (0..100).map(|_| pacing.again()).collect();
+    fn a_single_instance_queries_at_once_and_a_small_fleet_retries_soon() {
+        assert_eq!(Pacing::new(1, DELAY_BOUNDS, 7).initial_delay(), 0.0);
+        let mut pacing = Pacing::new(4, DELAY_BOUNDS, 7);
+        let pauses: Vec<_> = (0..100).map(|_| pacing.next_delay()).collect();
         assert!(pauses.iter().all(|p| (50.0..=1000.0).contains(p)), "{pauses:?}");
-        pacing.heard();
-        assert!(pacing.again() <= 150.0, "what went well is asked for again soon");
+        pacing.succeeded();
+        assert!(pacing.next_delay() <= 150.0, "the delay after a success is short");
     }
 }
