--- a/src/config/consul.rs
+++ b/src/config/consul.rs
@@ -4,7 +4,7 @@
 use super::pairs::Pairs;
 use crate::backends::membership::{HoldDown, MembershipPolicy};
 use crate::interface::Millis;
-use crate::tls::{Fault, Files, Tls};
+use crate::tls::{Tls, TlsError, TlsFiles};
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -200,13 +200,13 @@
             (None, Some(_)) => Err(missing_beside("ca_file", "server_name")),
         };
     };
-    let tls = Tls::new(Files { authorities, own, name });
+    let tls = Tls::new(TlsFiles { authorities, client_identity: own, server_name: name });
     tls.map(Some).map_err(|fault| {
         let (key, reason) = match fault {
-            Fault::Authorities(reason) => ("ca_file", reason),
-            Fault::Certificate(reason) => ("cert_file", reason),
-            Fault::Key(reason) => ("key_file", reason),
-            Fault::Name(reason) => ("server_name", reason),
+            TlsError::Authorities(reason) => ("ca_file", reason),
+            TlsError::Certificate(reason) => ("cert_file", reason),
+            TlsError::Key(reason) => ("key_file", reason),
+            TlsError::ServerName(reason) => ("server_name", reason),
         };
         ConfigError::invalid(format!("consul.{key}"), format!("cannot be used: {reason}"))
     })
--- a/src/consul/agent.rs
+++ b/src/consul/agent.rs
@@ -179,7 +179,7 @@
     match &consul.tls {
         None => handshake(stream).await,
         Some(tls) => {
-            let (connector, name) = tls.to(at.ip());
+            let (connector, name) = tls.connector_for(at.ip());
             handshake(connector.connect(name, stream).await.map_err(told)?).await
         }
     }
