--- a/src/consul/book.rs
+++ b/src/consul/book.rs
@@ -164,7 +164,7 @@
     pub(super) fn update_stats(&self) {
         let silent = self.services.values().filter(|known| known.healthy_agent.is_none()).count();
         let heard = self.services.values().map(|known| known.members.answered_at().unwrap_or(0.0));
-        self.stats.consul(self.services.len(), silent, heard.fold(f64::INFINITY, f64::min));
+        self.stats.set_consul(self.services.len(), silent, heard.fold(f64::INFINITY, f64::min));
     }
 
     /// Takes in an answer; returns whether the catalogue is to confirm what it lacks.
--- a/src/fronts/ext_authz/authorisers.rs
+++ b/src/fronts/ext_authz/authorisers.rs
@@ -129,7 +129,7 @@
         request.set_timeout(timeout_of(wait));
         // From here on the connection may write it at any moment.
         stage.set(Stage::Written);
-        self.stats.written();
+        self.stats.attempt_written();
         match call(sender, at, request).await {
             // Garbage is no verdict.
             Ok(answer) if CheckResponse::decode(answer.clone()).is_err() => Ending::badly(Outcome::Error),
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -409,7 +409,7 @@
             }
         }
         stage.set(Stage::Written);
-        self.stats.written();
+        self.stats.attempt_written();
         Ok(Asked::Whole)
     }
 
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,4 +1,4 @@
-//! The metrics of a process. Counters are counted once, where the thing happens, and only ever upwards.
+//! The metrics of a process. Each event is counted once, where it happens; counters never decrease.
 
 use crate::interface::ClassId;
 use std::fmt::Write;
@@ -6,14 +6,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How a request ended whose client waited for it.
+/// How a request ended, if its client waited for the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was served.
+    /// The request was served.
     Completed,
-    /// It was rejected: to try again is harmless.
+    /// The request was rejected; a retry is safe.
     Rejected,
-    /// It failed, or its answer broke off.
+    /// The request failed, or its answer broke off.
     Failed,
 }
 
@@ -21,103 +21,107 @@
 #[derive(Debug, Default)]
 struct Class {
     name: String,
-    /// Requests by their [`RequestOutcome`].
-    ends: [AtomicU64; 3],
+    /// The number of requests for each [`RequestOutcome`], in the order of its variants.
+    by_outcome: [AtomicU64; 3],
 }
 
-/// What is known of Consul's answers.
+/// The state of the queries to Consul.
 #[derive(Debug, Default)]
 struct ConsulStats {
-    /// Services that are asked for.
+    /// The number of services that are queried.
     services: AtomicU64,
-    /// Those of them whose queries fail.
-    silent: AtomicU64,
-    /// When the service was last answered for whose answer is the oldest, in Unix milliseconds.
+    /// The number of them whose queries currently fail.
+    failing: AtomicU64,
+    /// The time of the least recent among the last answers for each service, in Unix milliseconds; 0 if there is none.
     oldest_answer: AtomicU64,
 }
 
-/// All metrics of a process; each starts at 0.
+/// All metrics of a process. Each starts at 0.
 #[derive(Debug, Default)]
 pub struct Stats {
     classes: Vec<Class>,
-    /// Attempts written to their last byte.
+    /// The number of attempts whose request was written completely.
     attempts: AtomicU64,
-    /// Requests taken and not ended.
+    /// The number of requests in progress.
     pending: AtomicU64,
     consul: ConsulStats,
 }
 
-/// How many backends there are.
+/// The numbers of backends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct BackendCounts {
-    /// On the list.
+    /// Backends on the list.
     pub listed: usize,
-    /// Those of them that get no work now: disabled, draining, or ejected.
+    /// Listed backends that receive no requests at present: disabled, draining or ejected.
     pub unavailable: usize,
 }
 
 impl Stats {
-    /// Metrics for classes of these names.
+    /// Creates the metrics for classes with these names, in the order of their [`ClassId`]s.
     pub fn new<'a>(names: impl IntoIterator<Item = &'a str>) -> Arc<Self> {
-        let class = |name: &str| Class { name: name.to_owned(), ends: Default::default() };
+        let class = |name: &str| Class { name: name.to_owned(), by_outcome: Default::default() };
         Arc::new(Self { classes: names.into_iter().map(class).collect(), ..Self::default() })
     }
 
-    /// Counts a request that is taken.
+    /// Counts a request as in progress until the returned guard is dropped.
     pub fn request_started(self: &Arc<Self>, class: ClassId) -> RequestInProgress {
         self.pending.fetch_add(1, Ordering::Relaxed);
         RequestInProgress { stats: self.clone(), class }
     }
 
-    /// Counts an attempt that was written to its last byte.
-    pub fn written(&self) {
+    /// Counts an attempt whose request was written completely to a backend.
+    pub fn attempt_written(&self) {
         self.attempts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Sets what is known of Consul's answers: how many services are asked for, how many of their queries fail, and the
+    /// Sets the metrics of Consul: the number of services that are queried, the number of them whose queries fail, and the
     /// time of the oldest answer, in Unix milliseconds.
-    pub fn consul(&self, services: usize, silent: usize, oldest_answer: f64) {
+    pub fn set_consul(&self, services: usize, failing: usize, oldest_answer: f64) {
         self.consul.services.store(services as u64, Ordering::Relaxed);
-        self.consul.silent.store(silent as u64, Ordering::Relaxed);
+        self.consul.failing.store(failing as u64, Ordering::Relaxed);
         self.consul.oldest_answer.store(oldest_answer.max(0.0) as u64, Ordering::Relaxed);
     }
 
-    /// All metrics as text, a line each.
-    pub fn text(&self, members: BackendCounts) -> String {
+    /// Returns all metrics as text, one line each.
+    pub fn text(&self, backends: BackendCounts) -> String {
         let read = |metric: &AtomicU64| metric.load(Ordering::Relaxed);
         let mut text = String::new();
         for (i, what) in ["completed", "rejected", "failed"].into_iter().enumerate() {
             for class in &self.classes {
-                let _ =
-                    writeln!(text, "svc_{what}_total{{lane=\"{}\"}} {}", class.name, read(&class.ends[i]));
+                let _ = writeln!(
+                    text,
+                    "svc_{what}_total{{lane=\"{}\"}} {}",
+                    class.name,
+                    read(&class.by_outcome[i])
+                );
             }
         }
         let _ = writeln!(text, "svc_upstream_requests_total {}", read(&self.attempts));
         let _ = writeln!(text, "svc_pending {}", read(&self.pending));
-        let _ = writeln!(text, "svc_members {}", members.listed);
-        let _ = writeln!(text, "svc_members_unavailable {}", members.unavailable);
+        let _ = writeln!(text, "svc_members {}", backends.listed);
+        let _ = writeln!(text, "svc_members_unavailable {}", backends.unavailable);
         self.consul.write(&mut text);
         text
     }
 }
 
 impl ConsulStats {
-    /// Writes these metrics, where any service is asked for.
+    /// Appends these metrics to `text` if any service is queried.
     fn write(&self, text: &mut String) {
         let services = self.services.load(Ordering::Relaxed);
         if services == 0 {
             return;
         }
-        let silent = self.silent.load(Ordering::Relaxed);
+        let failing = self.failing.load(Ordering::Relaxed);
         let oldest_answer = self.oldest_answer.load(Ordering::Relaxed);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let age = if oldest_answer > 0 { now.saturating_sub(oldest_answer) } else { 0 };
-        let _ = writeln!(text, "svc_consul_services {services}\nsvc_consul_silent {silent}");
+        let _ = writeln!(text, "svc_consul_services {services}\nsvc_consul_silent {failing}");
         let _ = writeln!(text, "svc_consul_age_ms {age}");
     }
 }
 
-/// A request that is taken and has not ended. One that is dropped without an end was given up by its client.
+/// A request in progress. It is counted under no outcome if it is dropped without [`Self::ended`]: its client has left.
 #[derive(Debug)]
 pub struct RequestInProgress {
     stats: Arc<Stats>,
@@ -125,10 +129,10 @@
 }
 
 impl RequestInProgress {
-    /// Counts how it ended: its answer was written, or will never be whole.
-    pub fn ended(self, how: RequestOutcome) {
+    /// Counts the request under `outcome`, once its answer is written or has broken off.
+    pub fn ended(self, outcome: RequestOutcome) {
         if let Some(class) = self.stats.classes.get(self.class.0) {
-            class.ends[how as usize].fetch_add(1, Ordering::Relaxed);
+            class.by_outcome[outcome as usize].fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn every_class_is_shown_from_zero_and_every_flow_counts_once() {
+fn shows_every_class_from_zero_and_counts_each_request_once() {
     let stats = Stats::new(["a", "b"]);
     let [one, two, three, left] = [0, 1, 1, 0].map(|class| stats.request_started(ClassId(class)));
-    stats.written();
+    stats.attempt_written();
     one.ended(RequestOutcome::Completed);
     two.ended(RequestOutcome::Rejected);
     drop(left);
