--- a/src/files.rs
+++ b/src/files.rs
@@ -1,15 +1,15 @@
-//! Files that this process keeps for the one that comes next.
+//! Files that this process writes for its successor.
 
 use std::io;
 use std::path::Path;
 
-/// Replaces a file in one step: a reader finds the old content or the new one, never a part of either.
+/// Replaces the content of a file atomically: a reader sees either the old content or the new one, never a mixture.
 ///
 /// # Errors
-/// Those of writing the file beside it or of renaming that one.
+/// Returns an error if the temporary file beside it cannot be written or renamed.
 pub fn replace(path: &Path, content: &[u8]) -> io::Result<()> {
-    let mut part = path.as_os_str().to_owned();
-    part.push(".part");
-    std::fs::write(&part, content)?;
-    std::fs::rename(&part, path)
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".part");
+    std::fs::write(&temporary, content)?;
+    std::fs::rename(&temporary, path)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one ingress.
+//! The `weldhub` program, which runs one ingress.
 
 use std::process::ExitCode;
 
