--- a/src/bin/weldhub-adapter/main.rs
+++ b/src/bin/weldhub-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Puts the decisions on the simulator's wire: reads batches on standard input, keeps one limiter for each
-//! instance number and writes the actions on standard output. It translates and decides nothing.
+//! Connects the decision module to the simulator: reads batches of events from standard input, keeps one limiter per
+//! instance number, and writes the actions to standard output. It only translates; all decisions are the limiters'.
 
 #[cfg(test)]
 mod tests;
@@ -13,30 +13,37 @@
 use weldhub::{Action, Event, Limiter};
 use wire::{Reader, Record, Reply};
 
-/// Bytes of a frame before its records: count, length, clock.
-const HEADER: usize = 16;
-/// Bytes that the length field does not count.
-const UNCOUNTED: usize = 8;
+/// The size of a frame's header (count, length and clock), in bytes.
+const HEADER_BYTES: usize = 16;
+/// The size of the part of the header that the length field does not count (count and length), in bytes.
+const PREFIX_BYTES: usize = 8;
 
-/// The instances that this process hosts.
+/// An instance of the ingress.
+struct Instance {
+    limiter: Limiter,
+    /// The names of the values in backends' load reports, in their order.
+    load_names: Vec<String>,
+}
+
+/// The instances that this process hosts, by their number.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<u16, (Limiter, Vec<String>)>,
+    instances: BTreeMap<u16, Instance>,
 }
 
 impl Host {
-    /// Answers one frame.
+    /// Handles one batch and returns the encoded reply.
     fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, String> {
         let mut reader = Reader::new(frame, 0);
-        let fault = |e: wire::WireError| e.to_string();
-        let count = reader.u32().map_err(fault)?;
-        reader.u32().map_err(fault)?;
-        let now = reader.f64().map_err(fault)?;
+        let describe = |e: wire::WireError| e.to_string();
+        let count = reader.u32().map_err(describe)?;
+        reader.u32().map_err(describe)?;
+        let now = reader.f64().map_err(describe)?;
         let mut reply = Reply::default();
         let (mut current, mut actions) = (0, Vec::new());
         for _ in 0..count {
-            let names = self.instances.get(&current).map_or(&[][..], |(_, names)| names);
-            let event = match reader.record(names).map_err(fault)? {
+            let load_names = self.instances.get(&current).map_or(&[][..], |instance| &instance.load_names);
+            let event = match reader.record(load_names).map_err(describe)? {
                 Record::SwitchTo(instance) => {
                     current = instance;
                     continue;
@@ -48,39 +55,39 @@
                 Record::Configure(seed, text) => {
                     let site = Site::read(&Pairs::from_text(&text)).map_err(|e| e.to_string())?;
                     let limiter = Limiter::new(site.settings, seed).map_err(|e| e.to_string())?;
-                    self.instances.insert(current, (limiter, site.load_names));
+                    self.instances.insert(current, Instance { limiter, load_names: site.load_names });
                     Event::Start
                 }
-                Record::Happened(event) => event,
+                Record::Event(event) => event,
             };
-            if let Some((limiter, _)) = self.instances.get_mut(&current) {
-                limiter.handle(now, event, &mut actions);
+            if let Some(instance) = self.instances.get_mut(&current) {
+                instance.limiter.handle(now, event, &mut actions);
                 actions.drain(..).for_each(|action: Action| reply.push(current, &action));
             }
         }
-        reader.end().map_err(fault)?;
-        Ok(reply.frame())
+        reader.finish().map_err(describe)?;
+        Ok(reply.into_frame())
     }
 }
 
-/// The next frame, or none at the end of the input.
-fn next_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
+/// Reads the next frame. Returns `None` at the end of the input.
+fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
     let mut frame = Vec::new();
-    let mut take = |frame: &mut Vec<u8>, n: usize| -> Result<bool, String> {
-        let got = input.by_ref().take(n as u64).read_to_end(frame).map_err(|e| e.to_string())?;
-        Ok(got == n)
+    let mut read = |frame: &mut Vec<u8>, n: usize| -> Result<bool, String> {
+        let read = input.by_ref().take(n as u64).read_to_end(frame).map_err(|e| e.to_string())?;
+        Ok(read == n)
     };
-    if !take(&mut frame, UNCOUNTED)? {
+    if !read(&mut frame, PREFIX_BYTES)? {
         return match frame.len() {
             0 => Ok(None),
             n => Err(format!("malformed frame: offset {n}: the input ends in the header")),
         };
     }
     let length = u32::from_be_bytes([frame[4], frame[5], frame[6], frame[7]]) as usize;
-    if length < HEADER - UNCOUNTED {
+    if length < HEADER_BYTES - PREFIX_BYTES {
         return Err(format!("malformed frame: offset 4: the length {length} leaves no room for the clock"));
     }
-    if !take(&mut frame, length)? {
+    if !read(&mut frame, length)? {
         let n = frame.len();
         return Err(format!("malformed frame: offset {n}: the input ends before the length {length}"));
     }
@@ -90,7 +97,7 @@
 fn run() -> Result<(), String> {
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
     let mut host = Host::default();
-    while let Some(frame) = next_frame(&mut input)? {
+    while let Some(frame) = read_frame(&mut input)? {
         let reply = host.answer(&frame)?;
         output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
     }
