--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -231,7 +231,7 @@
                         // In an instance the engine sweeps.
                         spawn_local(async move {
                             loop {
-                                deadlines.first_due().await;
+                                deadlines.next_expiry().await;
                                 let expired = deadlines.take_expired(deadlines.clock().now());
                                 expired.into_iter().for_each(|_: Expiry| ());
                             }
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! The clock, and the sorted timer queue of all deadlines, which the engine sweeps in each turn.
+//! The clock, and the sorted timer queue of all deadlines. The engine takes the expired ones in each turn of its loop.
 
 use crate::interface::{AttemptIndex, Millis, RequestId, TimerKey};
 use std::cell::RefCell;
@@ -10,23 +10,24 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// A clock in Unix milliseconds that only moves forward, whatever is done to the system's clock.
+/// A monotonic clock in Unix milliseconds; changes of the system's clock do not affect it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
-    unix: Millis,
+    /// The Unix time of `origin`.
+    unix_origin: Millis,
 }
 
 impl Clock {
-    /// A clock that is set once by the system's clock.
+    /// Creates a clock that starts at the system's current time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { origin: Instant::now(), unix: unix.as_secs_f64() * 1000.0 }
+        Self { origin: Instant::now(), unix_origin: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// The time now.
+    /// Returns the current time, in Unix milliseconds.
     pub fn now(&self) -> Millis {
-        self.unix + self.origin.elapsed().as_secs_f64() * 1000.0
+        self.unix_origin + self.origin.elapsed().as_secs_f64() * 1000.0
     }
 }
 
@@ -36,115 +37,117 @@
     }
 }
 
-/// What a deadline is for.
+/// What happens when a deadline expires.
 #[derive(Debug)]
 pub enum Expiry {
-    /// The request must have its final answer.
+    /// The request fails if it has no final answer yet.
     Request(RequestId),
-    /// The attempt is given up.
+    /// The attempt times out.
     Attempt(RequestId, AttemptIndex),
-    /// A timer of the decision module.
+    /// A timer of the decision module fires.
     Timer(TimerKey),
-    /// A call to the counter counts as unanswered.
+    /// The call to the counter with this number counts as unanswered.
     CounterCall(u64),
-    /// It is logged what became of the requests.
+    /// A summary of the requests is logged.
     RequestSummary,
-    /// A task of the network code sleeps until then.
+    /// A sleeping task is woken.
     Wake(Waker),
 }
 
-/// The key of a deadline, to remove it by.
+/// The key of a deadline, by which it can be removed: its time in Unix microseconds, and its number.
 pub type DeadlineKey = (u64, u64);
 
 #[derive(Debug, Default)]
-struct Sorted {
-    due: BTreeMap<DeadlineKey, Expiry>,
-    next: u64,
+struct Queue {
+    expiries: BTreeMap<DeadlineKey, Expiry>,
+    last_number: u64,
 }
 
-/// All deadlines of a process.
+/// All deadlines of a process. Clones share one queue.
 #[derive(Debug, Clone)]
 pub struct Deadlines {
     clock: Clock,
-    sorted: Rc<RefCell<Sorted>>,
-    earlier: Rc<Notify>,
+    queue: Rc<RefCell<Queue>>,
+    /// Notified when a deadline is added before all others.
+    earlier_added: Rc<Notify>,
 }
 
+/// Converts milliseconds to whole microseconds, rounding down.
 fn micros(at: Millis) -> u64 {
     (at.max(0.0) * 1000.0) as u64
 }
 
 impl Deadlines {
-    /// No deadlines yet.
+    /// Creates an empty queue.
     pub fn new(clock: Clock) -> Self {
-        Self { clock, sorted: Rc::default(), earlier: Rc::default() }
+        Self { clock, queue: Rc::default(), earlier_added: Rc::default() }
     }
 
-    /// The clock they go by.
+    /// Returns the clock that the deadlines are measured by.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Adds a deadline.
-    pub fn add(&self, at: Millis, due: Expiry) -> DeadlineKey {
-        let mut sorted = self.sorted.borrow_mut();
-        sorted.next += 1;
-        // Rounded up: what is due is never swept before its time, if only by less than a microsecond.
-        let key = (micros(at) + 1, sorted.next);
-        // Prevents the engine from oversleeping a deadline that came while it slept.
-        if sorted.due.first_key_value().is_none_or(|(first, _)| key < *first) {
-            self.earlier.notify_one();
+    /// Adds a deadline at a time in Unix milliseconds.
+    pub fn add(&self, at: Millis, expiry: Expiry) -> DeadlineKey {
+        let mut queue = self.queue.borrow_mut();
+        queue.last_number += 1;
+        // Rounded up, so that a deadline never expires early, not even by a fraction of a microsecond.
+        let key = (micros(at) + 1, queue.last_number);
+        // Wakes `next_expiry`, which would otherwise sleep past a deadline that is added while it waits for a later one.
+        if queue.expiries.first_key_value().is_none_or(|(first, _)| key < *first) {
+            self.earlier_added.notify_one();
         }
-        sorted.due.insert(key, due);
+        queue.expiries.insert(key, expiry);
         key
     }
 
-    /// Removes a deadline.
+    /// Removes a deadline. Does nothing if it has expired.
     pub fn remove(&self, key: DeadlineKey) {
-        self.sorted.borrow_mut().due.remove(&key);
+        self.queue.borrow_mut().expiries.remove(&key);
     }
 
-    /// Removes all that are due at `now` and returns them in order, without sleepers, which are woken.
+    /// Removes all deadlines that have expired at `now` and returns them in order. Sleeping tasks are woken instead.
     pub fn take_expired(&self, now: Millis) -> Vec<Expiry> {
-        let mut sorted = self.sorted.borrow_mut();
-        if sorted.due.first_key_value().is_none_or(|(first, _)| first.0 > micros(now)) {
+        let mut queue = self.queue.borrow_mut();
+        if queue.expiries.first_key_value().is_none_or(|(first, _)| first.0 > micros(now)) {
             return Vec::new();
         }
-        let later = sorted.due.split_off(&(micros(now) + 1, 0));
-        let due = std::mem::replace(&mut sorted.due, later);
-        drop(sorted);
-        let wake = |due| match due {
+        let later = queue.expiries.split_off(&(micros(now) + 1, 0));
+        let expired = std::mem::replace(&mut queue.expiries, later);
+        drop(queue);
+        let wake = |expiry| match expiry {
             Expiry::Wake(waker) => {
                 waker.wake();
                 None
             }
             other => Some(other),
         };
-        due.into_values().filter_map(wake).collect()
+        expired.into_values().filter_map(wake).collect()
     }
 
-    /// Waits until the first deadline is due, even if an earlier one is added meanwhile.
-    pub async fn first_due(&self) {
+    /// Waits until the earliest deadline expires, even if it is added during the wait.
+    pub async fn next_expiry(&self) {
         loop {
-            let first = self.sorted.borrow().due.first_key_value().map(|(key, _)| key.0);
+            let first = self.queue.borrow().expiries.first_key_value().map(|(key, _)| key.0);
             let wait = first.map(|at| at.saturating_sub(micros(self.clock.now())));
             match wait {
                 Some(0) => return,
                 Some(wait) => tokio::select! {
                     () = tokio::time::sleep(Duration::from_micros(wait)) => {}
-                    () = self.earlier.notified() => {}
+                    () = self.earlier_added.notified() => {}
                 },
-                None => self.earlier.notified().await,
+                None => self.earlier_added.notified().await,
             }
         }
     }
 
-    /// Sleeps for so many milliseconds.
+    /// Sleeps for `span` milliseconds.
     pub fn sleep(&self, span: Millis) -> Sleep {
         Sleep { deadlines: self.clone(), at: self.clock.now() + span, key: None }
     }
 
-    /// The output of a future, or none where it takes longer than so many milliseconds.
+    /// Awaits a future for at most `span` milliseconds. Returns its output, or `None` if it takes longer.
     pub async fn within<F: Future>(&self, span: Millis, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
@@ -154,7 +157,7 @@
     }
 }
 
-/// A sleep that the sweep ends.
+/// A sleep that [`Deadlines::take_expired`] ends.
 #[derive(Debug)]
 pub struct Sleep {
     deadlines: Deadlines,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,5 +1,5 @@
-//! The core: feeds the decisions each turn's events and carries out their actions. It knows no wire. It sees to
-//! it that every flow gets one final answer, before its deadline.
+//! The engine of an ingress: passes events to the decision module and carries out the actions that it returns. It knows
+//! no wire protocol. It ensures that every request gets exactly one final answer, before its deadline.
 
 use crate::cluster::notices::{LocalNotice, Subject};
 use crate::deadlines::{DeadlineKey, Deadlines, Expiry};
@@ -18,569 +18,613 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Before a flow's deadline its schedulings end, so that the decisions can still answer ...
-const SLACK: Millis = 20.0;
-/// ... and by then, whatever they do, it has its answer, with time left to write it.
-const GUARD: Millis = 10.0;
-/// Short deadlines give up no more than this part of their time for either.
-const SLACK_PART: f64 = 0.2;
-
-/// Where the engine's actions go.
+/// The attempts of a request end this many milliseconds before its deadline, so that the decision module can still answer.
+const DECISION_SLACK: Millis = 20.0;
+/// A request that has no answer this many milliseconds before its deadline fails, so that the failure can still be written
+/// in time.
+const ANSWER_SLACK: Millis = 10.0;
+/// The largest fraction of a request's time that either slack may take, so that short deadlines leave time for attempts.
+const MAX_SLACK_FRACTION: f64 = 0.2;
+/// The longest time that a request's body may take, in milliseconds. The server side closes stalled uploads much earlier.
+const MAX_UPLOAD_TIME: Millis = 3_600_000.0;
+/// The interval between the log's summaries of requests, in milliseconds.
+const SUMMARY_INTERVAL: Millis = 10_000.0;
+
+/// The channels that the engine's actions are sent to.
 #[derive(Debug)]
-pub struct Outlets<Q> {
-    /// To the client side.
-    pub orders: mpsc::UnboundedSender<ClientSideCommand<Q>>,
-    /// To the counter, where there is one.
+pub struct Outputs<Q> {
+    /// Commands to the client side.
+    pub commands: mpsc::UnboundedSender<ClientSideCommand<Q>>,
+    /// Calls to the counter, or `None` if there is no counter.
     pub counter: Option<mpsc::UnboundedSender<CounterCall>>,
-    /// To the process that decides in place of this one, how its attempts end.
+    /// Ends of this process's attempts, for the process that decides in its place after an upgrade.
     pub successor: mpsc::UnboundedSender<AttemptEnd>,
-    /// To the peers, where messages are allowed.
+    /// Messages to peers, or `None` if messages between ingresses are disabled.
     pub peers: Option<mpsc::UnboundedSender<(IngressId, Vec<u8>)>>,
-    /// To the other ingresses, which real servers an operator takes out here or puts back, where they tell each other.
-    pub said: Option<mpsc::UnboundedSender<LocalNotice>>,
-    /// To the membership, how schedulings end, where it wants to know.
+    /// Notices to the other ingresses about backends that an operator disables or enables here, or `None` if there is no
+    /// membership of a fleet.
+    pub local_notices: Option<mpsc::UnboundedSender<LocalNotice>>,
+    /// Observes how attempts end, for the state of backends by Consul; `None` if Consul is not used.
     pub witness: Option<Rc<Witness>>,
 }
 
-/// Bounds of the engine.
+/// Limits of the engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
-    /// The most flows at once; more are turned away unseen.
-    pub flows: usize,
-    /// The most schedulings of a flow.
-    pub schedulings: u16,
-    /// A call to the counter that is not answered by then is taken for unanswered.
+pub struct EngineLimits {
+    /// The maximum number of concurrent requests; further ones are rejected without a decision.
+    pub max_requests: usize,
+    /// The maximum number of attempts per request.
+    pub max_attempts: u16,
+    /// The time after which a call to the counter counts as unanswered, in milliseconds.
     pub counter_timeout: Millis,
-    /// When a rejected client is to come back where the decisions do not say.
+    /// When a rejected client is told to retry if the decision module does not say, in milliseconds from the rejection.
     pub retry_after: Millis,
 }
 
 #[derive(Debug)]
-struct Scheduling {
-    no: AttemptIndex,
-    server: BackendId,
-    sent: Millis,
-    /// When its answer began to pass on.
-    began: Option<Millis>,
+struct Attempt {
+    index: AttemptIndex,
+    backend: BackendId,
+    sent_at: Millis,
+    /// When its answer began to be forwarded, or `None` if it has not.
+    answered_at: Option<Millis>,
     deadline: DeadlineKey,
 }
 
 #[derive(Debug)]
-struct Flow<Q, A> {
+struct PendingRequest<Q, A> {
     question: Q,
-    /// Whom to answer; gone once it is over.
+    /// The receiver of the final answer, or `None` once the request is closed.
     client: Option<oneshot::Sender<FinalAnswer<A>>>,
-    /// How long the client waits once its body has come; none where it has.
-    uploads: Option<Millis>,
-    /// When the last scheduling ends.
-    until: Millis,
-    guard: DeadlineKey,
+    /// How long the client waits after the last byte of the body, in milliseconds, or `None` if the body is complete.
+    timeout_after_body: Option<Millis>,
+    /// When the last attempt must end.
+    attempts_end: Millis,
+    answer_deadline: DeadlineKey,
+    /// The number of attempts started so far.
     started: u16,
-    out: Vec<Scheduling>,
+    in_flight: Vec<Attempt>,
+    /// Whether the attempt that ended last timed out.
     timed_out: bool,
 }
 
-/// The longest time that a flow's body may take; the server side ends those that stall long before.
-const UPLOAD: Millis = 3_600_000.0;
-
-/// When a flow's schedulings end, and when the flow does, if a client waits for so long.
-fn parts(left: Millis) -> [Millis; 2] {
-    [SLACK, GUARD].map(|slack| left - slack.min(left * SLACK_PART))
+/// Returns how long the attempts of a request may run, and when its final answer is due, both in milliseconds from now, if
+/// its client waits for `time_left`.
+fn time_limits(time_left: Millis) -> [Millis; 2] {
+    [DECISION_SLACK, ANSWER_SLACK].map(|slack| time_left - slack.min(time_left * MAX_SLACK_FRACTION))
 }
 
-/// So often the log tells what became of the flows.
-const TALLY: Millis = 10_000.0;
-
-/// What became of the flows since the last line in the log.
+/// The numbers of requests by their end, and of attempts, since the last summary in the log.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Tally {
+struct Summary {
     served: u64,
     rejected: u64,
     no_room: u64,
     failed: u64,
-    left: u64,
-    schedulings: u64,
-    retried: u64,
+    client_left: u64,
+    attempts: u64,
+    /// Attempts after the first one of their request.
+    retries: u64,
 }
 
-/// The engine of one ingress.
+/// The engine of one ingress. `Q` is the question that a front asks backends, `A` their answer.
 pub struct Engine<Q, A> {
     limiter: Limiter,
     maintenance: Maintenance,
-    /// The part of the list that this ingress goes by; none where it goes by all of it.
+    /// The subset of the list that this ingress uses, or `None` if it uses the whole list.
     subset: Option<Subset>,
     deadlines: Deadlines,
-    news: mpsc::UnboundedReceiver<EngineEvent<Q, A>>,
-    outlets: Outlets<Q>,
-    bounds: Bounds,
-    flows: HashMap<RequestId, Flow<Q, A>>,
-    calls: HashMap<u64, CounterName>,
-    next_call: u64,
+    events: mpsc::UnboundedReceiver<EngineEvent<Q, A>>,
+    outputs: Outputs<Q>,
+    limits: EngineLimits,
+    requests: HashMap<RequestId, PendingRequest<Q, A>>,
+    /// Calls to the counter that are neither answered nor timed out, by their number.
+    counter_calls: HashMap<u64, CounterName>,
+    last_call: u64,
     now: Millis,
-    /// Events that actions bring about at once.
-    own: VecDeque<Event>,
-    tally: Tally,
-    /// Another process decides.
+    /// Events that follow from actions at once.
+    follow_ups: VecDeque<Event>,
+    summary: Summary,
+    /// Another process decides in place of this one.
     retired: bool,
-    /// Attempts that are out at a process before.
-    elsewhere: BTreeMap<(RequestId, AttemptIndex), BackendId>,
-    /// Discovery has told a list.
-    told: bool,
+    /// Attempts that a predecessor process still has in flight.
+    predecessor_attempts: BTreeMap<(RequestId, AttemptIndex), BackendId>,
+    /// Discovery has sent a list.
+    list_received: bool,
     log: Logger,
 }
 
 impl<Q: Clone, A> Engine<Q, A> {
-    /// An engine round a limiter, with the bans that hold.
+    /// Creates an engine around a decision module (`limiter`), with the backends that operators have disabled.
     pub fn new(
         (limiter, maintenance): (Limiter, Maintenance),
         deadlines: Deadlines,
-        news: mpsc::UnboundedReceiver<EngineEvent<Q, A>>,
-        outlets: Outlets<Q>,
-        bounds: Bounds,
+        events: mpsc::UnboundedReceiver<EngineEvent<Q, A>>,
+        outputs: Outputs<Q>,
+        limits: EngineLimits,
         log: Logger,
     ) -> Self {
         let now = deadlines.clock().now();
-        let (flows, calls, own, tally) = Default::default();
+        let (requests, counter_calls, follow_ups, summary) = Default::default();
         Self {
             limiter,
             maintenance,
             subset: None,
             deadlines,
-            news,
-            outlets,
-            bounds,
-            flows,
-            calls,
-            next_call: 0,
+            events,
+            outputs,
+            limits,
+            requests,
+            counter_calls,
+            last_call: 0,
             now,
-            own,
-            tally,
+            follow_ups,
+            summary,
             retired: false,
-            elsewhere: BTreeMap::new(),
-            told: false,
+            predecessor_attempts: BTreeMap::new(),
+            list_received: false,
             log,
         }
     }
 
-    /// Goes by a part of the list only, where there is one.
+    /// Restricts the engine to a subset of the list, if one is given.
     pub fn with_subset(mut self, subset: Option<Subset>) -> Self {
         self.subset = subset;
         self
     }
 
-    /// Starts from the list that was known last, if any, and runs until every way in is closed.
+    /// Starts from the list that an earlier process knew, if any, and runs until every [`EngineEvent`] sender is dropped.
     pub async fn run(mut self, known: Option<BackendList>) {
         self.now = self.deadlines.clock().now();
-        self.deadlines.add(self.now + TALLY, Expiry::RequestSummary);
-        self.feed(Event::Start);
-        // Prevents the first list of all from being taken for one of newcomers, which are spared as cold.
+        self.deadlines.add(self.now + SUMMARY_INTERVAL, Expiry::RequestSummary);
+        self.decide(Event::Start);
+        // Prevents the backends of the first list from being treated as new ones, which get little load while they are cold.
         if let Some(known) = known.filter(|known| !known.entries.is_empty()) {
-            self.listed(known, ListKind::Cached);
+            self.apply_list(known, ListKind::Cached);
         }
         loop {
             let first = tokio::select! {
-                news = self.news.recv() => match news {
+                event = self.events.recv() => match event {
                     None => return,
-                    news => news,
+                    event => event,
                 },
-                () = self.deadlines.first_due() => {
-                    // Prevents answers that have come in from losing to their time-outs after a standstill.
+                () = self.deadlines.next_expiry() => {
+                    // Prevents timeouts from overtaking answers that arrived while the process was suspended.
                     tokio::task::yield_now().await;
                     None
                 }
             };
             self.now = self.deadlines.clock().now();
-            first.into_iter().for_each(|news| self.take(news));
-            while let Ok(news) = self.news.try_recv() {
-                self.take(news);
+            first.into_iter().for_each(|event| self.handle(event));
+            while let Ok(event) = self.events.try_recv() {
+                self.handle(event);
             }
-            self.deadlines.take_expired(self.now).into_iter().for_each(|due| self.due(due));
+            self.deadlines.take_expired(self.now).into_iter().for_each(|expiry| self.expire(expiry));
         }
     }
 
-    /// Gives the decisions an event and carries out what they want, and what that brings about.
-    fn feed(&mut self, event: Event) {
-        let mut acts = Vec::new();
+    /// Passes an event to the decision module and carries out its actions, then the events that follow from these.
+    fn decide(&mut self, event: Event) {
+        let mut actions = Vec::new();
         let mut next = Some(event);
         while let Some(event) = next {
-            self.limiter.handle(self.now, event, &mut acts);
-            for act in acts.drain(..) {
-                self.carry_out(act);
+            self.limiter.handle(self.now, event, &mut actions);
+            for action in actions.drain(..) {
+                self.carry_out(action);
             }
-            next = self.own.pop_front();
+            next = self.follow_ups.pop_front();
         }
     }
 
-    fn take(&mut self, news: EngineEvent<Q, A>) {
-        match news {
-            EngineEvent::RequestArrived(id, terms, question, client) => {
-                if self.flows.len() >= self.bounds.flows {
-                    return self.answer(client, FinalAnswer::NoRoom(self.bounds.retry_after));
+    fn handle(&mut self, event: EngineEvent<Q, A>) {
+        match event {
+            EngineEvent::RequestArrived(id, info, question, client) => {
+                if self.requests.len() >= self.limits.max_requests {
+                    return self.answer(client, FinalAnswer::NoRoom(self.limits.retry_after));
                 }
-                let uploads = terms.body_pending.then_some(terms.time_left);
-                let [left, last] = parts(if terms.body_pending { UPLOAD } else { terms.time_left });
-                let guard = self.deadlines.add(self.now + last, Expiry::Request(id));
-                let (client, until) = (Some(client), self.now + left);
-                let (out, started, timed_out) = (Vec::new(), 0, false);
-                let flow = Flow { question, client, uploads, until, guard, started, out, timed_out };
-                self.flows.insert(id, flow);
-                self.feed(Event::Request(Request {
+                let timeout_after_body = info.body_pending.then_some(info.time_left);
+                let [attempts_time, answer_time] =
+                    time_limits(if info.body_pending { MAX_UPLOAD_TIME } else { info.time_left });
+                let answer_deadline = self.deadlines.add(self.now + answer_time, Expiry::Request(id));
+                let request = PendingRequest {
+                    question,
+                    client: Some(client),
+                    timeout_after_body,
+                    attempts_end: self.now + attempts_time,
+                    answer_deadline,
+                    started: 0,
+                    in_flight: Vec::new(),
+                    timed_out: false,
+                };
+                self.requests.insert(id, request);
+                self.decide(Event::Request(Request {
                     id,
-                    class: terms.class,
-                    plan: terms.plan,
-                    customer: terms.customer,
-                    time_left: left,
-                    units: terms.units,
-                    spread: terms.spread,
-                    first_ingress: terms.first_ingress,
-                    is_retry: terms.is_retry,
+                    class: info.class,
+                    plan: info.plan,
+                    customer: info.customer,
+                    time_left: attempts_time,
+                    units: info.units,
+                    spread: info.spread,
+                    first_ingress: info.first_ingress,
+                    is_retry: info.is_retry,
                 }));
             }
             EngineEvent::ClientLeft(id) => {
-                // One that has had its answer is over already.
+                // A request that has its answer is closed already.
                 if self.close(id).is_some() {
-                    self.tally.left += 1;
-                    self.feed(Event::ClientLeft(id));
-                    // Also where the decisions may not cancel: what has not begun to leave never will.
-                    let out = self.flows.get(&id).into_iter().flat_map(|flow| flow.out.iter().map(|s| s.no));
-                    out.for_each(|no| self.order(ClientSideCommand::Withdraw(id, no)));
+                    self.summary.client_left += 1;
+                    self.decide(Event::ClientLeft(id));
+                    // Even if cancellation is disabled, an attempt of which nothing is written yet must not be sent any more.
+                    let request = self.requests.get(&id).into_iter();
+                    let indexes =
+                        request.flat_map(|request| request.in_flight.iter().map(|attempt| attempt.index));
+                    indexes.for_each(|index| self.command(ClientSideCommand::Withdraw(id, index)));
                 }
             }
-            EngineEvent::BodyReceived(id) => self.uploaded(id),
-            EngineEvent::AnswerStarted(id, no, answer) => self.began((id, no), answer),
-            EngineEvent::AttemptEnded(report) => self.ended(report),
+            EngineEvent::BodyReceived(id) => self.body_received(id),
+            EngineEvent::AnswerStarted(id, index, answer) => self.answer_started((id, index), answer),
+            EngineEvent::AttemptEnded(report) => self.attempt_ended(report),
             EngineEvent::BackendList(list) => {
-                self.told = true;
+                self.list_received = true;
                 let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
-                self.listed(list, kind);
+                self.apply_list(list, kind);
             }
-            EngineEvent::PeerMessage(from, bytes) => self.feed(Event::PeerMessage(from, bytes)),
+            EngineEvent::PeerMessage(from, bytes) => self.decide(Event::PeerMessage(from, bytes)),
             EngineEvent::CounterAnswered(seq, answer) => {
-                // One that timed out has been told as unknown.
-                if let Some(name) = self.calls.remove(&seq) {
-                    self.feed(Event::CounterAnswered(name, answer));
+                // A call that timed out has been reported as unknown.
+                if let Some(name) = self.counter_calls.remove(&seq) {
+                    self.decide(Event::CounterAnswered(name, answer));
                 }
             }
-            EngineEvent::LiveIngresses(living) => {
-                let change = self.subset.as_mut().and_then(|subset| subset.living(living.as_deref()));
-                self.limiter.living(living);
+            EngineEvent::LiveIngresses(live) => {
+                let change = self.subset.as_mut().and_then(|subset| subset.living(live.as_deref()));
+                self.limiter.living(live);
                 if let Some(change) = change {
-                    self.tell(change, ListKind::Changes);
+                    self.publish_list(change, ListKind::Changes);
                 }
             }
-            EngineEvent::DisabledElsewhere(name, out) => {
-                if let Some(change) = self.maintenance.ordered(&name, out) {
-                    self.believe(change, ListKind::Changes);
+            EngineEvent::DisabledElsewhere(name, disabled) => {
+                if let Some(change) = self.maintenance.ordered(&name, disabled) {
+                    self.apply_change(change, ListKind::Changes);
                 }
             }
             EngineEvent::HandOver(reply) => {
                 self.retired = true;
-                let (list, bans) = (self.maintenance.told(), self.maintenance.bans());
-                let _ = reply.send(EngineState { limiter: self.limiter.hand_over(), disabled: bans, list });
+                let (list, disabled) = (self.maintenance.told(), self.maintenance.bans());
+                let _ = reply.send(EngineState { limiter: self.limiter.hand_over(), disabled, list });
             }
             EngineEvent::Resume => {
                 self.retired = false;
                 self.limiter.take_back();
             }
-            EngineEvent::Inherit(estate, reply) => {
-                self.inherit(estate);
+            EngineEvent::Inherit(state, reply) => {
+                self.inherit(state);
                 let _ = reply.send(());
             }
-            EngineEvent::PredecessorAttemptEnded(end) => self.ended_elsewhere(end),
+            EngineEvent::PredecessorAttemptEnded(end) => self.predecessor_attempt_ended(end),
             EngineEvent::PredecessorGone => {
-                for ((request, attempt), server) in std::mem::take(&mut self.elsewhere) {
+                for ((request, index), backend) in std::mem::take(&mut self.predecessor_attempts) {
                     let end = (Outcome::Cancelled, 0.0);
-                    self.feed(attempt_ended((request, attempt), server, end, true, Load::default()));
+                    self.decide(attempt_end_event((request, index), backend, end, true, Load::default()));
                 }
             }
             EngineEvent::Operate(operation, reply) => {
-                // Whoever asked has its answer after all that follows is carried out.
-                let done = self.operate(operation);
-                let _ = reply.send(done);
+                // The operator gets the result only after all consequences are carried out.
+                let result = self.operate(operation);
+                let _ = reply.send(result);
             }
         }
     }
 
-    /// Goes on from what another process knew. What cannot be read leaves this one as after a restart.
-    fn inherit(&mut self, estate: EngineState) {
-        self.maintenance.ban_only(estate.disabled);
-        match self.limiter.inherit(&estate.limiter) {
-            Ok(out) => {
-                self.elsewhere =
-                    out.into_iter().map(|(request, no, server)| ((request, no), server)).collect();
-                info!(self.log, "took over"; "attempts_out" => self.elsewhere.len());
+    /// Continues from the state of another process. If the limiter's state cannot be read, this process starts afresh, as
+    /// after a restart.
+    fn inherit(&mut self, state: EngineState) {
+        self.maintenance.ban_only(state.disabled);
+        match self.limiter.inherit(&state.limiter) {
+            Ok(in_flight) => {
+                self.predecessor_attempts = in_flight
+                    .into_iter()
+                    .map(|(request, index, backend)| ((request, index), backend))
+                    .collect();
+                info!(self.log, "took over"; "attempts_out" => self.predecessor_attempts.len());
             }
             Err(why) => warn!(self.log, "what the old process knew was passed over"; "why" => why),
         }
-        if !self.told && !estate.list.entries.is_empty() {
-            self.maintenance.listed(estate.list);
+        if !self.list_received && !state.list.entries.is_empty() {
+            self.maintenance.listed(state.list);
         }
         let mut list = self.maintenance.told();
         if !list.entries.is_empty() {
             list = self.maintenance.listed(list);
-            self.believe(list, ListKind::Full);
+            self.apply_change(list, ListKind::Full);
         }
     }
 
-    fn ended_elsewhere(&mut self, end: AttemptEnd) {
-        if self.elsewhere.remove(&(end.request, end.attempt)).is_some() {
+    fn predecessor_attempt_ended(&mut self, end: AttemptEnd) {
+        if self.predecessor_attempts.remove(&(end.request, end.attempt)).is_some() {
             if self.retired {
-                let _ = self.outlets.successor.send(end);
+                let _ = self.outputs.successor.send(end);
             }
-            self.feed(Event::AttemptEnded(AttemptEnd { request_closed: true, ..end }));
+            self.decide(Event::AttemptEnded(AttemptEnd { request_closed: true, ..end }));
         }
     }
 
     fn operate(&mut self, operation: Operation) -> Result<BackendStatus, &'static str> {
-        let (change, said) = match operation {
+        let (change, notice) = match operation {
             Operation::Inspect => (None, None),
             Operation::Disable(name) => (self.maintenance.disable(&name)?, Some((name, true))),
             Operation::Enable(name) => (self.maintenance.enable(&name)?, Some((name, false))),
         };
-        if let (Some(out), Some((name, holds))) = (&self.outlets.said, said) {
-            let _ = out.send(LocalNotice::Published(Subject::Server(name), holds));
+        if let (Some(notices), Some((name, disabled))) = (&self.outputs.local_notices, notice) {
+            let _ = notices.send(LocalNotice::Published(Subject::Server(name), disabled));
         }
         if let Some(change) = change {
-            self.believe(change, ListKind::Changes);
+            self.apply_change(change, ListKind::Changes);
         }
         Ok(BackendStatus { counts: self.limiter.members(self.now), disabled: self.maintenance.bans() })
     }
 
-    fn listed(&mut self, list: BackendList, kind: ListKind) {
+    /// Applies a list from discovery, without the backends that operators have disabled.
+    fn apply_list(&mut self, list: BackendList, kind: ListKind) {
         let list = self.maintenance.listed(list);
-        self.believe(list, kind);
+        self.apply_change(list, kind);
     }
 
-    fn believe(&mut self, list: BackendList, kind: ListKind) {
+    /// Restricts a list, or changes to it, to this ingress's subset and publishes the result.
+    fn apply_change(&mut self, list: BackendList, kind: ListKind) {
         let list = match &mut self.subset {
             Some(subset) => subset.listed(self.now, list),
             None => list,
         };
-        self.tell(list, kind);
+        self.publish_list(list, kind);
     }
 
-    fn tell(&mut self, list: BackendList, kind: ListKind) {
+    /// Sends a list, or changes to it, to the client side and to the decision module.
+    fn publish_list(&mut self, list: BackendList, kind: ListKind) {
         let entries = list.entries.iter().map(|e| e.entry).collect();
-        // The client side learns it first: nothing that waits there starts on a drained real server.
-        self.order(ClientSideCommand::BackendList(list));
-        self.feed(Event::BackendList(kind, entries));
+        // The client side must know the list first, or an attempt that waits there could start on a draining backend.
+        self.command(ClientSideCommand::BackendList(list));
+        self.decide(Event::BackendList(kind, entries));
     }
 
-    fn due(&mut self, due: Expiry) {
-        match due {
-            Expiry::Timer(key) => self.feed(Event::Timer(key)),
-            Expiry::Attempt(flow, no) => self.order(ClientSideCommand::GiveUp(flow, no, Outcome::TimedOut)),
+    fn expire(&mut self, expiry: Expiry) {
+        match expiry {
+            Expiry::Timer(key) => self.decide(Event::Timer(key)),
+            Expiry::Attempt(id, index) => {
+                self.command(ClientSideCommand::GiveUp(id, index, Outcome::TimedOut));
+            }
             Expiry::CounterCall(seq) => {
-                if let Some(name) = self.calls.remove(&seq) {
-                    self.feed(Event::CounterAnswered(name, CounterAnswer::Unknown));
+                if let Some(name) = self.counter_calls.remove(&seq) {
+                    self.decide(Event::CounterAnswered(name, CounterAnswer::Unknown));
                 }
             }
             Expiry::Request(id) => {
-                // The last guard: a flow that the decisions still hold gets its one final answer.
+                // The last safeguard: a request that the decision module has not answered fails now.
                 if let Some(client) = self.close(id) {
                     self.answer(client, FinalAnswer::Failed { timed_out: true });
                     debug!(self.log, "flow failed at its deadline"; "flow" => id.0);
-                    self.feed(Event::ClientLeft(id));
+                    self.decide(Event::ClientLeft(id));
                 }
             }
             Expiry::RequestSummary => {
-                self.deadlines.add(self.now + TALLY, Expiry::RequestSummary);
-                let tally = std::mem::take(&mut self.tally);
-                if tally != Tally::default() || !self.flows.is_empty() {
+                self.deadlines.add(self.now + SUMMARY_INTERVAL, Expiry::RequestSummary);
+                let summary = std::mem::take(&mut self.summary);
+                if summary != Summary::default() || !self.requests.is_empty() {
                     info!(self.log, "tally";
-                        "served" => tally.served, "rejected" => tally.rejected,
-                        "no_room" => tally.no_room, "failed" => tally.failed, "left" => tally.left,
-                        "schedulings" => tally.schedulings, "retried" => tally.retried,
-                        "open" => self.flows.len());
+                        "served" => summary.served, "rejected" => summary.rejected,
+                        "no_room" => summary.no_room, "failed" => summary.failed, "left" => summary.client_left,
+                        "schedulings" => summary.attempts, "retried" => summary.retries,
+                        "open" => self.requests.len());
                 }
             }
             Expiry::Wake(waker) => waker.wake(),
         }
     }
 
-    /// The one place where a flow's verdict goes out; a client that has left needs none.
-    fn answer(&mut self, client: oneshot::Sender<FinalAnswer<A>>, verdict: FinalAnswer<A>) {
-        match verdict {
-            FinalAnswer::Served(_) => self.tally.served += 1,
-            FinalAnswer::Rejected(_) => self.tally.rejected += 1,
-            FinalAnswer::NoRoom(_) => self.tally.no_room += 1,
-            FinalAnswer::Failed { .. } => self.tally.failed += 1,
+    /// Sends and counts a final answer. All final answers pass through here; a client that has left needs none.
+    fn answer(&mut self, client: oneshot::Sender<FinalAnswer<A>>, answer: FinalAnswer<A>) {
+        match answer {
+            FinalAnswer::Served(_) => self.summary.served += 1,
+            FinalAnswer::Rejected(_) => self.summary.rejected += 1,
+            FinalAnswer::NoRoom(_) => self.summary.no_room += 1,
+            FinalAnswer::Failed { .. } => self.summary.failed += 1,
         }
-        let _ = client.send(verdict);
+        let _ = client.send(answer);
     }
 
-    fn order(&self, order: ClientSideCommand<Q>) {
-        let _ = self.outlets.orders.send(order);
+    fn command(&self, command: ClientSideCommand<Q>) {
+        let _ = self.outputs.commands.send(command);
     }
 
-    /// Ends a flow; tells whom to answer where that is still owed.
+    /// Closes a request, and returns the receiver of its answer, or `None` if the request is closed already.
     fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalAnswer<A>>> {
-        let flow = self.flows.get_mut(&id)?;
-        let client = flow.client.take()?;
-        self.deadlines.remove(flow.guard);
-        if flow.out.is_empty() {
-            self.flows.remove(&id);
+        let request = self.requests.get_mut(&id)?;
+        let client = request.client.take()?;
+        self.deadlines.remove(request.answer_deadline);
+        if request.in_flight.is_empty() {
+            self.requests.remove(&id);
         }
         Some(client)
     }
 
-    /// A flow's body has come: its time runs from now on.
-    fn uploaded(&mut self, id: RequestId) {
-        let Some(flow) = self.flows.get_mut(&id) else { return };
-        let Some([left, last]) = flow.uploads.take().map(parts) else { return };
-        self.deadlines.remove(flow.guard);
-        flow.guard = self.deadlines.add(self.now + last, Expiry::Request(id));
-        flow.until = self.now + left;
-        for s in &mut flow.out {
-            self.deadlines.remove(s.deadline);
-            s.deadline = self.deadlines.add(flow.until, Expiry::Attempt(id, s.no));
-            s.sent = self.now;
+    /// Starts a request's deadlines, as its body is complete.
+    fn body_received(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some([attempts_time, answer_time]) = request.timeout_after_body.take().map(time_limits) else {
+            return;
+        };
+        self.deadlines.remove(request.answer_deadline);
+        request.answer_deadline = self.deadlines.add(self.now + answer_time, Expiry::Request(id));
+        request.attempts_end = self.now + attempts_time;
+        for attempt in &mut request.in_flight {
+            self.deadlines.remove(attempt.deadline);
+            attempt.deadline = self.deadlines.add(request.attempts_end, Expiry::Attempt(id, attempt.index));
+            attempt.sent_at = self.now;
         }
     }
 
-    /// A scheduling's answer passes on: the client has it, and no time is set for its end.
-    fn began(&mut self, (id, no): (RequestId, AttemptIndex), answer: A) {
-        let Some(flow) = self.flows.get_mut(&id) else { return };
-        let Some(s) = flow.out.iter_mut().find(|s| s.no == no) else { return };
-        self.deadlines.remove(s.deadline);
-        s.began = Some(self.now);
+    /// Passes on the answer of an attempt, which becomes the request's final answer however the attempt ends.
+    fn answer_started(&mut self, (id, index): (RequestId, AttemptIndex), answer: A) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.in_flight.iter_mut().find(|attempt| attempt.index == index) else {
+            return;
+        };
+        self.deadlines.remove(attempt.deadline);
+        attempt.answered_at = Some(self.now);
         if let Some(client) = self.close(id) {
             self.answer(client, FinalAnswer::Served(answer));
         }
-        self.feed(Event::StreamStarted(id, no));
+        self.decide(Event::StreamStarted(id, index));
     }
 
-    fn ended(&mut self, report: AttemptReport<A>) {
-        let AttemptReport { request: id, attempt: no, mut outcome, load, answer } = report;
-        let Some(flow) = self.flows.get_mut(&id) else { return };
-        let Some(at) = flow.out.iter().position(|s| s.no == no) else { return };
-        let ended = flow.out.swap_remove(at);
+    fn attempt_ended(&mut self, report: AttemptReport<A>) {
+        let AttemptReport { request: id, attempt: index, mut outcome, load, answer } = report;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(position) = request.in_flight.iter().position(|attempt| attempt.index == index) else {
+            return;
+        };
+        let ended = request.in_flight.swap_remove(position);
         self.deadlines.remove(ended.deadline);
-        flow.timed_out = outcome == Outcome::TimedOut;
+        request.timed_out = outcome == Outcome::TimedOut;
         match answer {
             Some(answer) if outcome == Outcome::Served => {
                 if let Some(client) = self.close(id) {
                     self.answer(client, FinalAnswer::Served(answer));
                 }
             }
-            None if outcome == Outcome::Served && ended.began.is_none() => outcome = Outcome::Error,
+            None if outcome == Outcome::Served && ended.answered_at.is_none() => outcome = Outcome::Error,
             _ => {}
         }
-        if let Some(witness) = &self.outlets.witness {
-            witness.ended(ended.server, outcome);
+        if let Some(witness) = &self.outputs.witness {
+            witness.ended(ended.backend, outcome);
         }
-        let closed = self.flows.get(&id).is_none_or(|flow| flow.client.is_none());
-        let spent = ended.began.unwrap_or(self.now) - ended.sent;
-        let end = attempt_ended((id, no), ended.server, (outcome, spent), closed, load);
+        let closed = self.requests.get(&id).is_none_or(|request| request.client.is_none());
+        let elapsed = ended.answered_at.unwrap_or(self.now) - ended.sent_at;
+        let end = attempt_end_event((id, index), ended.backend, (outcome, elapsed), closed, load);
         if let (true, Event::AttemptEnded(end)) = (self.retired, &end) {
-            let _ = self.outlets.successor.send(*end);
+            let _ = self.outputs.successor.send(*end);
         }
-        self.feed(end);
-        if self.flows.get(&id).is_some_and(|flow| flow.client.is_none() && flow.out.is_empty()) {
-            self.flows.remove(&id);
+        self.decide(end);
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.client.is_none() && request.in_flight.is_empty())
+        {
+            self.requests.remove(&id);
         }
     }
 
-    fn carry_out(&mut self, act: Action) {
-        match act {
-            Action::Send { request, backend: server, timeout: wait, send_within: within } => {
-                self.start(request, server, (wait, within))
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { request, backend, timeout, send_within } => {
+                self.start_attempt(request, backend, timeout, send_within)
             }
             Action::Reject(id, after) => {
                 if let Some(client) = self.close(id) {
-                    let after = after.filter(|after| *after > 0.0).unwrap_or(self.bounds.retry_after);
+                    let after = after.filter(|after| *after > 0.0).unwrap_or(self.limits.retry_after);
                     self.answer(client, FinalAnswer::Rejected(after));
                 }
             }
             Action::Fail(id) => {
-                let timed_out = self.flows.get(&id).is_some_and(|flow| flow.timed_out);
+                let timed_out = self.requests.get(&id).is_some_and(|request| request.timed_out);
                 if let Some(client) = self.close(id) {
                     self.answer(client, FinalAnswer::Failed { timed_out });
                 }
             }
-            Action::Cancel(id, no) => self.order(ClientSideCommand::GiveUp(id, no, Outcome::Cancelled)),
-            // The decisions ask for no probes; one that they should ask for tells them nothing.
-            Action::Probe(server) => {
-                self.own.push_back(Event::ProbeEnded(server, Outcome::NotSent, Load::default()));
+            Action::Cancel(id, index) => {
+                self.command(ClientSideCommand::GiveUp(id, index, Outcome::Cancelled));
+            }
+            // The decision module requests no probes; if it did, the answer would carry no information.
+            Action::Probe(backend) => {
+                self.follow_ups.push_back(Event::ProbeEnded(backend, Outcome::NotSent, Load::default()));
             }
             Action::SendToPeer(to, bytes) => {
-                if let Some(peers) = self.outlets.peers.as_ref().filter(|_| !self.retired) {
+                if let Some(peers) = self.outputs.peers.as_ref().filter(|_| !self.retired) {
                     let _ = peers.send((to, bytes));
                 }
             }
-            Action::AddToCounter(name, amount, keep) => {
-                self.next_call += 1;
-                let call = CounterCall { seq: self.next_call, name, amount, keep };
-                let counter = self.outlets.counter.as_ref().filter(|_| !self.retired);
+            Action::AddToCounter(name, amount, lifetime) => {
+                self.last_call += 1;
+                let call = CounterCall { seq: self.last_call, name, amount, lifetime };
+                let counter = self.outputs.counter.as_ref().filter(|_| !self.retired);
                 let sent = counter.is_some_and(|counter| counter.send(call).is_ok());
                 if sent {
-                    self.calls.insert(call.seq, name);
-                    self.deadlines.add(self.now + self.bounds.counter_timeout, Expiry::CounterCall(call.seq));
+                    self.counter_calls.insert(call.seq, name);
+                    let timeout = self.now + self.limits.counter_timeout;
+                    self.deadlines.add(timeout, Expiry::CounterCall(call.seq));
                 } else {
-                    self.own.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
+                    self.follow_ups.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
                 }
             }
             Action::SetTimer(after, key) => {
                 self.deadlines.add(self.now + after.max(0.0), Expiry::Timer(key));
             }
-            // The watch on discovery is open all the time.
+            // The engine's subscription to discovery is always open.
             Action::Subscribe => {}
         }
     }
 
-    fn start(&mut self, id: RequestId, server: BackendId, (wait, within): (Option<Millis>, Option<Millis>)) {
-        let Some(flow) = self.flows.get_mut(&id) else {
+    /// Starts an attempt that ends after `timeout`, and that must be sent within `send_within`, both in milliseconds.
+    fn start_attempt(
+        &mut self,
+        id: RequestId,
+        backend: BackendId,
+        timeout: Option<Millis>,
+        send_within: Option<Millis>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
             warn!(self.log, "scheduling for a flow that is over"; "flow" => id.0);
             return;
         };
-        let no = AttemptIndex(flow.started);
-        flow.started += 1;
-        // Patience is for answers: while a body still comes, nothing is late.
-        let wait = wait.filter(|_| flow.uploads.is_none()).unwrap_or(f64::INFINITY);
-        let wait = wait.min(flow.until - self.now);
-        if flow.client.is_none() || no.0 >= self.bounds.schedulings || wait <= 0.0 {
-            let (closed, load) = (flow.client.is_none(), Load::default());
-            self.own.push_back(attempt_ended((id, no), server, (Outcome::NotSent, 0.0), closed, load));
+        let index = AttemptIndex(request.started);
+        request.started += 1;
+        // The timeout is for the answer: it does not run while the body is still being received.
+        let timeout = timeout.filter(|_| request.timeout_after_body.is_none()).unwrap_or(f64::INFINITY);
+        let timeout = timeout.min(request.attempts_end - self.now);
+        if request.client.is_none() || index.0 >= self.limits.max_attempts || timeout <= 0.0 {
+            let (closed, load) = (request.client.is_none(), Load::default());
+            let end = attempt_end_event((id, index), backend, (Outcome::NotSent, 0.0), closed, load);
+            self.follow_ups.push_back(end);
             return;
         }
-        self.tally.schedulings += 1;
-        self.tally.retried += u64::from(no.0 > 0);
-        let deadline = self.deadlines.add(self.now + wait, Expiry::Attempt(id, no));
-        flow.out.push(Scheduling { no, server, sent: self.now, began: None, deadline });
-        let question = flow.question.clone();
-        let wait = flow.uploads.unwrap_or(wait);
-        if flow.uploads.is_some() {
-            // The real server has no work with it until its body has come.
-            self.own.push_back(Event::StreamStarted(id, no));
+        self.summary.attempts += 1;
+        self.summary.retries += u64::from(index.0 > 0);
+        let deadline = self.deadlines.add(self.now + timeout, Expiry::Attempt(id, index));
+        request.in_flight.push(Attempt { index, backend, sent_at: self.now, answered_at: None, deadline });
+        let question = request.question.clone();
+        let timeout = request.timeout_after_body.unwrap_or(timeout);
+        if request.timeout_after_body.is_some() {
+            // The backend does no work for the request before the body is complete.
+            self.follow_ups.push_back(Event::StreamStarted(id, index));
         }
-        let by = within.map(|within| self.now + within);
-        self.order(ClientSideCommand::Start {
+        let send_by = send_within.map(|send_within| self.now + send_within);
+        self.command(ClientSideCommand::Start {
             request: id,
-            attempt: no,
-            backend: server,
+            attempt: index,
+            backend,
             question,
-            timeout: wait,
-            send_by: by,
+            timeout,
+            send_by,
         });
     }
 }
 
-/// The end of a scheduling, in the decisions' words.
-fn attempt_ended(
+/// Returns the event that tells the decision module how an attempt ended. `elapsed` is in milliseconds.
+fn attempt_end_event(
     (request, attempt): (RequestId, AttemptIndex),
-    server: BackendId,
-    (outcome, spent): (Outcome, Millis),
-    closed: bool,
+    backend: BackendId,
+    (outcome, elapsed): (Outcome, Millis),
+    request_closed: bool,
     load: Load,
 ) -> Event {
     let (metered_use, settled_units) = (None, None);
     Event::AttemptEnded(AttemptEnd {
         request,
         attempt,
-        backend: server,
+        backend,
         outcome,
-        elapsed: spent,
-        request_closed: closed,
+        elapsed,
+        request_closed,
         metered_use,
         settled_units,
         load,
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,5 +1,6 @@
-//! Where the server side and the client side meet: flows and news go in, verdicts and orders come out. Neither
-//! side knows the other; the engine stands between them. `Q` is a front's question, `A` its answer.
+//! The messages between the engine and the sides that do I/O: the server side submits requests and waits for final answers;
+//! the client side carries out attempts by the engine's commands and reports how they end. Neither side knows the other.
+//! `Q` is the question that a front asks backends, `A` their answer.
 
 use crate::backends::entries::BackendList;
 use crate::interface::*;
@@ -12,48 +13,50 @@
 use std::task::{Context, Poll};
 use tokio::sync::{mpsc, oneshot};
 
-/// What a front tells of a flow.
+/// The properties of a request that a front reads.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestInfo {
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its customer's plan.
+    /// The customer's plan.
     pub plan: PlanId,
-    /// Its customer.
+    /// The customer that the request is accounted to.
     pub customer: CustomerId,
-    /// How long the client waits, from the last byte of the flow.
+    /// How long the client waits for the answer after the last byte of the request, in milliseconds.
     pub time_left: Millis,
-    /// Units it draws.
+    /// The units that the request consumes.
     pub units: f64,
-    /// Over how many ingresses the customer's flows come ...
+    /// The number of ingresses that receive this customer's requests.
     pub spread: u16,
-    /// ... counted round from this one.
+    /// The first of these ingresses; the others follow by number, wrapping around at the end of the fleet.
     pub first_ingress: IngressId,
-    /// The client says that it has asked for this before.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// Its body still comes: `time_left` runs from that one's last byte, and it can be sent once only.
+    /// Whether the body is still being received. If so, `time_left` runs from its last byte, and the request can be sent
+    /// only once.
     pub body_pending: bool,
 }
 
-/// The final answer of a flow.
+/// The final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FinalAnswer<A> {
-    /// What a real server answered.
+    /// A backend's answer.
     Served(A),
-    /// The decisions refuse it: come again after this time.
+    /// The decision module rejected the request; the client may retry after this time, in milliseconds.
     Rejected(Millis),
-    /// The table of flows is full: it was never looked at.
+    /// The table of requests is full, and the request was not considered; the client may retry after this time, in
+    /// milliseconds.
     NoRoom(Millis),
-    /// It failed; no promise either way.
+    /// The request failed; a backend may or may not have processed it.
     Failed {
-        /// Its time ran out, or that of its last scheduling.
+        /// Whether its deadline has passed, or the attempt that ended last timed out.
         timed_out: bool,
     },
 }
 
 impl<A> FinalAnswer<A> {
-    /// What it counts as.
-    pub fn end(&self) -> RequestOutcome {
+    /// Returns the outcome that the metrics count.
+    pub fn outcome(&self) -> RequestOutcome {
         match self {
             Self::Served(_) => RequestOutcome::Completed,
             Self::Rejected(_) | Self::NoRoom(_) => RequestOutcome::Rejected,
@@ -62,183 +65,185 @@
     }
 }
 
-/// How a scheduling ended.
+/// The report of the client side that an attempt has ended.
 #[derive(Debug)]
 pub struct AttemptReport<A> {
-    /// Whose scheduling.
+    /// The request.
     pub request: RequestId,
-    /// Which.
+    /// The attempt of that request.
     pub attempt: AttemptIndex,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// What the real server said of its load.
+    /// The load that the backend reported.
     pub load: Load,
-    /// The answer, where it was served.
+    /// The answer, or `None` if there is none or it was passed on by [`EngineEvent::AnswerStarted`].
     pub answer: Option<A>,
 }
 
-/// What reaches the engine.
+/// An event for the engine.
 #[derive(Debug)]
 pub enum EngineEvent<Q, A> {
-    /// A flow has come in whole.
+    /// A request has arrived; the sender takes its final answer.
     RequestArrived(RequestId, RequestInfo, Q, oneshot::Sender<FinalAnswer<A>>),
-    /// Its client has left.
+    /// The client of a request has left without waiting for the answer.
     ClientLeft(RequestId),
-    /// The last byte of a flow's body has come.
+    /// The last byte of a request's body has been received.
     BodyReceived(RequestId),
-    /// A scheduling's answer has begun to pass on: it is the flow's, however it ends.
+    /// The answer of an attempt has begun to arrive. It is the request's final answer, however the attempt ends.
     AnswerStarted(RequestId, AttemptIndex, A),
-    /// A scheduling has ended.
+    /// An attempt has ended.
     AttemptEnded(AttemptReport<A>),
-    /// Service entries.
+    /// Discovery has sent a list of backends, or changes to it.
     BackendList(BackendList),
-    /// A peer's message.
+    /// A message from a peer has arrived.
     PeerMessage(IngressId, Vec<u8>),
-    /// The counter answered a call.
+    /// The counter has answered the call with this [`CounterCall::seq`].
     CounterAnswered(u64, CounterAnswer),
-    /// Another process is to decide from now on: it is owed what is known.
+    /// Another process decides from now on; the sender takes this engine's state.
     HandOver(oneshot::Sender<EngineState>),
-    /// Which ingresses live, by number; none where that is not known.
+    /// The live ingresses have changed: for each ingress number, whether it is live; `None` if that is not known.
     LiveIngresses(Option<Vec<bool>>),
-    /// An operator has taken a real server out, or put it back, at another ingress's door.
+    /// An operator has disabled (`true`) or enabled the backend of this name at another ingress's admin interface.
     DisabledElsewhere(String, bool),
-    /// That process is gone: this one decides again.
+    /// The process that took over has ended: this one decides again.
     Resume,
-    /// What another process knew, which has stopped deciding.
+    /// The state of a process that has stopped deciding; the sender confirms that the state is in use.
     Inherit(EngineState, oneshot::Sender<()>),
     /// An attempt of that process has ended.
     PredecessorAttemptEnded(AttemptEnd),
-    /// That process is gone: so are its attempts.
+    /// That process has ended, and its attempts with it.
     PredecessorGone,
-    /// An operator wants something, and is owed an answer.
+    /// An operator's operation; the sender takes the result.
     Operate(Operation, oneshot::Sender<OperationResult>),
 }
 
-/// What an engine knows.
+/// The state of an engine, which passes to the next process in an upgrade. Written by postcard: the order and the types of
+/// the fields are the format.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The limiter.
+    /// The serialized state of the limiter.
     pub limiter: Vec<u8>,
-    /// The real servers that are out by hand.
+    /// The names of the backends that operators have disabled.
     pub disabled: Vec<String>,
-    /// The list, as it was told.
+    /// The list of backends as discovery sent it.
     pub list: BackendList,
 }
 
-/// What an operator may want of the engine.
+/// An operation that an operator requests of the engine. Written by postcard: the order of the variants is the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// To see how things stand.
+    /// Returns the status without changing anything.
     Inspect,
-    /// To take the real server of this name out.
+    /// Disables the backend of this name.
     Disable(String),
-    /// To put it back.
+    /// Enables the backend of this name.
     Enable(String),
 }
 
-/// What the engine makes of an operation: how things stand after it, or why it was refused.
+/// The result of an operation: the status after it, or the reason for which it was rejected.
 pub type OperationResult = Result<BackendStatus, &'static str>;
 
-/// How things stand.
+/// The status of the backends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendStatus {
-    /// The real servers.
+    /// The numbers of backends.
     pub counts: BackendCounts,
-    /// The names of those that are out by hand.
+    /// The names of the backends that operators have disabled.
     pub disabled: Vec<String>,
 }
 
-/// What the engine wants of the client side, in order.
+/// A command of the engine to the client side, to be carried out in the order sent.
 #[derive(Debug)]
 pub enum ClientSideCommand<Q> {
-    /// Start a scheduling, which the engine gives up after `timeout`.
+    /// Starts an attempt, which the engine ends after `timeout`.
     Start {
-        /// Whose scheduling.
+        /// The request.
         request: RequestId,
-        /// Which.
+        /// The attempt of that request.
         attempt: AttemptIndex,
-        /// The real server.
+        /// The backend to send it to.
         backend: BackendId,
-        /// What to ask.
+        /// The question to send.
         question: Q,
-        /// How long the engine will wait.
+        /// How long the engine waits for the answer, in milliseconds.
         timeout: Millis,
-        /// The moment by which it must have left whole, or never does.
+        /// The time, in Unix milliseconds, by which the question must be written completely, or else is not sent at all; `None`
+        /// for no limit.
         send_by: Option<Millis>,
     },
-    /// Give a scheduling up and report it ended like this, unless it ended before.
+    /// Aborts an attempt and reports it ended with this outcome, unless it has ended already.
     GiveUp(RequestId, AttemptIndex, Outcome),
-    /// Give a scheduling up of which nothing was written yet: nobody waits for it any more.
+    /// Aborts an attempt if nothing of it has been written yet, as its client has left.
     Withdraw(RequestId, AttemptIndex),
-    /// Service entries.
+    /// The list of backends, or changes to it.
     BackendList(BackendList),
 }
 
-/// A call to the counter.
+/// A call to the fleet's shared counter, which adds to a number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CounterCall {
-    /// The engine's number of it.
+    /// The number of the call, unique in the engine.
     pub seq: u64,
-    /// The number's name.
+    /// The name of the number to add to.
     pub name: CounterName,
-    /// What to add.
+    /// The amount to add.
     pub amount: f64,
-    /// How long a new name is kept.
-    pub keep: Millis,
+    /// How long the counter keeps a number that this call creates, in milliseconds.
+    pub lifetime: Millis,
 }
 
-/// The exchange's way in.
+/// A handle that submits requests and sends events to the engine.
 #[derive(Debug)]
 pub struct Exchange<Q, A> {
-    inbox: mpsc::UnboundedSender<EngineEvent<Q, A>>,
-    next: Arc<AtomicU64>,
+    events: mpsc::UnboundedSender<EngineEvent<Q, A>>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl<Q, A> Clone for Exchange<Q, A> {
     fn clone(&self) -> Self {
-        Self { inbox: self.inbox.clone(), next: self.next.clone() }
+        Self { events: self.events.clone(), next_id: self.next_id.clone() }
     }
 }
 
 impl<Q, A> Exchange<Q, A> {
-    /// An exchange and the engine's end of it.
+    /// Creates an exchange and the receiver for the engine.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<EngineEvent<Q, A>>) {
         Self::starting_at(0)
     }
 
-    /// One whose flows are numbered from here on.
-    pub fn starting_at(first: u64) -> (Self, mpsc::UnboundedReceiver<EngineEvent<Q, A>>) {
-        let (inbox, news) = mpsc::unbounded_channel();
-        (Self { inbox, next: Arc::new(AtomicU64::new(first)) }, news)
+    /// Creates an exchange whose requests are numbered from `first_id`, and the receiver for the engine.
+    pub fn starting_at(first_id: u64) -> (Self, mpsc::UnboundedReceiver<EngineEvent<Q, A>>) {
+        let (events, receiver) = mpsc::unbounded_channel();
+        (Self { events, next_id: Arc::new(AtomicU64::new(first_id)) }, receiver)
     }
 
-    /// Tells the engine something; once the engine is gone nothing matters any more.
-    pub fn send(&self, news: EngineEvent<Q, A>) {
-        let _ = self.inbox.send(news);
+    /// Sends an event to the engine. Does nothing once the engine has ended.
+    pub fn send(&self, event: EngineEvent<Q, A>) {
+        let _ = self.events.send(event);
     }
 
-    /// Hands in a flow; its verdict is to be awaited, and who drops that has left.
-    pub fn submit(&self, terms: RequestInfo, question: Q) -> PendingAnswer<Q, A> {
-        let flow = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
-        let (sender, verdict) = oneshot::channel();
-        self.send(EngineEvent::RequestArrived(flow, terms, question, sender));
-        PendingAnswer { exchange: self.clone(), flow, verdict, over: false }
+    /// Submits a request. The returned future resolves to its final answer; dropping it earlier means that the client has left.
+    pub fn submit(&self, info: RequestInfo, question: Q) -> PendingAnswer<Q, A> {
+        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
+        let (sender, answer) = oneshot::channel();
+        self.send(EngineEvent::RequestArrived(id, info, question, sender));
+        PendingAnswer { exchange: self.clone(), id, answer, answered: false }
     }
 }
 
-/// A flow's verdict to come.
+/// The future final answer to a submitted request.
 #[derive(Debug)]
 pub struct PendingAnswer<Q, A> {
     exchange: Exchange<Q, A>,
-    flow: RequestId,
-    verdict: oneshot::Receiver<FinalAnswer<A>>,
-    over: bool,
+    id: RequestId,
+    answer: oneshot::Receiver<FinalAnswer<A>>,
+    answered: bool,
 }
 
 impl<Q, A> PendingAnswer<Q, A> {
-    /// The last byte of the flow's body has come.
-    pub fn uploaded(&self) {
-        self.exchange.send(EngineEvent::BodyReceived(self.flow));
+    /// Reports that the last byte of the request's body has been received.
+    pub fn body_received(&self) {
+        self.exchange.send(EngineEvent::BodyReceived(self.id));
     }
 }
 
@@ -246,16 +251,16 @@
     type Output = FinalAnswer<A>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<FinalAnswer<A>> {
-        let verdict = std::task::ready!(Pin::new(&mut self.verdict).poll(cx));
-        self.over = true;
-        Poll::Ready(verdict.unwrap_or(FinalAnswer::Failed { timed_out: false }))
+        let answer = std::task::ready!(Pin::new(&mut self.answer).poll(cx));
+        self.answered = true;
+        Poll::Ready(answer.unwrap_or(FinalAnswer::Failed { timed_out: false }))
     }
 }
 
 impl<Q, A> Drop for PendingAnswer<Q, A> {
     fn drop(&mut self) {
-        if !self.over {
-            self.exchange.send(EngineEvent::ClientLeft(self.flow));
+        if !self.answered {
+            self.exchange.send(EngineEvent::ClientLeft(self.id));
         }
     }
 }
--- a/src/fronts/ext_authz/service.rs
+++ b/src/fronts/ext_authz/service.rs
@@ -70,7 +70,7 @@
             // A caller that cancels drops this future, and with it the flow.
             let taken = this.stats.request_started(terms.class);
             let verdict = this.exchange.submit(terms, check).await;
-            taken.ended(verdict.end());
+            taken.ended(verdict.outcome());
             Ok(Response::new(this.front.word(verdict)))
         })
     }
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -106,7 +106,12 @@
                 let (mut text, mut batch) = (String::new(), Vec::new());
                 let mut coming = Some(first);
                 while let Some(call) = coming {
-                    text.push_str(&format!("bump {} {} {}\r\n", call.name.0, call.amount, life(call.keep)));
+                    text.push_str(&format!(
+                        "bump {} {} {}\r\n",
+                        call.name.0,
+                        call.amount,
+                        life(call.lifetime)
+                    ));
                     batch.push(call.seq);
                     coming = calls.try_recv().ok();
                 }
@@ -227,7 +232,7 @@
     use tokio::task::LocalSet;
 
     fn call(seq: u64) -> CounterCall {
-        CounterCall { seq, name: CounterName(10 + seq), amount: -2.5, keep: 90_000.0 }
+        CounterCall { seq, name: CounterName(10 + seq), amount: -2.5, lifetime: 90_000.0 }
     }
 
     /// Takes a connection and the lines of so many calls.
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -954,7 +954,7 @@
                         Upload::Wrong(wrong) => return Some(self.wrong(out, wrong)),
                         Upload::Left => return None,
                     }
-                    waiting.uploaded();
+                    waiting.body_received();
                     unread = early.is_some().then_some(body);
                 }
                 let verdict = match early {
@@ -973,7 +973,7 @@
                     },
                 };
                 let close = closes(ahead.flooded);
-                let (mut close, end, before, mut rest) = (close, verdict.end(), out.len(), None);
+                let (mut close, end, before, mut rest) = (close, verdict.outcome(), out.len(), None);
                 match verdict {
                     FinalAnswer::Served(answer) => {
                         // Without a length and without chunks, only the end of the connection tells the end.
--- a/src/node.rs
+++ b/src/node.rs
@@ -10,7 +10,7 @@
 use crate::consul::agent::Counts;
 use crate::consul::{START, Watch};
 use crate::deadlines::{Clock, Deadlines};
-use crate::engine::{Bounds, Engine, Outlets};
+use crate::engine::{Engine, EngineLimits, Outputs};
 use crate::entries::BackendList;
 use crate::exchange::{ClientSideCommand, EngineEvent, Exchange, Operation, OperationResult};
 use crate::fronts::ext_authz::authorisers::Authorisers;
@@ -233,7 +233,8 @@
         let (successor, ended) = mpsc::unbounded_channel();
         let role = watch::Sender::new(role);
         let (said, words) = mpsc::unbounded_channel();
-        let mut outlets = Outlets { orders, counter: None, successor, peers: None, said: None, witness };
+        let mut outlets =
+            Outputs { commands: orders, counter: None, successor, peers: None, local_notices: None, witness };
         let mut parts = JoinSet::new();
         if let Some(at) = instance.counter.filter(|_| site.settings.counter) {
             let (calls, made) = mpsc::unbounded_channel();
@@ -293,12 +294,12 @@
                 })
             }));
             let _ = said.send(LocalNotice::Restored(out.clone()));
-            outlets.said = Some(said.clone());
+            outlets.local_notices = Some(said.clone());
             (cluster, said)
         });
-        let bounds = Bounds {
-            flows,
-            schedulings: site.settings.max_attempts,
+        let bounds = EngineLimits {
+            max_requests: flows,
+            max_attempts: site.settings.max_attempts,
             counter_timeout: site.settings.counter_timeout,
             retry_after: site.max_retry_after,
         };
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -9,7 +9,7 @@
 use weldhub::Limiter;
 use weldhub::config::{Pairs, Site};
 use weldhub::deadlines::{Clock, Deadlines};
-use weldhub::engine::{Bounds, Engine, Outlets};
+use weldhub::engine::{Engine, EngineLimits, Outputs};
 use weldhub::exchange::{
     AttemptReport, ClientSideCommand, CounterCall, EngineEvent, Exchange, FinalAnswer, PendingAnswer,
     RequestInfo,
@@ -37,9 +37,16 @@
     let (order, orders) = mpsc::unbounded_channel();
     let (call, calls) = mpsc::unbounded_channel();
     let successor = mpsc::unbounded_channel().0;
-    let outlets =
-        Outlets { orders: order, counter: Some(call), successor, peers: None, said: None, witness: None };
-    let bounds = Bounds { flows, schedulings: 2, counter_timeout: 10.0, retry_after: 700.0 };
+    let outlets = Outputs {
+        commands: order,
+        counter: Some(call),
+        successor,
+        peers: None,
+        local_notices: None,
+        witness: None,
+    };
+    let bounds =
+        EngineLimits { max_requests: flows, max_attempts: 2, counter_timeout: 10.0, retry_after: 700.0 };
     let log = Logger::root(slog::Discard, slog::o!());
     let engine = Engine::new(
         (limiter, Maintenance::default()),
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -96,7 +96,7 @@
     let sweeping = deadlines.clone();
     spawn_local(async move {
         loop {
-            sweeping.first_due().await;
+            sweeping.next_expiry().await;
             sweeping.take_expired(sweeping.clock().now());
         }
     });
