--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -1,57 +1,57 @@
-//! The commands of the admin interface, one line of text each.
+//! The commands of the admin interface. Each is one line of text.
 
 use crate::exchange::Operation;
 use std::fmt;
 
-/// A command.
+/// A command of the admin interface.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Tell whether the process can serve.
+    /// Reports whether the process serves requests.
     Ready,
-    /// Show all metrics.
+    /// Shows all metrics.
     ShowStat,
-    /// Show the ingresses of the fleet.
+    /// Shows the ingresses of the fleet.
     Members,
-    /// Carry out an operation of the engine.
+    /// Carries out an operation of the engine: disables or enables a backend.
     Operate(Operation),
-    /// Show the notices of operators, from any ingress.
+    /// Shows the operators' notices, from any ingress.
     Notices,
-    /// Show how far this instance has recovered since its start.
+    /// Shows how far this instance has recovered since its start.
     Recovery,
-    /// Drain this instance.
+    /// Drains this instance.
     Drain,
-    /// End the drain.
+    /// Ends the drain of this instance.
     Resume,
-    /// Drain the ingress of this name (true), or end that.
+    /// Drains the ingress of this name (`true`), or ends its drain (`false`).
     DrainOther(String, bool),
 }
 
-/// Why a line is no command.
+/// The reason why a line is not a valid command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandError {
-    /// It is longer than the server reads.
+    /// The line exceeds the maximum length.
     TooLong,
-    /// It is not UTF-8.
-    Unreadable,
-    /// It is blank.
+    /// The line is not UTF-8.
+    NotUtf8,
+    /// The line is blank.
     Empty,
-    /// There is no such command.
+    /// No command has this name.
     Unknown,
-    /// The command needs the id of one backend.
-    NeedsServerId,
-    /// The command takes no argument.
-    TakesNothing,
+    /// The command requires the id of exactly one backend.
+    NeedsBackendId,
+    /// The command has more arguments than it takes.
+    UnexpectedArgument,
 }
 
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLong => "the line is too long",
-            Self::Unreadable => "unreadable call",
+            Self::NotUtf8 => "unreadable call",
             Self::Empty => "an empty call",
             Self::Unknown => "unknown call",
-            Self::NeedsServerId => "one server id is needed",
-            Self::TakesNothing => "the call takes nothing more",
+            Self::NeedsBackendId => "one server id is needed",
+            Self::UnexpectedArgument => "the call takes nothing more",
         })
     }
 }
@@ -59,15 +59,15 @@
 impl std::error::Error for CommandError {}
 
 impl Command {
-    /// Reads a line without its end.
+    /// Parses a line, without its line feed.
     ///
     /// # Errors
-    /// [`CommandError`] where the line is none of the commands, or has too few or too many arguments.
-    pub fn read(line: &[u8]) -> Result<Self, CommandError> {
-        let text = std::str::from_utf8(line).map_err(|_| CommandError::Unreadable)?;
+    /// [`CommandError`] if the line names no command, or has too few or too many arguments.
+    pub fn parse(line: &[u8]) -> Result<Self, CommandError> {
+        let text = std::str::from_utf8(line).map_err(|_| CommandError::NotUtf8)?;
         let mut words = text.split_ascii_whitespace();
-        let (command, id, more) = (words.next(), words.next(), words.next());
-        match (command, id, more) {
+        let (command, argument, excess) = (words.next(), words.next(), words.next());
+        match (command, argument, excess) {
             (Some("ready"), None, None) => Ok(Self::Ready),
             (Some("show-stat"), None, None) => Ok(Self::ShowStat),
             (Some("members"), None, None) => Ok(Self::Members),
@@ -79,9 +79,9 @@
             (Some("resume"), Some(name), None) => Ok(Self::DrainOther(name.to_owned(), false)),
             (Some("disable-server"), Some(id), None) => Ok(Self::Operate(Operation::Disable(id.to_owned()))),
             (Some("enable-server"), Some(id), None) => Ok(Self::Operate(Operation::Enable(id.to_owned()))),
-            (Some("disable-server" | "enable-server"), ..) => Err(CommandError::NeedsServerId),
+            (Some("disable-server" | "enable-server"), ..) => Err(CommandError::NeedsBackendId),
             (Some("ready" | "show-stat" | "members" | "notices" | "recovery" | "drain" | "resume"), ..) => {
-                Err(CommandError::TakesNothing)
+                Err(CommandError::UnexpectedArgument)
             }
             (None, ..) => Err(CommandError::Empty),
             _ => Err(CommandError::Unknown),
--- a/src/admin/drain.rs
+++ b/src/admin/drain.rs
@@ -1,20 +1,20 @@
-//! The two steps of a drain: it is announced first, and connections are closed later.
+//! The two steps of a drain: it is first announced by the readiness check, and connections are closed later.
 
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
 use crate::net::server_side::Drain;
 use tokio::sync::watch;
 
-/// A drain is announced for so many milliseconds before connections are closed: the load balancer in front takes a moment
-/// to see it.
-const ANNOUNCE_SPAN: Millis = 550.0;
+/// The time between the announcement of a drain and the closing of connections, in milliseconds. The load balancer in front
+/// needs this time to notice that the instance is not ready.
+const ANNOUNCEMENT_TIME: Millis = 550.0;
 
-/// Moves each drain on to its second step once it has been announced for long enough; runs for ever.
-pub async fn announce(drain: watch::Sender<Drain>, deadlines: Deadlines) {
+/// Starts the second step of each drain [`ANNOUNCEMENT_TIME`] after its announcement. Runs until the process ends.
+pub async fn close_after_announcement(drain: watch::Sender<Drain>, deadlines: Deadlines) {
     let mut drains = drain.subscribe();
     while drains.wait_for(|drain| *drain == Drain::Announced).await.is_ok() {
         tokio::select! {
-            () = deadlines.sleep(ANNOUNCE_SPAN) => {
+            () = deadlines.sleep(ANNOUNCEMENT_TIME) => {
                 drain.send_if_modified(|drain| {
                     let due = *drain == Drain::Announced;
                     *drain = if due { Drain::Closing } else { *drain };
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -13,7 +13,7 @@
 use crate::net::server_side::{Drain, Phase, Role};
 use crate::recovery::Recovery;
 use crate::stats::Stats;
-use crate::upgrade::peer::OtherProcess;
+use crate::upgrade::other_process::OtherProcess;
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -28,69 +28,72 @@
 use tokio::task::spawn_local;
 
 /// The longest line that is read, in bytes.
-const MAX_LINE: usize = 256;
-/// A connection that has not sent a whole line is closed after so many milliseconds.
+const MAX_LINE_BYTES: usize = 256;
+/// The time within which a client must send a complete line, in milliseconds; after it, the connection is closed.
 const READ_TIMEOUT: Millis = 5000.0;
-/// The engine must answer within so many milliseconds, or the command fails: an answer is due within one second.
+/// The time within which the engine must answer, in milliseconds; after it, the command fails. Operators must get an answer
+/// within one second.
 const ENGINE_TIMEOUT: Millis = 800.0;
-/// After its answer a connection is read to its end for so long: a reset would take the answer from the client.
+/// How long a connection is read after its answer, in milliseconds, or until the client closes it. Closing it with unread
+/// data would reset it, and the client could lose the answer.
 const LINGER_TIMEOUT: Millis = 500.0;
-/// The next connection is accepted so many milliseconds after one that could not be.
+/// The delay before the next attempt to accept a connection after a failed one, in milliseconds.
 const ACCEPT_RETRY: Millis = 50.0;
-/// The answer to a command that needs a fleet where none is configured.
+/// The answer to a command that needs membership of a fleet, if none is configured.
 const NO_CLUSTER: &str = "fail no cluster is set\n";
 
-/// The way to the engine.
+/// Carries out an operation on the engine.
 pub type Engine = Box<dyn Fn(Operation) -> Pin<Box<dyn Future<Output = OperationResult>>>>;
 
-/// The admin interface's server, with all that its commands read or change.
+/// The server of the admin interface, with everything that its commands read or change.
 pub struct AdminServer {
     /// The metrics.
     pub stats: Arc<Stats>,
-    /// How far the program is between its start and its end.
+    /// The phase of the process between its start and its end.
     pub phase: watch::Receiver<Phase>,
-    /// The drain of this instance.
+    /// Whether this instance is drained.
     pub drain: watch::Sender<Drain>,
-    /// Which of two processes at one address this is.
+    /// Which of the two processes at one address this is.
     pub role: watch::Receiver<Role>,
     /// The other process at this address.
-    pub other: OtherProcess,
-    /// The engine.
+    pub other_process: OtherProcess,
+    /// The way to the engine.
     pub engine: Engine,
-    /// The file that keeps the disabled backends for the next process.
-    pub bans: Option<PathBuf>,
+    /// The file that stores the names of the disabled backends for the next process, or `None` to store nothing.
+    pub disabled_file: Option<PathBuf>,
     /// The clock and the timers.
     pub deadlines: Deadlines,
-    /// The view of the fleet, and where notices are published, if a fleet is configured.
+    /// The view of the fleet and the queue of notices to publish, or `None` if no fleet is configured.
     pub cluster: Option<(SharedCluster, mpsc::UnboundedSender<LocalNotice>)>,
     /// How far this instance has recovered since its start.
     pub recovery: Rc<RefCell<Recovery>>,
-    /// Commands that change something are logged.
+    /// The log that commands with effects are written to.
     pub log: Logger,
 }
 
-/// The connections that are open.
+/// The server with its open connections.
 struct Connections {
     server: AdminServer,
     open: Cell<usize>,
+    /// Notified when a connection has closed.
     closed: Notify,
-    /// Those that have not sent a whole line, the oldest first; dropping its sender closes one.
-    silent: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
+    /// Connections that have not sent a complete line, the oldest first. Dropping the sender closes the connection.
+    incomplete: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
 }
 
 impl AdminServer {
-    /// Serves connections for ever.
+    /// Accepts and serves connections until the process ends.
     pub async fn run(self, listener: TcpListener) {
         let connections = Rc::new(Connections {
             server: self,
             open: Cell::new(0),
             closed: Notify::new(),
-            silent: RefCell::default(),
+            incomplete: RefCell::default(),
         });
         for number in 0.. {
             let stream = connections.accept(&listener).await;
             let (keep_open, close) = oneshot::channel();
-            connections.silent.borrow_mut().insert(number, keep_open);
+            connections.incomplete.borrow_mut().insert(number, keep_open);
             connections.open.set(connections.open.get() + 1);
             spawn_local(connections.clone().serve(stream, number, close));
             while connections.open.get() >= MAX_ADMIN_CONNECTIONS {
@@ -115,11 +118,11 @@
 
     /// Waits until a connection has closed.
     async fn make_room(&self) {
-        // Prevents connections that send nothing from keeping operators out: the oldest of them is closed, but never the
-        // one that was accepted last.
+        // Closes the oldest connection without a complete line, so that connections that send nothing cannot lock operators
+        // out. The most recent one is never closed.
         let oldest = {
-            let mut silent = self.silent.borrow_mut();
-            if silent.len() > 1 { silent.pop_first() } else { None }
+            let mut incomplete = self.incomplete.borrow_mut();
+            if incomplete.len() > 1 { incomplete.pop_first() } else { None }
         };
         drop(oldest);
         self.closed.notified().await;
@@ -130,9 +133,9 @@
             line = self.server.deadlines.within(READ_TIMEOUT, read_line(&mut stream)) => line.flatten(),
             _ = close => None,
         };
-        self.silent.borrow_mut().remove(&number);
+        self.incomplete.borrow_mut().remove(&number);
         if let Some(line) = line {
-            let answer = match line.and_then(|line| Command::read(&line)) {
+            let answer = match line.and_then(|line| Command::parse(&line)) {
                 Ok(command) => self.answer(command).await,
                 Err(e) => format!("fail {e}\n"),
             };
@@ -148,7 +151,7 @@
             Command::ShowStat => self.show_stat().await,
             Command::Members => self.report_fleet(report::members),
             Command::Notices => self.report_fleet(report::notices),
-            Command::Recovery => format!("{}eof\n", self.server.recovery.borrow().text(self.now())),
+            Command::Recovery => format!("{}eof\n", self.server.recovery.borrow().report(self.now())),
             Command::Operate(operation) => self.operate(operation).await,
             Command::Drain => {
                 self.drain(true);
@@ -174,16 +177,16 @@
 
     async fn show_stat(&self) -> String {
         match self.engine(Operation::Inspect).await {
-            Ok(standing) => {
+            Ok(status) => {
                 let fleet =
                     self.server.cluster.as_ref().map(|(cluster, _)| report::metrics(&cluster.borrow()));
-                format!("{}{}eof\n", self.server.stats.text(standing.counts), fleet.unwrap_or_default())
+                format!("{}{}eof\n", self.server.stats.text(status.counts), fleet.unwrap_or_default())
             }
             Err(reason) => format!("fail {reason}\n"),
         }
     }
 
-    /// A report of the fleet, which ends in a line of its own.
+    /// Returns a report on the fleet, followed by the line `eof`.
     fn report_fleet(&self, report: fn(&Cluster, Millis) -> String) -> String {
         match &self.server.cluster {
             Some((cluster, _)) => format!("{}eof\n", report(&cluster.borrow(), self.now())),
@@ -199,24 +202,24 @@
             Operation::Inspect => {}
         }
         match self.engine(operation).await {
-            Ok(standing) => {
-                self.save_bans(&standing.disabled);
+            Ok(status) => {
+                self.save_disabled(&status.disabled);
                 "ok\n".to_owned()
             }
             Err(reason) => format!("fail {reason}\n"),
         }
     }
 
-    /// Has the engine carry out an operation, and waits for its answer.
+    /// Has the engine carry out an operation, and waits for the result.
     async fn engine(&self, operation: Operation) -> OperationResult {
         let answer = (self.server.engine)(operation);
         self.server.deadlines.within(ENGINE_TIMEOUT, answer).await.unwrap_or(Err("no answer in time"))
     }
 
-    /// Publishes that another ingress is drained, or no longer: it hears of that as all ingresses do.
+    /// Publishes a notice that an ingress is drained or resumed. The ingress learns of it by the notice, as all others do.
     fn drain_other(&self, name: String, drained: bool) -> String {
         let Some((cluster, local_notices)) = &self.server.cluster else {
-            return format!("fail {}\n", CommandError::TakesNothing);
+            return format!("fail {}\n", CommandError::UnexpectedArgument);
         };
         if !is_known(&cluster.borrow(), &name) || name.len() > MAX_SUBJECT {
             return "fail no such ingress\n".to_owned();
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Drains this instance, or ends that, here and in the other process at this address.
+    /// Drains or resumes this instance, in this process and in the other one at this address.
     fn drain(&self, drained: bool) {
         let drain = if drained { Drain::Announced } else { Drain::Inactive };
         if (*self.server.drain.borrow() != Drain::Inactive) != drained {
@@ -238,33 +241,33 @@
             }
             self.server.drain.send_replace(drain);
         }
-        self.server.other.drain(drained);
+        self.server.other_process.drain(drained);
     }
 
-    fn save_bans(&self, bans: &[String]) {
-        let Some(path) = &self.server.bans else { return };
-        if let Err(e) = files::replace(path, write_bans(bans).as_bytes()) {
+    fn save_disabled(&self, disabled: &[String]) {
+        let Some(path) = &self.server.disabled_file else { return };
+        if let Err(e) = files::replace(path, write_bans(disabled).as_bytes()) {
             warn!(self.server.log, "bans could not be kept"; "error" => %e);
         }
     }
 }
 
-/// Whether an ingress of this name is a member, or is drained by a notice.
+/// Returns whether an ingress of this name is a member, or is drained by a notice.
 fn is_known(cluster: &Cluster, name: &str) -> bool {
     cluster.me().name == name
         || cluster.members().any(|(identity, ..)| identity.name == name)
         || cluster.notices().is_active(&Subject::Ingress(name.to_owned()))
 }
 
-/// Reads a line without its end; none where the client closes the connection first.
+/// Reads a line and returns it without its line feed, or `None` if the client closes the connection first.
 async fn read_line(stream: &mut TcpStream) -> Option<Result<Vec<u8>, CommandError>> {
-    let mut line = Vec::with_capacity(MAX_LINE);
+    let mut line = Vec::with_capacity(MAX_LINE_BYTES);
     loop {
         if let Some(end) = line.iter().position(|b| *b == b'\n') {
             line.truncate(end);
             return Some(Ok(line));
         }
-        if line.len() >= MAX_LINE {
+        if line.len() >= MAX_LINE_BYTES {
             return Some(Err(CommandError::TooLong));
         }
         if stream.read_buf(&mut line).await.ok()? == 0 {
@@ -273,7 +276,7 @@
     }
 }
 
-/// Writes the answer, and reads until the client has closed its side.
+/// Writes the answer, then reads until the client has closed the connection.
 async fn reply(stream: &mut TcpStream, answer: &str) -> io::Result<()> {
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line: reads the configuration, starts the log and runs until SIGTERM; SIGHUP has the configuration
-//! read again.
+//! The command line: reads the configuration, starts the log and serves until SIGTERM or SIGINT. SIGHUP reloads the
+//! configuration.
 
 use crate::config::{AuthzConfig, Config, ConfigError, Ways};
 use crate::node::{self, Sockets};
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// A log on standard error; `WELDHUB_LOG=debug` tells more.
+/// Creates a logger on standard error, at level info, or debug if the environment holds `WELDHUB_LOG=debug`.
 pub fn logger() -> Logger {
     let level = match std::env::var("WELDHUB_LOG").as_deref() {
         Ok("debug") => Level::Debug,
@@ -24,7 +24,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn told_to_stop() {
+pub async fn shutdown_signal() {
     match (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) {
         (Ok(mut term), Ok(mut int)) => tokio::select! {
             _ = term.recv() => {}
@@ -34,14 +34,14 @@
     }
 }
 
-/// Has the configuration read again at each SIGHUP to the end of the program. One that cannot be used changes nothing.
-fn on_hangup(
+/// Reloads the configuration at each SIGHUP. A configuration that cannot be used changes nothing.
+fn reload_on_hangup(
     mut hangups: Signal,
-    first: Ways,
+    initial: Ways,
     reread: impl Fn() -> Result<Ways, ConfigError> + 'static,
     log: Logger,
 ) -> watch::Receiver<Ways> {
-    let (ways, moved) = watch::channel(first);
+    let (ways, receiver) = watch::channel(initial);
     spawn_local(async move {
         while hangups.recv().await.is_some() {
             match reread() {
@@ -56,22 +56,23 @@
             }
         }
     });
-    moved
+    receiver
 }
 
-/// `weldhub` serves the platform; `weldhub --ext-authz FILE` is set up by an operator's file.
+/// Runs the front that the arguments select: `weldhub` serves the platform's HTTP, configured by the environment;
+/// `weldhub --ext-authz FILE` serves Envoy's external authorisation, configured by the file.
 fn run(log: &Logger) -> Result<(), Box<dyn std::error::Error>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => {
             node::block_on(async {
-                // Caught before the configuration is read: a newer one is not missed, nor does it end the program.
+                // Caught before the configuration is read, so that a SIGHUP during the start neither is lost nor ends the program.
                 let hangups = signal(SignalKind::hangup())?;
                 let mut config = Config::from_env().map_err(io::Error::other)?;
-                let ways = on_hangup(hangups, config.ways(), Config::ways_from_env, log.clone());
-                let sockets = Sockets::get(&config.instance, log).await?;
+                let ways = reload_on_hangup(hangups, config.ways(), Config::ways_from_env, log.clone());
+                let sockets = Sockets::acquire(&config.instance, log).await?;
                 config.instance.listen = sockets.listener.local_addr()?;
-                node::serve(config, sockets, log.clone(), ways, told_to_stop()).await
+                node::serve(config, sockets, log.clone(), ways, shutdown_signal()).await
             })?;
         }
         ["--ext-authz", path] => {
@@ -80,10 +81,10 @@
                 let mut config = AuthzConfig::from_file(path).map_err(io::Error::other)?;
                 let path = path.to_owned();
                 let reread = move || AuthzConfig::from_file(&path).map(|config| config.ways());
-                let ways = on_hangup(hangups, config.ways(), reread, log.clone());
+                let ways = reload_on_hangup(hangups, config.ways(), reread, log.clone());
                 let listener = TcpListener::bind(config.instance.listen).await?;
                 config.instance.listen = listener.local_addr()?;
-                node::serve_authz(config, listener, log.clone(), ways, told_to_stop()).await
+                node::serve_authz(config, listener, log.clone(), ways, shutdown_signal()).await
             })?;
         }
         _ => return Err("usage: weldhub [--ext-authz FILE]".into()),
@@ -91,7 +92,7 @@
     Ok(())
 }
 
-/// The program's main function.
+/// The main function of the `weldhub` program.
 pub fn main() -> ExitCode {
     let log = logger();
     match run(&log) {
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,6 +1,7 @@
-//! Puts an instance together: one front round one engine, until it is told to stop.
+//! Assembles an instance from its parts (one front, one engine, the connections to the counter, to peers and to discovery)
+//! and runs it until it is told to stop.
 
-use crate::admin::drain::announce;
+use crate::admin::drain::close_after_announcement;
 use crate::admin::server::AdminServer;
 use crate::cluster::notices::LocalNotice;
 use crate::cluster::packet::{Identity, fleet_key};
@@ -27,14 +28,14 @@
 use crate::net::peers::Peers;
 use crate::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
 use crate::net::stream::Way;
-use crate::recovery::{self, Heard, Recovery};
+use crate::recovery::{Recovery, RecoveryEvent, StageChange};
 use crate::state::Limiter;
 use crate::stats::Stats;
 use crate::subset::Subset;
+use crate::upgrade::handover::{Handover, Outgoing};
 use crate::upgrade::link::{Reader, Writer};
-use crate::upgrade::peer::OtherProcess;
+use crate::upgrade::other_process::OtherProcess;
 use crate::upgrade::rendezvous;
-use crate::upgrade::succession::{Outgoing, Succession};
 use bytes::Bytes;
 use slog::{Logger, info, warn};
 use socket2::{Domain, Socket, Type};
@@ -52,31 +53,34 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 
-/// An instance is ready once the list has been told, or after this time with the list it had.
-const LIST_WAIT: Millis = 1000.0;
-/// Told to stop, it serves on for this long: new connections still come for up to 0.4 s.
-const SERVE_ON: Millis = 550.0;
-/// Then it ends once all is answered, at the latest after the longest deadline and this.
+/// The longest time that an instance waits for a list of backends before it serves with the list that it has, in
+/// milliseconds.
+const MAX_LIST_WAIT: Millis = 1000.0;
+/// How long an instance continues to serve after it is told to stop, in milliseconds. New connections still arrive for up to
+/// 0.4 s.
+const STOPPING_TIME: Millis = 550.0;
+/// An instance that drains ends once all requests are answered, at the latest this many milliseconds after the longest
+/// deadline of a request.
 const DRAIN_SLACK: Millis = 100.0;
-/// The most checks at once for each connection that clients may have.
-const CHECKS: usize = 2;
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+/// The maximum number of concurrent checks, per connection that the authorisation front may have.
+const CHECKS_PER_CONNECTION: usize = 2;
+/// The maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// Runs a future on a runtime of one thread.
+/// Runs a future on a single-threaded runtime, within a local task set.
 pub fn block_on<F: Future<Output = io::Result<()>>>(future: F) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, future)
 }
 
-/// What an ingress of the platform is given to serve on.
+/// The sockets that an ingress of the platform serves on.
 #[derive(Debug)]
 pub struct Sockets {
     /// The clients' listener.
     pub listener: TcpListener,
-    /// The peers' socket; bound where it is none.
+    /// The peers' socket; if it is `None` and peers are configured, one is bound.
     pub peers: Option<std::net::UdpSocket>,
-    /// The link to the process that had them before.
+    /// The link to the old process that the sockets come from, or `None` if they were bound by this process.
     pub link: Option<(Reader, Writer)>,
 }
 
@@ -87,23 +91,23 @@
 }
 
 impl Sockets {
-    /// Gets them from the process that serves at this address, or binds them. Where operators may start one process
-    /// beside another, both may be bound at once: an old one that hangs must not keep the new one out.
-    pub async fn get(instance: &Instance, log: &Logger) -> io::Result<Self> {
+    /// Takes the sockets over from the process that serves at this address, or binds them. With an admin interface, both
+    /// processes may be bound at once, so that an old process that hangs cannot block an upgrade.
+    pub async fn acquire(instance: &Instance, log: &Logger) -> io::Result<Self> {
         let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
-        let got = match path {
+        let inherited = match path {
             Some(path) => rendezvous::request_sockets(&path).await.unwrap_or_else(|e| {
                 warn!(log, "no sockets from the old process"; "why" => %e);
                 None
             }),
             None => None,
         };
-        if let Some(got) = got {
-            let listener = std::net::TcpListener::from(got.listener);
-            let peers = got.peers.map(std::net::UdpSocket::from);
+        if let Some(inherited) = inherited {
+            let listener = std::net::TcpListener::from(inherited.listener);
+            let peers = inherited.peers.map(std::net::UdpSocket::from);
             listener.set_nonblocking(true)?;
             peers.as_ref().map(|peers| peers.set_nonblocking(true)).transpose()?;
-            let link = Some((got.reader, got.writer));
+            let link = Some((inherited.reader, inherited.writer));
             return Ok(Self { listener: TcpListener::from_std(listener)?, peers, link });
         }
         let socket = match instance.listen {
@@ -115,25 +119,26 @@
             socket.set_reuseport(true)?;
         }
         socket.bind(instance.listen)?;
-        Ok(socket.listen(BACKLOG)?.into())
+        Ok(socket.listen(LISTEN_BACKLOG)?.into())
     }
 }
 
-fn bind_peers(instance: &Instance, at: SocketAddr) -> io::Result<std::net::UdpSocket> {
-    let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
+fn bind_peers(instance: &Instance, address: SocketAddr) -> io::Result<std::net::UdpSocket> {
+    let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
     if instance.management.is_some() {
         socket.set_reuse_port(true)?;
     }
     socket.set_nonblocking(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     Ok(socket.into())
 }
 
-/// The bans that a process before has left; what cannot be read is passed over.
-fn kept_bans(path: &Path, log: &Logger) -> Vec<String> {
+/// Returns the names of the backends that operators had disabled in an earlier process. A file that cannot be read is
+/// ignored.
+fn load_disabled(path: &Path, log: &Logger) -> Vec<String> {
     match std::fs::read(path) {
         Ok(bytes) => match std::str::from_utf8(&bytes).ok().and_then(read_bans) {
-            Some(bans) => bans,
+            Some(disabled) => disabled,
             None => {
                 warn!(log, "a file of bans was passed over"; "path" => %path.display());
                 Vec::new()
@@ -147,58 +152,60 @@
     }
 }
 
-/// How far this instance has come back, with a line in the log for each step.
+/// Tracks the recovery of this instance, and logs each change of stage.
 #[derive(Debug, Clone)]
-struct Return {
+struct RecoveryTracker {
     recovery: Rc<RefCell<Recovery>>,
     deadlines: Deadlines,
     log: Logger,
 }
 
-impl Return {
-    fn heard(&self, what: Heard) {
-        let change = self.recovery.borrow_mut().heard(self.deadlines.clock().now(), what);
-        self.say(change);
+impl RecoveryTracker {
+    fn record(&self, event: RecoveryEvent) {
+        let change = self.recovery.borrow_mut().record(self.deadlines.clock().now(), event);
+        self.log_change(change);
     }
 
-    fn say(&self, change: Option<(recovery::Stage, recovery::Stage, Millis)>) {
+    fn log_change(&self, change: Option<StageChange>) {
         if let Some((before, stage, span)) = change {
             info!(self.log, "coming back"; "stage" => stage.name(), "before" => before.name(), "ms" => span.round());
         }
     }
 
-    /// It serves; some time later it is whole, if nothing else is missing.
+    /// Records that the instance serves, and schedules the change of stage that time alone brings about.
     fn serving(self) {
-        self.heard(Heard::Serving);
-        let due = self.recovery.borrow().due();
-        if let Some(due) = due {
+        self.record(RecoveryEvent::Serving);
+        let next_tick = self.recovery.borrow().next_tick();
+        if let Some(next_tick) = next_tick {
             spawn_local(async move {
-                self.deadlines.sleep((due - self.deadlines.clock().now()).max(0.0) + 1.0).await;
+                self.deadlines.sleep((next_tick - self.deadlines.clock().now()).max(0.0) + 1.0).await;
                 let change = self.recovery.borrow_mut().tick(self.deadlines.clock().now());
-                self.say(change);
+                self.log_change(change);
             });
         }
     }
 }
 
-/// What both fronts have in common: an engine with its ways to the counter and the peers.
+/// The part of an instance that both fronts share: the engine, with its connections to the counter and to peers.
 struct Core<Q, A> {
     deadlines: Deadlines,
     exchange: Exchange<Q, A>,
-    orders: mpsc::UnboundedReceiver<ClientSideCommand<Q>>,
-    /// The parts without which an instance is none.
-    parts: JoinSet<()>,
-    longest: Millis,
-    /// How long the first list may take.
-    list_wait: Millis,
-    told: watch::Sender<bool>,
+    commands: mpsc::UnboundedReceiver<ClientSideCommand<Q>>,
+    /// Tasks that must run as long as the instance does.
+    essential_tasks: JoinSet<()>,
+    /// The longest deadline of a request, in milliseconds.
+    longest_deadline: Millis,
+    /// The longest wait for the first list, in milliseconds.
+    max_list_wait: Millis,
+    /// Whether discovery has sent a list.
+    list_received: watch::Sender<bool>,
     stats: Arc<Stats>,
     phase: watch::Sender<Phase>,
     drain: watch::Sender<Drain>,
     role: watch::Sender<Role>,
-    other: OtherProcess,
-    ended: mpsc::UnboundedReceiver<AttemptEnd>,
-    back: Return,
+    other_process: OtherProcess,
+    ended_attempts: mpsc::UnboundedReceiver<AttemptEnd>,
+    recovery: RecoveryTracker,
 }
 
 impl<Q: Clone + 'static, A: 'static> Core<Q, A> {
@@ -206,60 +213,59 @@
         instance: &Instance,
         ways: &watch::Receiver<Ways>,
         known: Option<BackendList>,
-        (flows, witness): (usize, Option<Rc<Witness>>),
+        (max_requests, witness): (usize, Option<Rc<Witness>>),
         (peers, role): (Option<UdpSocket>, Role),
         log: &Logger,
     ) -> io::Result<Self> {
         let deadlines = Deadlines::new(Clock::new());
-        let begun = Recovery::new(instance.cluster.is_some(), deadlines.clock().now());
-        let recovery = Rc::new(RefCell::new(begun));
-        let back = Return { recovery, deadlines: deadlines.clone(), log: log.clone() };
+        let recovery = Recovery::new(instance.cluster.is_some(), deadlines.clock().now());
+        let recovery = Rc::new(RefCell::new(recovery));
+        let recovery = RecoveryTracker { recovery, deadlines: deadlines.clone(), log: log.clone() };
         if known.as_ref().is_some_and(|known| !known.entries.is_empty()) {
-            back.heard(Heard::List);
+            recovery.record(RecoveryEvent::ListLoaded);
         }
-        // Before all else: operators are to be answered whatever follows.
-        let door = match instance.management {
-            Some(at) => {
-                let bound = TcpListener::bind(at).await;
-                Some(bound.map_err(|e| io::Error::other(format!("management={at}: {e}")))?)
+        // Bound first, so that operators get answers whatever happens during the rest of the start.
+        let admin_listener = match instance.management {
+            Some(address) => {
+                let bound = TcpListener::bind(address).await;
+                Some(bound.map_err(|e| io::Error::other(format!("management={address}: {e}")))?)
             }
             None => None,
         };
         let site = &instance.site;
         let limiter = Limiter::new(site.settings.clone(), instance.seed).map_err(io::Error::other)?;
-        // Prevents numbers of flows from meeting those of another process.
-        let (exchange, news) = Exchange::starting_at((deadlines.clock().now() as u64) << 20);
-        let (orders, ordered) = mpsc::unbounded_channel();
-        let (successor, ended) = mpsc::unbounded_channel();
+        // Prevents this process's request ids from colliding with those of another process at this address.
+        let (exchange, events) = Exchange::starting_at((deadlines.clock().now() as u64) << 20);
+        let (commands, commands_receiver) = mpsc::unbounded_channel();
+        let (successor, ended_attempts) = mpsc::unbounded_channel();
         let role = watch::Sender::new(role);
-        let (said, words) = mpsc::unbounded_channel();
-        let mut outlets =
-            Outputs { commands: orders, counter: None, successor, peers: None, local_notices: None, witness };
-        let mut parts = JoinSet::new();
+        let (local_notices, notices_receiver) = mpsc::unbounded_channel();
+        let mut outputs =
+            Outputs { commands, counter: None, successor, peers: None, local_notices: None, witness };
+        let mut essential_tasks = JoinSet::new();
         if let Some(at) = instance.counter.filter(|_| site.settings.counter) {
-            let (calls, made) = mpsc::unbounded_channel();
+            let (calls, calls_receiver) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
             let at = Way::new(ways, at, |ways| ways.counter);
             let counter = Counter { at, deadlines: deadlines.clone(), log: log.clone() };
-            parts.spawn_local(
-                counter
-                    .run(made, move |seq, answer| exchange.send(EngineEvent::CounterAnswered(seq, answer))),
-            );
-            outlets.counter = Some(calls);
+            essential_tasks.spawn_local(counter.run(calls_receiver, move |seq, answer| {
+                exchange.send(EngineEvent::CounterAnswered(seq, answer))
+            }));
+            outputs.counter = Some(calls);
         }
         if let Some(socket) = peers {
             let peers = Peers::new(socket, instance.peers.clone(), role.subscribe(), log.clone());
-            let (mail, sent) = mpsc::unbounded_channel();
+            let (messages, messages_receiver) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
-            parts.spawn_local(
-                peers.run(sent, move |from, bytes| exchange.send(EngineEvent::PeerMessage(from, bytes))),
-            );
-            outlets.peers = Some(mail);
+            essential_tasks.spawn_local(peers.run(messages_receiver, move |from, bytes| {
+                exchange.send(EngineEvent::PeerMessage(from, bytes))
+            }));
+            outputs.peers = Some(messages);
         }
         let phase = watch::Sender::new(Phase::Starting);
         let drain = watch::Sender::new(Drain::Inactive);
-        let bans = instance.management.and_then(|_| rendezvous::path(instance.listen, "bans"));
-        let out: Vec<String> = bans.iter().flat_map(|path| kept_bans(path, log)).collect();
+        let disabled_file = instance.management.and_then(|_| rendezvous::path(instance.listen, "bans"));
+        let disabled: Vec<String> = disabled_file.iter().flat_map(|path| load_disabled(path, log)).collect();
         let cluster = instance.cluster.as_ref().map(|fleet| {
             let now = deadlines.clock().now();
             let me = Identity {
@@ -268,95 +274,96 @@
                 at: fleet.advertise,
                 born: now as u64,
             };
-            let of = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
+            let fleet_id = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
             let cluster =
-                Cluster::new(me, of, fleet.seeds.clone(), Timing::default(), instance.seed ^ 2, now);
+                Cluster::new(me, fleet_id, fleet.seeds.clone(), Timing::default(), instance.seed ^ 2, now);
             let cluster: SharedCluster = Rc::new(RefCell::new(cluster));
-            let wire = Transport {
+            let transport = Transport {
                 cluster: cluster.clone(),
                 at: fleet.listen,
                 role: role.subscribe(),
                 phase: phase.subscribe(),
-                local_notices: words,
+                local_notices: notices_receiver,
                 drain: drain.clone(),
                 file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
                 deadlines: deadlines.clone(),
                 log: log.clone(),
             };
-            let (exchange, back) = (exchange.clone(), back.clone());
-            spawn_local(wire.run(move |told| {
-                if let ClusterEvent::Living(living) = &told {
-                    back.heard(Heard::View(living.is_some()));
+            let (exchange, recovery) = (exchange.clone(), recovery.clone());
+            spawn_local(transport.run(move |event| {
+                if let ClusterEvent::Living(live) = &event {
+                    recovery.record(RecoveryEvent::FleetView(live.is_some()));
                 }
-                exchange.send(match told {
-                    ClusterEvent::Living(living) => EngineEvent::LiveIngresses(living),
-                    ClusterEvent::Server(name, out) => EngineEvent::DisabledElsewhere(name, out),
+                exchange.send(match event {
+                    ClusterEvent::Living(live) => EngineEvent::LiveIngresses(live),
+                    ClusterEvent::Server(name, disabled) => EngineEvent::DisabledElsewhere(name, disabled),
                 })
             }));
-            let _ = said.send(LocalNotice::Restored(out.clone()));
-            outlets.local_notices = Some(said.clone());
-            (cluster, said)
+            let _ = local_notices.send(LocalNotice::Restored(disabled.clone()));
+            outputs.local_notices = Some(local_notices.clone());
+            (cluster, local_notices)
         });
-        let bounds = EngineLimits {
-            max_requests: flows,
+        let limits = EngineLimits {
+            max_requests,
             max_attempts: site.settings.max_attempts,
             counter_timeout: site.settings.counter_timeout,
             retry_after: site.max_retry_after,
         };
-        let maintenance = Maintenance::with(out);
-        let deciding = (limiter, maintenance);
+        let maintenance = Maintenance::with(disabled);
         let subset =
             instance.subset.map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
-        let engine = Engine::new(deciding, deadlines.clone(), news, outlets, bounds, log.clone());
+        let engine =
+            Engine::new((limiter, maintenance), deadlines.clone(), events, outputs, limits, log.clone());
         let engine = engine.with_subset(subset);
-        parts.spawn_local(engine.run(known));
+        essential_tasks.spawn_local(engine.run(known));
         let stats = Stats::new(site.classes.iter().map(|class| class.name.as_str()));
-        let other = OtherProcess::default();
-        parts.spawn_local(announce(drain.clone(), deadlines.clone()));
-        if let Some(listener) = door {
-            let (exchange, both, pauses) = (exchange.clone(), other.clone(), deadlines.clone());
+        let other_process = OtherProcess::default();
+        essential_tasks.spawn_local(close_after_announcement(drain.clone(), deadlines.clone()));
+        if let Some(listener) = admin_listener {
+            let (engine_exchange, other, timers) =
+                (exchange.clone(), other_process.clone(), deadlines.clone());
             let engine = move |operation: Operation| -> Pin<Box<dyn Future<Output = OperationResult>>> {
                 let (reply, answer) = oneshot::channel();
-                exchange.send(EngineEvent::Operate(operation.clone(), reply));
-                let (both, pauses) = (both.clone(), pauses.clone());
+                engine_exchange.send(EngineEvent::Operate(operation.clone(), reply));
+                let (other, timers) = (other.clone(), timers.clone());
                 Box::pin(async move {
-                    let told = answer.await.unwrap_or(Err("the engine has ended"));
-                    if told.is_ok() && operation != Operation::Inspect {
-                        both.operate(operation, &pauses).await;
+                    let result = answer.await.unwrap_or(Err("the engine has ended"));
+                    if result.is_ok() && operation != Operation::Inspect {
+                        other.operate(operation, &timers).await;
                     }
-                    told
+                    result
                 })
             };
-            let door = AdminServer {
+            let server = AdminServer {
                 stats: stats.clone(),
                 phase: phase.subscribe(),
                 drain: drain.clone(),
                 role: role.subscribe(),
-                other: other.clone(),
+                other_process: other_process.clone(),
                 engine: Box::new(engine),
-                bans,
+                disabled_file,
                 cluster,
-                recovery: back.recovery.clone(),
+                recovery: recovery.recovery.clone(),
                 deadlines: deadlines.clone(),
                 log: log.clone(),
             };
-            parts.spawn_local(door.run(listener));
+            essential_tasks.spawn_local(server.run(listener));
         }
         Ok(Self {
             deadlines,
             exchange,
-            orders: ordered,
-            parts,
-            longest: site.classes.iter().map(|class| class.give_up).fold(0.0, f64::max),
-            list_wait: LIST_WAIT,
-            told: watch::Sender::new(false),
+            commands: commands_receiver,
+            essential_tasks,
+            longest_deadline: site.classes.iter().map(|class| class.give_up).fold(0.0, f64::max),
+            max_list_wait: MAX_LIST_WAIT,
+            list_received: watch::Sender::new(false),
             stats,
             phase,
             drain,
             role,
-            other,
-            ended,
-            back,
+            other_process,
+            ended_attempts,
+            recovery,
         })
     }
 
@@ -364,17 +371,18 @@
         Signals { role: self.role.subscribe(), phase: self.phase.subscribe(), drain: self.drain.subscribe() }
     }
 
-    /// Where lists are told.
-    fn teller(&self) -> impl FnMut(BackendList) + use<Q, A> {
-        let (exchange, told, back) = (self.exchange.clone(), self.told.clone(), self.back.clone());
+    /// Returns the function that takes lists from discovery or Consul.
+    fn list_receiver(&self) -> impl FnMut(BackendList) + use<Q, A> {
+        let exchange = self.exchange.clone();
+        let (list_received, recovery) = (self.list_received.clone(), self.recovery.clone());
         move |list| {
-            back.heard(Heard::Told);
+            recovery.record(RecoveryEvent::ListReceived);
             exchange.send(EngineEvent::BackendList(list));
-            told.send_replace(true);
+            list_received.send_replace(true);
         }
     }
 
-    /// Has Consul watched for real servers.
+    /// Starts the watch on Consul for backends.
     fn watch_consul(
         &mut self,
         instance: &Instance,
@@ -395,50 +403,54 @@
             counts: Rc::<Counts>::default(),
             log: log.clone(),
         };
-        let teller = self.teller();
-        self.parts.spawn_local(watch.run(teller));
-        // Of a fleet that starts together each asks in its turn, and none may say ready before.
-        self.list_wait = LIST_WAIT + START;
+        let list_receiver = self.list_receiver();
+        self.essential_tasks.spawn_local(watch.run(list_receiver));
+        // The first queries of a fleet that starts together are spread over this time, and no instance may report that it is
+        // ready before its query.
+        self.max_list_wait = MAX_LIST_WAIT + START;
     }
 
-    /// Serves until `stop` and then until `taking`, which watches the phase, has answered all.
+    /// Serves until `stop` resolves, and then until `server`, which watches the phase, has answered all requests.
+    /// `start_handover` is called once the first list has been received.
     async fn serve(
         mut self,
         instance: &Instance,
-        mut taking: JoinHandle<()>,
-        taking_over: impl FnOnce(),
+        mut server: JoinHandle<()>,
+        start_handover: impl FnOnce(),
         stop: JoinHandle<()>,
         log: Logger,
     ) -> io::Result<()> {
-        let mut told = self.told.subscribe();
-        let _ = self.deadlines.within(self.list_wait, told.wait_for(|told| *told)).await;
-        taking_over();
+        let mut list_received = self.list_received.subscribe();
+        let first_list = list_received.wait_for(|received| *received);
+        let _ = self.deadlines.within(self.max_list_wait, first_list).await;
+        start_handover();
         let mut role = self.role.subscribe();
         let _ = role.wait_for(|role| *role != Role::Standby).await;
         self.phase.send_replace(Phase::Serving);
-        self.back.clone().serving();
+        self.recovery.clone().serving();
         info!(log, "serving"; "name" => &instance.name, "listen" => %instance.listen);
         tokio::select! {
             _ = stop => {}
-            // Prevents an instance that lives on without its engine or a side: its exit tells the operators.
-            ended = self.parts.join_next() => {
+            // An instance without its engine or one of its sides must not keep running: operators notice its exit.
+            ended = self.essential_tasks.join_next() => {
                 return Err(io::Error::other(format!("a part ended: {ended:?}")));
             }
         }
         info!(log, "stopping");
         self.phase.send_replace(Phase::Stopping);
         if *role.borrow() == Role::Active {
-            self.deadlines.sleep(SERVE_ON).await;
+            self.deadlines.sleep(STOPPING_TIME).await;
         }
         self.phase.send_replace(Phase::Draining);
-        let drained = self.deadlines.within(self.longest + DRAIN_SLACK, &mut taking).await.is_some();
+        let timeout = self.longest_deadline + DRAIN_SLACK;
+        let drained = self.deadlines.within(timeout, &mut server).await.is_some();
         info!(log, "stopped"; "all_answered" => drained);
         Ok(())
     }
 }
 
-/// Runs an ingress of the platform on a listener, within a local task set; `ways` says where discovery and the
-/// counter are to be found from now on.
+/// Runs an ingress of the platform on the given sockets until `stop` resolves. Must be called within a local task set. `ways`
+/// holds the current addresses of discovery and of the counter, which a reload of the configuration changes.
 pub async fn serve(
     config: Config,
     sockets: impl Into<Sockets>,
@@ -446,11 +458,11 @@
     ways: watch::Receiver<Ways>,
     stop: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
-    // Polled from now on: a signal during the start is not missed.
+    // Spawned first, so that a signal during the start is not lost.
     let stop = spawn_local(stop);
     let Config { instance, source, known } = config;
     let (site, generation) = (&instance.site, known.as_ref().map(|known| known.generation));
-    let ConnectionLimits { clients: flows, turned_away, backends: servers } = instance.limits.connections();
+    let ConnectionLimits { clients, turned_away, backends } = instance.limits.connections();
     let elsewhere = Elsewhere::default();
     let budget = || Budget::new(instance.limits.messages(), elsewhere.clone());
     let Sockets { listener, peers, link } = sockets.into();
@@ -459,40 +471,41 @@
         _ => peers,
     };
     let copy = |socket: BorrowedFd<'_>| socket.try_clone_to_owned();
-    let leaving = (copy(listener.as_fd())?, peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?);
+    let outgoing_listener = copy(listener.as_fd())?;
+    let outgoing_peers = peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?;
     let role = if link.is_some() { Role::Standby } else { Role::Active };
-    let socket = peers.map(UdpSocket::from_std).transpose()?;
+    let peers = peers.map(UdpSocket::from_std).transpose()?;
     let witness = matches!(source, Source::Consul(_)).then(Rc::<Witness>::default);
-    let bounds = (flows, witness.clone());
+    let engine_options = (clients, witness.clone());
     let mut core =
-        Core::<Question, Answer>::start(&instance, &ways, known, bounds, (socket, role), &log).await?;
-    let (passing, clients) = mpsc::unbounded_channel();
-    let (adopt, passed) = mpsc::unbounded_channel();
-    let (passing_servers, idle_servers) = mpsc::unbounded_channel();
-    let (adopt_server, passed_servers) = mpsc::unbounded_channel();
-    let open = Rc::new(Cell::new(0));
+        Core::<Question, Answer>::start(&instance, &ways, known, engine_options, (peers, role), &log).await?;
+    let (leaving_clients, outgoing_clients) = mpsc::unbounded_channel();
+    let (adopted_clients, incoming_clients) = mpsc::unbounded_channel();
+    let (leaving_backends, outgoing_backends) = mpsc::unbounded_channel();
+    let (adopted_backends, incoming_backends) = mpsc::unbounded_channel();
+    let backend_connections = Rc::new(Cell::new(0));
     let links = Links {
         role: core.role.subscribe(),
-        passing: passing_servers,
+        passing: leaving_backends,
         elsewhere: elsewhere.clone(),
-        open: open.clone(),
+        open: backend_connections.clone(),
     };
-    let succession = Rc::new(Succession {
+    let handover = Rc::new(Handover {
         exchange: core.exchange.clone(),
         role: core.role.clone(),
         phase: core.phase.subscribe(),
         drain: core.drain.clone(),
-        other: core.other.clone(),
-        adopt,
-        adopt_server,
+        other_process: core.other_process.clone(),
+        adopted_clients,
+        adopted_backends,
         elsewhere: elsewhere.clone(),
-        open,
+        backend_connections,
         deadlines: core.deadlines.clone(),
         log: log.clone(),
     });
     let (deadlines, exchange) = (core.deadlines.clone(), core.exchange.clone());
-    let room = (servers, budget());
-    let side = ClientSide::new(
+    let room = (backends, budget());
+    let client_side = ClientSide::new(
         exchange.clone(),
         deadlines.clone(),
         site.clone(),
@@ -501,49 +514,54 @@
         links,
         log.clone(),
     );
-    let orders = std::mem::replace(&mut core.orders, mpsc::unbounded_channel().1);
-    core.parts.spawn_local(side.run(orders, passed_servers));
+    let commands = std::mem::replace(&mut core.commands, mpsc::unbounded_channel().1);
+    core.essential_tasks.spawn_local(client_side.run(commands, incoming_backends));
     match source {
         Source::Discovery(agent) => {
             let agent = Way::new(&ways, agent, |ways| ways.discovery);
-            let (pauses, seed) = (deadlines.clone(), instance.seed);
-            let discovery =
-                Discovery { agent, site: site.clone(), deadlines: pauses, seed, log: log.clone() };
-            let teller = core.teller();
-            core.parts.spawn_local(discovery.run(generation, teller));
+            let (deadlines, seed) = (deadlines.clone(), instance.seed);
+            let discovery = Discovery { agent, site: site.clone(), deadlines, seed, log: log.clone() };
+            let list_receiver = core.list_receiver();
+            core.essential_tasks.spawn_local(discovery.run(generation, list_receiver));
         }
         Source::Consul(consul) => {
             core.watch_consul(&instance, consul, &ways, witness.unwrap_or_default(), &log)
         }
     }
-    let (idle, last) = (instance.limits.idle(), core.longest);
-    let room = Room { connections: flows, turned_away, idle, budget: budget(), last };
+    let (idle, last) = (instance.limits.idle(), core.longest_deadline);
+    let room = Room { connections: clients, turned_away, idle, budget: budget(), last };
     let reader = site.clone();
     let read = move |head: &_, body, whole| platform::read(head, body, whole, &reader);
-    let (signals, stats) = ((core.signals(), passing), core.stats.clone());
+    let (signals, stats) = ((core.signals(), leaving_clients), core.stats.clone());
     let bounds = (room, site.max_retry_after);
-    let side = ServerSide::new(read, exchange, deadlines, signals, stats, bounds, log.clone());
-    let taking = spawn_local(side.run(listener, passed));
+    let server_side = ServerSide::new(read, exchange, deadlines, signals, stats, bounds, log.clone());
+    let server = spawn_local(server_side.run(listener, incoming_clients));
     let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
-    let ended = std::mem::replace(&mut core.ended, mpsc::unbounded_channel().1);
-    let leaving = Outgoing { clients, servers: idle_servers, ended, listener: leaving.0, peers: leaving.1 };
+    let ended_attempts = std::mem::replace(&mut core.ended_attempts, mpsc::unbounded_channel().1);
+    let outgoing = Outgoing {
+        clients: outgoing_clients,
+        backends: outgoing_backends,
+        ended_attempts,
+        listener: outgoing_listener,
+        peers: outgoing_peers,
+    };
     let mut role = core.role.subscribe();
-    let taking_over = move || {
+    let start_handover = move || {
         if let Some(link) = link {
-            spawn_local(succession.clone().take_over(link));
+            spawn_local(handover.clone().take_over(link));
         }
         if let Some(path) = path {
             spawn_local(async move {
                 let _ = role.wait_for(|role| *role == Role::Active).await;
-                succession.serve_successor(path, leaving).await
+                handover.serve_successor(path, outgoing).await
             });
         }
     };
-    core.serve(&instance, taking, taking_over, stop, log).await
+    core.serve(&instance, server, start_handover, stop, log).await
 }
 
-/// Runs an instance of the authorisation front on a listener, within a local task set; `ways` says where Consul and
-/// the counter are to be found from now on.
+/// Runs an instance of the external authorisation front on a listener until `stop` resolves. Must be called within a local task
+/// set. `ways` holds the current addresses of Consul and of the counter, which a reload of the configuration changes.
 pub async fn serve_authz(
     config: AuthzConfig,
     listener: TcpListener,
@@ -554,31 +572,32 @@
     let stop = spawn_local(stop);
     let AuthzConfig { instance, consul, authz } = config;
     let site = &instance.site;
-    let clients = instance.limits.callers();
-    let room = (clients, Duration::from_secs_f64(authz.connection_age / 1000.0));
-    let flows = clients * CHECKS;
+    let max_connections = instance.limits.callers();
+    let room = (max_connections, Duration::from_secs_f64(authz.connection_age / 1000.0));
+    let max_checks = max_connections * CHECKS_PER_CONNECTION;
     let peers = instance.peer_listen.filter(|_| site.settings.peers);
     let peers = peers.map(|at| bind_peers(&instance, at)).transpose()?;
     let peers = peers.map(UdpSocket::from_std).transpose()?;
-    let alone = (peers, Role::Active);
+    let peers_and_role = (peers, Role::Active);
     let witness = Rc::<Witness>::default();
-    let bounds = (flows, Some(witness.clone()));
-    let mut core = Core::<Check, Bytes>::start(&instance, &ways, None, bounds, alone, &log).await?;
+    let engine_options = (max_checks, Some(witness.clone()));
+    let mut core =
+        Core::<Check, Bytes>::start(&instance, &ways, None, engine_options, peers_and_role, &log).await?;
     let (deadlines, exchange) = (core.deadlines.clone(), core.exchange.clone());
-    let side =
+    let authorisers =
         Authorisers::new(exchange.clone(), deadlines.clone(), site.clone(), core.stats.clone(), log.clone());
-    let orders = std::mem::replace(&mut core.orders, mpsc::unbounded_channel().1);
-    core.parts.spawn_local(side.run(orders));
+    let commands = std::mem::replace(&mut core.commands, mpsc::unbounded_channel().1);
+    core.essential_tasks.spawn_local(authorisers.run(commands));
     core.watch_consul(&instance, consul, &ways, witness, &log);
     let front = Arc::new(Front { site: site.clone(), authz });
     let service = CheckService::new(front, exchange, core.stats.clone());
-    let (mut starting, signals, told) = (core.phase.subscribe(), core.signals(), log.clone());
-    let taking = spawn_local(async move {
-        // Checks that come before the first list wait in the backlog.
-        let _ = starting.wait_for(|phase| *phase >= Phase::Serving).await;
-        if let Err(e) = service::serve(service, listener, room, signals, told.clone()).await {
-            info!(told, "serving ended"; "error" => %e);
+    let (mut phase, signals, server_log) = (core.phase.subscribe(), core.signals(), log.clone());
+    let server = spawn_local(async move {
+        // Connections that arrive before the first list wait in the backlog.
+        let _ = phase.wait_for(|phase| *phase >= Phase::Serving).await;
+        if let Err(e) = service::serve(service, listener, room, signals, server_log.clone()).await {
+            info!(server_log, "serving ended"; "error" => %e);
         }
     });
-    core.serve(&instance, taking, || {}, stop, log).await
+    core.serve(&instance, server, || {}, stop, log).await
 }
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -1,29 +1,30 @@
-//! Recovery of an instance after its start: what it knows, what is missing, and how long each stage took. No I/O and no
-//! clock of its own; `docs/recovery.md` tells why it is as it is.
+//! The recovery of an instance after its start: which information it has, which is missing, and how long each stage took.
+//! No I/O and no clock of its own. The design is described in `docs/recovery.md`.
 
 use crate::interface::Millis;
 use std::fmt::Write;
 
-/// An instance serves for so many milliseconds before it is whole: meanwhile it hears what the others grant.
-const HEARING: Millis = 3000.0;
+/// The time that an instance must have served before it counts as fully recovered, in milliseconds. During this time the
+/// other instances send it the quotas that they have granted.
+const QUOTA_SYNC_PERIOD: Millis = 3000.0;
 
 /// How far an instance has recovered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It has started, and knows no list.
+    /// Started, without any list of backends.
     Begun,
-    /// It has the list of the process before, and waits for a new one.
+    /// Has a list from an earlier process, and waits for a current one.
     Listening,
-    /// It serves, and something is missing.
+    /// Serves, although some information is missing.
     Partial,
-    /// Nothing is missing.
+    /// Fully recovered: nothing is missing.
     Whole,
 }
 
 impl Stage {
     const ALL: [Self; 4] = [Self::Begun, Self::Listening, Self::Partial, Self::Whole];
 
-    /// Its name in the admin interface and in the log.
+    /// Returns the name that the admin interface and the log use.
     pub fn name(self) -> &'static str {
         match self {
             Self::Begun => "begun",
@@ -34,69 +35,74 @@
     }
 }
 
-/// Something that an instance has come to know, or to lack.
+/// A change of what an instance knows, or of whether it serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    /// It has a list, of whatever age.
-    List,
-    /// Discovery or Consul has sent it one.
-    Told,
-    /// It serves.
+pub enum RecoveryEvent {
+    /// A list of backends is available, of any age.
+    ListLoaded,
+    /// Discovery or Consul has sent a list.
+    ListReceived,
+    /// The instance has begun to serve.
     Serving,
-    /// It knows which members of the fleet are live (true), or no longer does.
-    View(bool),
+    /// The live members of the fleet are known (`true`), or no longer known (`false`).
+    FleetView(bool),
 }
 
-/// The recovery of an instance.
+/// A change of stage: the old stage, the new one, and the time spent in the old one, in milliseconds.
+pub type StageChange = (Stage, Stage, Millis);
+
+/// Tracks the recovery of an instance. All times are Unix milliseconds.
 #[derive(Debug, Clone)]
 pub struct Recovery {
-    /// Membership of a fleet is configured.
-    fleet: bool,
-    begun: Millis,
-    list: bool,
-    told: bool,
-    view: bool,
-    serving: Option<Millis>,
+    /// Whether membership of a fleet is configured.
+    in_fleet: bool,
+    started_at: Millis,
+    has_list: bool,
+    list_received: bool,
+    has_fleet_view: bool,
+    /// `None` until the instance serves.
+    serving_since: Option<Millis>,
     stage: Stage,
-    since: Millis,
-    /// The time spent in each stage before this one.
-    spent: [Millis; 4],
-    /// From the start to the first time that it was whole.
-    whole: Option<Millis>,
+    stage_since: Millis,
+    /// The time spent in each stage before the current one, in milliseconds.
+    time_in_stage: [Millis; 4],
+    /// The time from the start to the first [`Stage::Whole`], in milliseconds.
+    whole_after: Option<Millis>,
 }
 
 impl Recovery {
-    /// An instance that starts now; `fleet` says whether it must know which members are live.
-    pub fn new(fleet: bool, now: Millis) -> Self {
+    /// Creates the recovery of an instance that starts at `now`. If `in_fleet` is true, it is not whole before it knows the
+    /// live members of the fleet.
+    pub fn new(in_fleet: bool, now: Millis) -> Self {
         Self {
-            fleet,
-            begun: now,
-            list: false,
-            told: false,
-            view: false,
-            serving: None,
+            in_fleet,
+            started_at: now,
+            has_list: false,
+            list_received: false,
+            has_fleet_view: false,
+            serving_since: None,
             stage: Stage::Begun,
-            since: now,
-            spent: [0.0; 4],
-            whole: None,
+            stage_since: now,
+            time_in_stage: [0.0; 4],
+            whole_after: None,
         }
     }
 
-    /// Takes in what has become known; returns a change of stage: from which, to which, after how many milliseconds.
-    pub fn heard(&mut self, now: Millis, what: Heard) -> Option<(Stage, Stage, Millis)> {
-        match what {
-            Heard::List => self.list = true,
-            Heard::Told => (self.list, self.told) = (true, true),
-            Heard::Serving => self.serving = Some(self.serving.unwrap_or(now)),
-            Heard::View(known) => self.view = known,
+    /// Records an event and returns the change of stage that follows from it, if any.
+    pub fn record(&mut self, now: Millis, event: RecoveryEvent) -> Option<StageChange> {
+        match event {
+            RecoveryEvent::ListLoaded => self.has_list = true,
+            RecoveryEvent::ListReceived => (self.has_list, self.list_received) = (true, true),
+            RecoveryEvent::Serving => self.serving_since = Some(self.serving_since.unwrap_or(now)),
+            RecoveryEvent::FleetView(known) => self.has_fleet_view = known,
         }
         self.tick(now)
     }
 
-    /// Returns the same where only time has passed.
-    pub fn tick(&mut self, now: Millis) -> Option<(Stage, Stage, Millis)> {
+    /// Returns the change of stage that the passage of time brings about, if any.
+    pub fn tick(&mut self, now: Millis) -> Option<StageChange> {
         let missing = self.missing(now).next().is_some();
-        let stage = match (self.serving, self.list) {
+        let stage = match (self.serving_since, self.has_list) {
             (Some(_), _) if missing => Stage::Partial,
             (Some(_), _) => Stage::Whole,
             (None, true) => Stage::Listening,
@@ -105,50 +111,52 @@
         if stage == self.stage {
             return None;
         }
-        let (before, span) = (self.stage, (now - self.since).max(0.0));
-        self.spent[before as usize] += span;
-        (self.stage, self.since) = (stage, now);
+        let (before, span) = (self.stage, (now - self.stage_since).max(0.0));
+        self.time_in_stage[before as usize] += span;
+        (self.stage, self.stage_since) = (stage, now);
         if stage == Stage::Whole {
-            self.whole.get_or_insert(now - self.begun);
+            self.whole_after.get_or_insert(now - self.started_at);
         }
         Some((before, stage, span))
     }
 
-    /// When time alone may change the stage; none where it cannot.
-    pub fn due(&self) -> Option<Millis> {
-        self.serving.map(|at| at + HEARING).filter(|_| self.stage == Stage::Partial)
+    /// Returns the time of the next [`Self::tick`] that may change the stage, in Unix milliseconds, or `None` if only an
+    /// event can change it.
+    pub fn next_tick(&self) -> Option<Millis> {
+        self.serving_since.map(|at| at + QUOTA_SYNC_PERIOD).filter(|_| self.stage == Stage::Partial)
     }
 
-    /// The stage.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// What is missing.
+    /// Returns the names of what is missing, as the admin interface shows them.
     pub fn missing(&self, now: Millis) -> impl Iterator<Item = &'static str> {
-        let heard = self.serving.is_some_and(|at| now >= at + HEARING);
+        let quotas_synced = self.serving_since.is_some_and(|at| now >= at + QUOTA_SYNC_PERIOD);
         let all = [
-            ("list", self.told),
-            ("view", self.view || !self.fleet),
-            ("serving", self.serving.is_some()),
-            ("hearing", heard),
+            ("list", self.list_received),
+            ("view", self.has_fleet_view || !self.in_fleet),
+            ("serving", self.serving_since.is_some()),
+            ("hearing", quotas_synced),
         ];
         all.into_iter().filter(|(_, has)| !has).map(|(what, _)| what)
     }
 
-    /// The report of the admin interface: the stage and how long it has lasted, what is missing, the time spent in each stage,
-    /// and how long it took until the instance was first whole; times in milliseconds.
-    pub fn text(&self, now: Millis) -> String {
+    /// Returns the report that the admin interface shows: the stage and its duration so far, what is missing, the time spent
+    /// in each stage, and the time until the instance was first whole. All times in milliseconds.
+    pub fn report(&self, now: Millis) -> String {
         let mut text = String::new();
-        let _ = writeln!(text, "stage {} {:.0}", self.stage.name(), (now - self.since).max(0.0));
+        let _ = writeln!(text, "stage {} {:.0}", self.stage.name(), (now - self.stage_since).max(0.0));
         for what in self.missing(now) {
             let _ = writeln!(text, "missing {what}");
         }
         for stage in Stage::ALL {
-            let here = if stage == self.stage { (now - self.since).max(0.0) } else { 0.0 };
-            let _ = writeln!(text, "spent {} {:.0}", stage.name(), self.spent[stage as usize] + here);
+            let current = if stage == self.stage { (now - self.stage_since).max(0.0) } else { 0.0 };
+            let _ =
+                writeln!(text, "spent {} {:.0}", stage.name(), self.time_in_stage[stage as usize] + current);
         }
-        if let Some(whole) = self.whole {
+        if let Some(whole) = self.whole_after {
             let _ = writeln!(text, "whole_after {whole:.0}");
         }
         text
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -1,4 +1,4 @@
-//! The messages between the old process and the new one, and their bytes. No I/O.
+//! The frames that the old process and the new one exchange during an upgrade, and their encoding. No I/O.
 
 use crate::exchange::{EngineState, Operation};
 use crate::interface::{AttemptEnd, BackendId, Millis};
@@ -6,81 +6,82 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of the frames; processes of different versions don't talk to each other.
+/// The version of the frames' encoding. A process hands nothing over to one of another version.
 pub const LAYOUT_VERSION: u32 = 1;
 /// The longest frame, in bytes: room for the state of some ten thousand customers.
-const MAX_FRAME: usize = 16 << 20;
-/// The length that a frame begins with, in bytes.
-const LENGTH: usize = 4;
+const MAX_FRAME_BYTES: usize = 16 << 20;
+/// The size of the length field that a frame begins with, in bytes.
+const LENGTH_BYTES: usize = 4;
 
-/// A message from one process to the other.
+/// A frame from one process to the other. Written by postcard: the order of the variants and fields, and the fields' types,
+/// are the format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// The new process has started, and reads this version of the frames.
     Hello(u32),
-    /// Brings the descriptor of the clients' listener, and that of the peers' socket where there is one.
+    /// Carries the descriptor of the clients' listener, and that of the peers' socket if there is one.
     Sockets {
-        /// There is a peers' socket.
+        /// Whether there is a peers' socket.
         peers: bool,
     },
-    /// The new process can serve, and asks for everything.
-    Take,
+    /// The new process is able to serve, and takes over: it asks for the state and the connections.
+    TakeOver,
     /// The state of the old process, which has stopped deciding.
     State {
         /// The state of its engine.
-        estate: EngineState,
-        /// It is drained.
+        engine: EngineState,
+        /// Whether an operator has drained the instance.
         drained: bool,
-        /// How many connections to backends it still has open.
-        servers: usize,
+        /// The number of connections to backends that the old process still has open.
+        backend_connections: usize,
     },
-    /// Brings the descriptor of a client's connection.
-    Client {
-        /// It has brought requests before.
-        flows: bool,
-        /// How many milliseconds ago its current message began, where one has.
-        age: Option<Millis>,
-        /// What has been read of that message.
+    /// Carries the descriptor of a client's connection.
+    ClientConnection {
+        /// Whether it has carried requests before.
+        had_requests: bool,
+        /// The time since the first byte of its incomplete message, in milliseconds, or `None` if there is no such message.
+        message_age: Option<Millis>,
+        /// The bytes of that message that have been read.
         bytes: Vec<u8>,
     },
-    /// Brings the descriptor of an idle connection to a backend.
-    Server(BackendId),
+    /// Carries the descriptor of an idle connection to this backend.
+    BackendConnection(BackendId),
     /// An attempt that the old process had in flight has ended.
-    Ended(AttemptEnd),
-    /// An operator's command, with a number, to be carried out here too.
+    AttemptEnded(AttemptEnd),
+    /// An operator's operation that the receiver must carry out too, with a number for the confirmation.
     Operate(u64, Operation),
-    /// The command of this number was carried out.
-    Done(u64),
-    /// An operator drains this instance (true), or ends that.
+    /// The operation of this number was carried out.
+    OperationDone(u64),
+    /// An operator has drained the instance (`true`) or resumed it (`false`).
     Drain(bool),
 }
 
 impl Frame {
-    /// How many descriptors come with it.
+    /// Returns the number of file descriptors that accompany the frame.
     pub(super) fn descriptors(&self) -> usize {
         match self {
             Self::Sockets { peers } => 1 + usize::from(*peers),
-            Self::Client { .. } | Self::Server(_) => 1,
+            Self::ClientConnection { .. } | Self::BackendConnection(_) => 1,
             _ => 0,
         }
     }
 
-    /// Its bytes on the link.
+    /// Returns the encoded frame: the length of the body (32 bits, little-endian), then the body.
     pub fn bytes(&self) -> Vec<u8> {
         let body = postcard::to_allocvec(self).unwrap_or_default();
-        let mut bytes = Vec::with_capacity(LENGTH + body.len());
+        let mut bytes = Vec::with_capacity(LENGTH_BYTES + body.len());
         bytes.put_u32_le(u32::try_from(body.len()).unwrap_or(u32::MAX));
         bytes.extend_from_slice(&body);
         bytes
     }
 }
 
-/// Why bytes are no frame.
+/// The reason why bytes cannot be decoded as a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
-    /// It is longer than any frame.
+    /// The length is above the maximum.
     TooLong,
-    /// It cannot be read.
+    /// The body cannot be decoded.
     Malformed,
 }
 
@@ -95,21 +96,21 @@
 
 impl std::error::Error for FrameError {}
 
-/// Takes a frame off the front of the buffer; none where it is not there whole yet.
+/// Removes the first frame from the buffer and returns it, or `None` if it is not complete yet.
 ///
 /// # Errors
-/// [`FrameError`] where the bytes are no frame; nothing after them can be read.
+/// [`FrameError`] if the bytes are not a frame. The rest of the buffer cannot be decoded then.
 pub fn take_frame(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-    let Some(length) = buffer.first_chunk::<LENGTH>().map(|n| u32::from_le_bytes(*n) as usize) else {
+    let Some(length) = buffer.first_chunk::<LENGTH_BYTES>().map(|n| u32::from_le_bytes(*n) as usize) else {
         return Ok(None);
     };
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong);
     }
-    let Some(body) = buffer.get(LENGTH..LENGTH + length) else {
+    let Some(body) = buffer.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
         return Ok(None);
     };
     let frame = postcard::from_bytes(body).map_err(|_| FrameError::Malformed)?;
-    buffer.advance(LENGTH + length);
+    buffer.advance(LENGTH_BYTES + length);
     Ok(Some(frame))
 }
--- a/src/upgrade/link.rs
+++ b/src/upgrade/link.rs
@@ -14,26 +14,26 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// A frame comes with so many descriptors at most.
+/// The maximum number of descriptors that accompany a frame.
 const MAX_DESCRIPTORS: usize = 2;
 
-/// A frame with the file descriptors that come with it.
+/// A frame with the file descriptors that accompany it.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct Message {
     /// The frame.
     pub frame: Frame,
-    /// Its descriptors, as many as the frame says.
+    /// The descriptors, as many as [`Frame`] requires.
     pub descriptors: Vec<OwnedFd>,
 }
 
-impl From<Frame> for Parcel {
+impl From<Frame> for Message {
     /// A frame without descriptors.
     fn from(frame: Frame) -> Self {
         Self { frame, descriptors: Vec::new() }
     }
 }
 
-/// The reading end of a link to the other process.
+/// The reading end of the link to the other process.
 #[derive(Debug)]
 pub struct Reader {
     stream: Rc<UnixStream>,
@@ -41,11 +41,11 @@
     descriptors: VecDeque<OwnedFd>,
 }
 
-/// The writing end.
+/// The writing end of the link to the other process.
 #[derive(Debug)]
 pub struct Writer(Rc<UnixStream>);
 
-/// Both ends of a link.
+/// Splits a connection to the other process into its reading and writing ends.
 pub fn link(stream: UnixStream) -> (Reader, Writer) {
     let stream = Rc::new(stream);
     let reader = Reader { stream: stream.clone(), buffer: BytesMut::new(), descriptors: VecDeque::new() };
@@ -53,11 +53,11 @@
 }
 
 impl Reader {
-    /// Reads the next frame; none at the end of the link.
+    /// Reads the next message. Returns `None` once the other process has closed the link.
     ///
     /// # Errors
-    /// Those of the socket, and of bytes that are no frame or lack a descriptor.
-    pub async fn next(&mut self) -> io::Result<Option<Parcel>> {
+    /// Errors of the socket, and an error if the bytes are not a frame or a descriptor is missing.
+    pub async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some(frame) = take_frame(&mut self.buffer).map_err(io::Error::other)? {
                 let n = frame.descriptors();
@@ -65,7 +65,7 @@
                     return Err(io::Error::other("a descriptor is missing"));
                 }
                 let descriptors = self.descriptors.drain(..n).collect();
-                return Ok(Some(Parcel { frame, descriptors }));
+                return Ok(Some(Message { frame, descriptors }));
             }
             let (buffer, descriptors) = (&mut self.buffer, &mut self.descriptors);
             let read = || receive(&self.stream, buffer, descriptors);
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reads what has arrived: bytes into the buffer, descriptors beside it; returns how many bytes.
+/// Appends the bytes and the descriptors that have arrived, and returns the number of bytes.
 fn receive(
     stream: &UnixStream,
     buffer: &mut BytesMut,
@@ -97,15 +97,15 @@
 }
 
 impl Writer {
-    /// Writes a frame with its descriptors; the caller closes its own copies of these.
+    /// Writes a message. The caller keeps its own copies of the descriptors, and closes them.
     ///
     /// # Errors
-    /// Those of the socket.
-    pub async fn write(&mut self, parcel: &Parcel) -> io::Result<()> {
-        let bytes = parcel.frame.bytes();
+    /// Errors of the socket.
+    pub async fn write(&mut self, message: &Message) -> io::Result<()> {
+        let bytes = message.frame.bytes();
         let mut written = 0;
-        if !parcel.descriptors.is_empty() {
-            let all: Vec<_> = parcel.descriptors.iter().map(AsFd::as_fd).collect();
+        if !message.descriptors.is_empty() {
+            let all: Vec<_> = message.descriptors.iter().map(AsFd::as_fd).collect();
             let send = || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
--- a/src/upgrade/rendezvous.rs
+++ b/src/upgrade/rendezvous.rs
@@ -1,7 +1,7 @@
-//! How the new process finds the old one, and gets its sockets: by a Unix socket in a folder that both share.
+//! How the new process finds the old one and gets its sockets: over a Unix socket in a directory that both share.
 
 use super::frame::{Frame, LAYOUT_VERSION};
-use super::link::{Parcel, Reader, Writer, link};
+use super::link::{Message, Reader, Writer, link};
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -9,33 +9,34 @@
 use std::time::Duration;
 use tokio::net::UnixStream;
 
-/// The old process must answer within this time, or the new one goes on without it.
+/// The time within which the old process must answer; after it, the new one starts without it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The path of a file of this kind that belongs to the processes at this address; none without a folder for it.
+/// Returns the path of a file for the processes that listen at this address, or `None` if `TMPDIR` is not set. `kind` is the
+/// extension.
 pub fn path(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(PathBuf::from(folder).join(format!("weldhub-{}-{}.{kind}", listen.ip(), listen.port())))
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
+    Some(PathBuf::from(directory).join(format!("weldhub-{}-{}.{kind}", listen.ip(), listen.port())))
 }
 
-/// What the new process inherits first.
+/// The sockets that the new process takes over, and the link to the old one.
 #[derive(Debug)]
-pub struct Inherited {
+pub struct InheritedSockets {
     /// The clients' listener.
     pub listener: OwnedFd,
-    /// The peers' socket, where there is one.
+    /// The peers' socket, or `None` if there is none.
     pub peers: Option<OwnedFd>,
-    /// The reading end of the link, for all that follows.
+    /// The reading end of the link.
     pub reader: Reader,
-    /// The writing end.
+    /// The writing end of the link.
     pub writer: Writer,
 }
 
-/// Asks the old process for its sockets; none where there is no old process.
+/// Requests the sockets of the old process. Returns `None` if there is no old process.
 ///
 /// # Errors
-/// Those of the link, and of an old process that does not answer as it should.
-pub async fn request_sockets(path: &Path) -> io::Result<Option<Inherited>> {
+/// Errors of the link, and an error if the old process does not answer in time or answers with another frame.
+pub async fn request_sockets(path: &Path) -> io::Result<Option<InheritedSockets>> {
     let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
         Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
@@ -44,15 +45,15 @@
         Err(e) => return Err(e),
     };
     let (mut reader, mut writer) = link(stream);
-    let greeted = async {
+    let reply = async {
         writer.write(&Frame::Hello(LAYOUT_VERSION).into()).await?;
         reader.next().await
     };
-    match tokio::time::timeout(ANSWER_TIMEOUT, greeted).await {
-        Ok(Ok(Some(Parcel { frame: Frame::Sockets { .. }, descriptors }))) => {
+    match tokio::time::timeout(ANSWER_TIMEOUT, reply).await {
+        Ok(Ok(Some(Message { frame: Frame::Sockets { .. }, descriptors }))) => {
             let mut descriptors = descriptors.into_iter();
             let listener = descriptors.next().ok_or_else(|| io::Error::other("no listener came"))?;
-            Ok(Some(Inherited { listener, peers: descriptors.next(), reader, writer }))
+            Ok(Some(InheritedSockets { listener, peers: descriptors.next(), reader, writer }))
         }
         Ok(Err(e)) => Err(e),
         Ok(Ok(_)) => Err(io::Error::other("the old process did not give its sockets")),
@@ -60,17 +61,17 @@
     }
 }
 
-/// Listens for the next process, in place of any process that listened there before.
+/// Listens for the next process at `path`, in place of any earlier process that listened there.
 ///
 /// # Errors
-/// Those of the folder and of the socket.
+/// Errors of the file system and of the socket.
 pub fn listen(path: &Path) -> io::Result<tokio::net::UnixListener> {
-    let part = path.with_extension("next");
-    match std::fs::remove_file(&part) {
+    let temporary = path.with_extension("next");
+    match std::fs::remove_file(&temporary) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
-    let listener = tokio::net::UnixListener::bind(&part)?;
-    std::fs::rename(&part, path)?;
+    let listener = tokio::net::UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -1,5 +1,5 @@
 use super::frame::{Frame, FrameError, LAYOUT_VERSION, take_frame};
-use super::link::{Parcel, link};
+use super::link::{Message, link};
 use crate::exchange::{EngineState, Operation};
 use bytes::BytesMut;
 use quickcheck::{Gen, QuickCheck};
@@ -8,29 +8,30 @@
 use tokio::net::UnixStream;
 
 fn frames() -> Vec<Frame> {
-    let estate =
+    let engine =
         EngineState { limiter: vec![7; 300], disabled: vec!["s-1".into()], ..EngineState::default() };
     vec![
         Frame::Hello(LAYOUT_VERSION),
         Frame::Sockets { peers: true },
-        Frame::State { estate, drained: true, servers: 3 },
-        Frame::Client { flows: true, age: Some(1.5), bytes: b"GET / HT".to_vec() },
+        Frame::State { engine, drained: true, backend_connections: 3 },
+        Frame::ClientConnection { had_requests: true, message_age: Some(1.5), bytes: b"GET / HT".to_vec() },
         Frame::Operate(4, Operation::Disable("s-2".into())),
-        Frame::Done(4),
+        Frame::OperationDone(4),
     ]
 }
 
-fn taken(bytes: &[u8], cuts: &[u16]) -> Vec<Result<Frame, FrameError>> {
-    let (mut buffer, mut all, mut broken) = (BytesMut::new(), Vec::new(), false);
+/// Decodes bytes that arrive in pieces, up to the first error.
+fn decode_in_pieces(bytes: &[u8], cuts: &[u16]) -> Vec<Result<Frame, FrameError>> {
+    let (mut buffer, mut all, mut failed) = (BytesMut::new(), Vec::new(), false);
     crate::net::tests::in_pieces(bytes, cuts, |piece| {
         buffer.extend_from_slice(piece);
-        while !broken {
+        while !failed {
             match take_frame(&mut buffer) {
                 Ok(Some(frame)) => all.push(Ok(frame)),
                 Ok(None) => break,
-                Err(why) => {
-                    all.push(Err(why));
-                    broken = true;
+                Err(error) => {
+                    all.push(Err(error));
+                    failed = true;
                 }
             }
         }
@@ -40,41 +41,45 @@
 }
 
 #[test]
-fn frames_are_the_same_however_they_are_cut_and_garbage_is_no_panic() {
-    fn cut(cuts: Vec<u16>) -> bool {
+fn decodes_frames_from_any_pieces_and_garbage_without_panic() {
+    fn pieces(cuts: Vec<u16>) -> bool {
         let bytes: Vec<u8> = frames().iter().flat_map(Frame::bytes).collect();
-        taken(&bytes, &cuts).into_iter().map(Result::unwrap).eq(frames())
+        decode_in_pieces(&bytes, &cuts).into_iter().map(Result::unwrap).eq(frames())
     }
     fn garbage(bytes: Vec<u8>, cuts: Vec<u16>) -> bool {
-        taken(&bytes, &cuts).len() <= bytes.len()
+        decode_in_pieces(&bytes, &cuts).len() <= bytes.len()
     }
     let check = || QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(400);
-    check().quickcheck(cut as fn(Vec<u16>) -> bool);
+    check().quickcheck(pieces as fn(Vec<u16>) -> bool);
     check().quickcheck(garbage as fn(Vec<u8>, Vec<u16>) -> bool);
-    assert!(taken(&u32::MAX.to_le_bytes(), &[])[0].is_err(), "an endless frame is not waited for");
+    assert!(
+        decode_in_pieces(&u32::MAX.to_le_bytes(), &[])[0].is_err(),
+        "a frame of excessive length is rejected at once"
+    );
 }
 
 #[tokio::test]
-async fn descriptors_come_with_their_frames_in_order() {
+async fn descriptors_arrive_with_their_frames_in_order() {
     let (one, two) = UnixStream::pair().unwrap();
     let ((_, mut writer), (mut reader, other)) = (link(one), link(two));
     let pipes: Vec<_> = (0..3).map(|_| std::io::pipe().unwrap()).collect();
     let (mut kept, given): (Vec<_>, Vec<_>) = pipes.into_iter().unzip();
     let mut given = given.into_iter().map(OwnedFd::from);
-    let parcel = |frame, descriptors| Parcel { frame, descriptors };
-    let client = || Frame::Client { flows: false, age: None, bytes: vec![1; 40_000] };
+    let message = |frame, descriptors| Message { frame, descriptors };
+    let client =
+        || Frame::ClientConnection { had_requests: false, message_age: None, bytes: vec![1; 40_000] };
     let sending = async {
-        writer.write(&parcel(client(), given.by_ref().take(1).collect())).await.unwrap();
-        writer.write(&Frame::Take.into()).await.unwrap();
+        writer.write(&message(client(), given.by_ref().take(1).collect())).await.unwrap();
+        writer.write(&Frame::TakeOver.into()).await.unwrap();
         let sockets = Frame::Sockets { peers: true };
-        writer.write(&parcel(sockets, given.by_ref().take(2).collect())).await.unwrap();
+        writer.write(&message(sockets, given.by_ref().take(2).collect())).await.unwrap();
         drop(writer);
     };
     let receiving = async {
         let mut all = Vec::new();
-        while let Some(parcel) = reader.next().await.unwrap() {
-            let last = matches!(parcel.frame, Frame::Sockets { .. });
-            all.push(parcel);
+        while let Some(message) = reader.next().await.unwrap() {
+            let last = matches!(message.frame, Frame::Sockets { .. });
+            all.push(message);
             if last {
                 break;
             }
@@ -83,8 +88,8 @@
     };
     let ((), all) = tokio::join!(sending, receiving);
     drop(other);
-    assert_eq!(all.iter().map(|parcel| parcel.descriptors.len()).collect::<Vec<_>>(), [1, 0, 2]);
-    for (i, descriptor) in all.into_iter().flat_map(|parcel| parcel.descriptors).enumerate() {
+    assert_eq!(all.iter().map(|message| message.descriptors.len()).collect::<Vec<_>>(), [1, 0, 2]);
+    for (i, descriptor) in all.into_iter().flat_map(|message| message.descriptors).enumerate() {
         std::fs::File::from(descriptor).write_all(&[i as u8]).unwrap();
         let mut byte = [9];
         kept[i].read_exact(&mut byte).unwrap();
