--- a/src/admin/drain.rs
+++ b/src/admin/drain.rs
@@ -5,11 +5,12 @@
 use crate::net::server_side::Drain;
 use tokio::sync::watch;
 
-/// The time between the announcement of a drain and the closing of connections, in milliseconds. The load balancer in front
-/// needs this time to notice that the instance is not ready.
+/// The time between the announcement of a drain and the closing of connections, in milliseconds. The load
+/// balancer in front needs this time to notice that the instance is not ready.
 const ANNOUNCEMENT_TIME: Millis = 550.0;
 
-/// Starts the second step of each drain [`ANNOUNCEMENT_TIME`] after its announcement. Runs until the process ends.
+/// Starts the second step of each drain `ANNOUNCEMENT_TIME` after its announcement. Runs until the process
+/// ends.
 pub async fn close_after_announcement(drain: watch::Sender<Drain>, deadlines: Deadlines) {
     let mut drains = drain.subscribe();
     while drains.wait_for(|drain| *drain == Drain::Announced).await.is_ok() {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,6 @@
-//! The admin interface for operators: a client sends one line and gets one answer. It stays available under any load: file
-//! descriptors are reserved for it, and connections that have sent no complete line are closed to make room for others.
+//! The admin interface for operators: a client sends one line and gets one answer. It stays available under
+//! any load: file descriptors are reserved for it, and connections that have sent no complete line are closed
+//! to make room for others.
 
 pub mod command;
 pub mod drain;
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -29,13 +29,14 @@
 
 /// The longest line that is read, in bytes.
 const MAX_LINE_BYTES: usize = 256;
-/// The time within which a client must send a complete line, in milliseconds; after it, the connection is closed.
+/// The time within which a client must send a complete line, in milliseconds; after it, the connection is
+/// closed.
 const READ_TIMEOUT: Millis = 5000.0;
-/// The time within which the engine must answer, in milliseconds; after it, the command fails. Operators must get an answer
-/// within one second.
+/// The time within which the engine must answer, in milliseconds; after it, the command fails. Operators must
+/// get an answer within one second.
 const ENGINE_TIMEOUT: Millis = 800.0;
-/// How long a connection is read after its answer, in milliseconds, or until the client closes it. Closing it with unread
-/// data would reset it, and the client could lose the answer.
+/// How long a connection is read after its answer, in milliseconds, or until the client closes it. Closing it
+/// with unread data would reset it, and the client could lose the answer.
 const LINGER_TIMEOUT: Millis = 500.0;
 /// The delay before the next attempt to accept a connection after a failed one, in milliseconds.
 const ACCEPT_RETRY: Millis = 50.0;
@@ -43,7 +44,7 @@
 const NO_CLUSTER: &str = "fail no cluster is set\n";
 
 /// Carries out an operation on the engine.
-pub type Engine = Box<dyn Fn(Operation) -> Pin<Box<dyn Future<Output = OperationResult>>>>;
+pub type OperationHandler = Box<dyn Fn(Operation) -> Pin<Box<dyn Future<Output = OperationResult>>>>;
 
 /// The server of the admin interface, with everything that its commands read or change.
 pub struct AdminServer {
@@ -58,8 +59,9 @@
     /// The other process at this address.
     pub other_process: OtherProcess,
     /// The way to the engine.
-    pub engine: Engine,
-    /// The file that stores the names of the disabled backends for the next process, or `None` to store nothing.
+    pub engine: OperationHandler,
+    /// The file that stores the names of the disabled backends for the next process, or `None` to store
+    /// nothing.
     pub disabled_file: Option<PathBuf>,
     /// The clock and the timers.
     pub deadlines: Deadlines,
@@ -77,7 +79,8 @@
     open: Cell<usize>,
     /// Notified when a connection has closed.
     closed: Notify,
-    /// Connections that have not sent a complete line, the oldest first. Dropping the sender closes the connection.
+    /// Connections that have not sent a complete line, the oldest first. Dropping the sender closes the
+    /// connection.
     incomplete: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
 }
 
@@ -118,8 +121,8 @@
 
     /// Waits until a connection has closed.
     async fn make_room(&self) {
-        // Closes the oldest connection without a complete line, so that connections that send nothing cannot lock operators
-        // out. The most recent one is never closed.
+        // Closes the oldest connection without a complete line, so that connections that send nothing cannot
+        // lock operators out. The most recent one is never closed.
         let oldest = {
             let mut incomplete = self.incomplete.borrow_mut();
             if incomplete.len() > 1 { incomplete.pop_first() } else { None }
@@ -216,7 +219,8 @@
         self.server.deadlines.within(ENGINE_TIMEOUT, answer).await.unwrap_or(Err("no answer in time"))
     }
 
-    /// Publishes a notice that an ingress is drained or resumed. The ingress learns of it by the notice, as all others do.
+    /// Publishes a notice that an ingress is drained or resumed. The ingress learns of it by the notice, as
+    /// all others do.
     fn drain_other(&self, name: String, drained: bool) -> String {
         let Some((cluster, local_notices)) = &self.server.cluster else {
             return format!("fail {}\n", CommandError::UnexpectedArgument);
@@ -224,7 +228,8 @@
         if !is_known(&cluster.borrow(), &name) || name.len() > MAX_SUBJECT {
             return "fail no such ingress\n".to_owned();
         }
-        info!(self.server.log, "an operator drains an ingress or ends that"; "name" => &name, "drained" => drained);
+        info!(self.server.log, "an operator drains an ingress or ends that";
+            "name" => &name, "drained" => drained);
         match local_notices.send(LocalNotice::Published(Subject::Ingress(name), drained)) {
             Ok(()) => "ok\n".to_owned(),
             Err(_) => "fail the wire has ended\n".to_owned(),
--- a/src/bin/weldhub-adapter/main.rs
+++ b/src/bin/weldhub-adapter/main.rs
@@ -1,5 +1,6 @@
-//! Connects the decision module to the simulator: reads batches of events from standard input, keeps one limiter per
-//! instance number, and writes the actions to standard output. It only translates; all decisions are the limiters'.
+//! Connects the decision module to the simulator: reads batches of events from standard input, keeps one
+//! limiter per instance number, and writes the actions to standard output. It only translates; all decisions
+//! are the limiters'.
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/weldhub-adapter/wire.rs
+++ b/src/bin/weldhub-adapter/wire.rs
@@ -178,8 +178,8 @@
         Ok(BackendEntry { backend, state, weight, zone, cell, kind, last_start })
     }
 
-    /// Reads the next record. `load_names` are the names of the values in the load reports of the instance that it is for, in
-    /// their order.
+    /// Reads the next record. `load_names` are the names of the values in the load reports of the instance
+    /// that it is for, in their order.
     pub fn record(&mut self, load_names: &[String]) -> Result<Record, WireError> {
         self.code = None;
         let code = self.u16()?;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line: reads the configuration, starts the log and serves until SIGTERM or SIGINT. SIGHUP reloads the
-//! configuration.
+//! The command line: reads the configuration, starts the log and serves until SIGTERM or SIGINT. SIGHUP
+//! reloads the configuration.
 
 use crate::config::{AuthzConfig, Config, ConfigError, Ways};
 use crate::node::{self, Sockets};
@@ -59,14 +59,15 @@
     receiver
 }
 
-/// Runs the front that the arguments select: `weldhub` serves the platform's HTTP, configured by the environment;
-/// `weldhub --ext-authz FILE` serves Envoy's external authorisation, configured by the file.
+/// Runs the front that the arguments select: `weldhub` serves the platform's HTTP, configured by the
+/// environment; `weldhub --ext-authz FILE` serves Envoy's external authorisation, configured by the file.
 fn run(log: &Logger) -> Result<(), Box<dyn std::error::Error>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => {
             node::block_on(async {
-                // Caught before the configuration is read, so that a SIGHUP during the start neither is lost nor ends the program.
+                // Caught before the configuration is read, so that a SIGHUP during the start neither is lost
+                // nor ends the program.
                 let hangups = signal(SignalKind::hangup())?;
                 let mut config = Config::from_env().map_err(io::Error::other)?;
                 let ways = reload_on_hangup(hangups, config.ways(), Config::ways_from_env, log.clone());
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,4 +1,5 @@
-//! The clock, and the sorted timer queue of all deadlines. The engine takes the expired ones in each turn of its loop.
+//! The clock, and the sorted timer queue of all deadlines. The engine takes the expired ones in each turn of
+//! its loop.
 
 use crate::interface::{AttemptIndex, Millis, RequestId, TimerKey};
 use std::cell::RefCell;
@@ -94,7 +95,8 @@
         queue.last_number += 1;
         // Rounded up, so that a deadline never expires early, not even by a fraction of a microsecond.
         let key = (micros(at) + 1, queue.last_number);
-        // Wakes `next_expiry`, which would otherwise sleep past a deadline that is added while it waits for a later one.
+        // Wakes `next_expiry`, which would otherwise sleep past a deadline that is added while it waits for a
+        // later one.
         if queue.expiries.first_key_value().is_none_or(|(first, _)| key < *first) {
             self.earlier_added.notify_one();
         }
@@ -107,7 +109,8 @@
         self.queue.borrow_mut().expiries.remove(&key);
     }
 
-    /// Removes all deadlines that have expired at `now` and returns them in order. Sleeping tasks are woken instead.
+    /// Removes all deadlines that have expired at `now` and returns them in order. Sleeping tasks are woken
+    /// instead.
     pub fn take_expired(&self, now: Millis) -> Vec<Expiry> {
         let mut queue = self.queue.borrow_mut();
         if queue.expiries.first_key_value().is_none_or(|(first, _)| first.0 > micros(now)) {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,5 +1,6 @@
-//! The engine of an ingress: passes events to the decision module and carries out the actions that it returns. It knows
-//! no wire protocol. It ensures that every request gets exactly one final answer, before its deadline.
+//! The engine of an ingress: passes events to the decision module and carries out the actions that it
+//! returns. It knows no wire protocol. It ensures that every request gets exactly one final answer, before
+//! its deadline.
 
 use crate::cluster::notices::{LocalNotice, Subject};
 use crate::deadlines::{DeadlineKey, Deadlines, Expiry};
@@ -18,14 +19,17 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// The attempts of a request end this many milliseconds before its deadline, so that the decision module can still answer.
+/// The attempts of a request end this many milliseconds before its deadline, so that the decision module can
+/// still answer.
 const DECISION_SLACK: Millis = 20.0;
-/// A request that has no answer this many milliseconds before its deadline fails, so that the failure can still be written
-/// in time.
+/// A request that has no answer this many milliseconds before its deadline fails, so that the failure can
+/// still be written in time.
 const ANSWER_SLACK: Millis = 10.0;
-/// The largest fraction of a request's time that either slack may take, so that short deadlines leave time for attempts.
+/// The largest fraction of a request's time that either slack may take, so that short deadlines leave time
+/// for attempts.
 const MAX_SLACK_FRACTION: f64 = 0.2;
-/// The longest time that a request's body may take, in milliseconds. The server side closes stalled uploads much earlier.
+/// The longest time that a request's body may take, in milliseconds. The server side closes stalled uploads
+/// much earlier.
 const MAX_UPLOAD_TIME: Millis = 3_600_000.0;
 /// The interval between the log's summaries of requests, in milliseconds.
 const SUMMARY_INTERVAL: Millis = 10_000.0;
@@ -41,8 +45,8 @@
     pub successor: mpsc::UnboundedSender<AttemptEnd>,
     /// Messages to peers, or `None` if messages between ingresses are disabled.
     pub peers: Option<mpsc::UnboundedSender<(IngressId, Vec<u8>)>>,
-    /// Notices to the other ingresses about backends that an operator disables or enables here, or `None` if there is no
-    /// membership of a fleet.
+    /// Notices to the other ingresses about backends that an operator disables or enables here, or `None` if
+    /// there is no membership of a fleet.
     pub local_notices: Option<mpsc::UnboundedSender<LocalNotice>>,
     /// Observes how attempts end, for the state of backends by Consul; `None` if Consul is not used.
     pub witness: Option<Rc<Witness>>,
@@ -57,7 +61,8 @@
     pub max_attempts: u16,
     /// The time after which a call to the counter counts as unanswered, in milliseconds.
     pub counter_timeout: Millis,
-    /// When a rejected client is told to retry if the decision module does not say, in milliseconds from the rejection.
+    /// When a rejected client is told to retry if the decision module does not say, in milliseconds from the
+    /// rejection.
     pub retry_after: Millis,
 }
 
@@ -76,7 +81,8 @@
     question: Q,
     /// The receiver of the final answer, or `None` once the request is closed.
     client: Option<oneshot::Sender<FinalAnswer<A>>>,
-    /// How long the client waits after the last byte of the body, in milliseconds, or `None` if the body is complete.
+    /// How long the client waits after the last byte of the body, in milliseconds, or `None` if the body is
+    /// complete.
     timeout_after_body: Option<Millis>,
     /// When the last attempt must end.
     attempts_end: Millis,
@@ -88,8 +94,8 @@
     timed_out: bool,
 }
 
-/// Returns how long the attempts of a request may run, and when its final answer is due, both in milliseconds from now, if
-/// its client waits for `time_left`.
+/// Returns how long the attempts of a request may run, and when its final answer is due, both in milliseconds
+/// from now, if its client waits for `time_left`.
 fn time_limits(time_left: Millis) -> [Millis; 2] {
     [DECISION_SLACK, ANSWER_SLACK].map(|slack| time_left - slack.min(time_left * MAX_SLACK_FRACTION))
 }
@@ -135,7 +141,8 @@
 }
 
 impl<Q: Clone, A> Engine<Q, A> {
-    /// Creates an engine around a decision module (`limiter`), with the backends that operators have disabled.
+    /// Creates an engine around a decision module (`limiter`), with the backends that operators have
+    /// disabled.
     pub fn new(
         (limiter, maintenance): (Limiter, Maintenance),
         deadlines: Deadlines,
@@ -173,12 +180,14 @@
         self
     }
 
-    /// Starts from the list that an earlier process knew, if any, and runs until every [`EngineEvent`] sender is dropped.
+    /// Starts from the list that an earlier process knew, if any, and runs until every [`EngineEvent`] sender
+    /// is dropped.
     pub async fn run(mut self, known: Option<BackendList>) {
         self.now = self.deadlines.clock().now();
         self.deadlines.add(self.now + SUMMARY_INTERVAL, Expiry::RequestSummary);
         self.decide(Event::Start);
-        // Prevents the backends of the first list from being treated as new ones, which get little load while they are cold.
+        // Prevents the backends of the first list from being treated as new ones, which get little load while
+        // they are cold.
         if let Some(known) = known.filter(|known| !known.entries.is_empty()) {
             self.apply_list(known, ListKind::Cached);
         }
@@ -203,7 +212,8 @@
         }
     }
 
-    /// Passes an event to the decision module and carries out its actions, then the events that follow from these.
+    /// Passes an event to the decision module and carries out its actions, then the events that follow from
+    /// these.
     fn decide(&mut self, event: Event) {
         let mut actions = Vec::new();
         let mut next = Some(event);
@@ -254,7 +264,8 @@
                 if self.close(id).is_some() {
                     self.summary.client_left += 1;
                     self.decide(Event::ClientLeft(id));
-                    // Even if cancellation is disabled, an attempt of which nothing is written yet must not be sent any more.
+                    // Even if cancellation is disabled, an attempt of which nothing is written yet must not
+                    // be sent any more.
                     let request = self.requests.get(&id).into_iter();
                     let indexes =
                         request.flat_map(|request| request.in_flight.iter().map(|attempt| attempt.index));
@@ -316,8 +327,8 @@
         }
     }
 
-    /// Continues from the state of another process. If the limiter's state cannot be read, this process starts afresh, as
-    /// after a restart.
+    /// Continues from the state of another process. If the limiter's state cannot be read, this process
+    /// starts afresh, as after a restart.
     fn inherit(&mut self, state: EngineState) {
         self.maintenance.ban_only(state.disabled);
         match self.limiter.inherit(&state.limiter) {
@@ -382,7 +393,8 @@
     /// Sends a list, or changes to it, to the client side and to the decision module.
     fn publish_list(&mut self, list: BackendList, kind: ListKind) {
         let entries = list.entries.iter().map(|e| e.entry).collect();
-        // The client side must know the list first, or an attempt that waits there could start on a draining backend.
+        // The client side must know the list first, or an attempt that waits there could start on a draining
+        // backend.
         self.command(ClientSideCommand::BackendList(list));
         self.decide(Event::BackendList(kind, entries));
     }
@@ -412,16 +424,17 @@
                 if summary != Summary::default() || !self.requests.is_empty() {
                     info!(self.log, "tally";
                         "served" => summary.served, "rejected" => summary.rejected,
-                        "no_room" => summary.no_room, "failed" => summary.failed, "left" => summary.client_left,
-                        "schedulings" => summary.attempts, "retried" => summary.retries,
-                        "open" => self.requests.len());
+                        "no_room" => summary.no_room, "failed" => summary.failed,
+                        "left" => summary.client_left, "schedulings" => summary.attempts,
+                        "retried" => summary.retries, "open" => self.requests.len());
                 }
             }
             Expiry::Wake(waker) => waker.wake(),
         }
     }
 
-    /// Sends and counts a final answer. All final answers pass through here; a client that has left needs none.
+    /// Sends and counts a final answer. All final answers pass through here; a client that has left needs
+    /// none.
     fn answer(&mut self, client: oneshot::Sender<FinalAnswer<A>>, answer: FinalAnswer<A>) {
         match answer {
             FinalAnswer::Served(_) => self.summary.served += 1,
@@ -550,8 +563,8 @@
                 let sent = counter.is_some_and(|counter| counter.send(call).is_ok());
                 if sent {
                     self.counter_calls.insert(call.seq, name);
-                    let timeout = self.now + self.limits.counter_timeout;
-                    self.deadlines.add(timeout, Expiry::CounterCall(call.seq));
+                    let expires_at = self.now + self.limits.counter_timeout;
+                    self.deadlines.add(expires_at, Expiry::CounterCall(call.seq));
                 } else {
                     self.follow_ups.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
                 }
@@ -564,7 +577,8 @@
         }
     }
 
-    /// Starts an attempt that ends after `timeout`, and that must be sent within `send_within`, both in milliseconds.
+    /// Starts an attempt that ends after `timeout`, and that must be sent within `send_within`, both in
+    /// milliseconds.
     fn start_attempt(
         &mut self,
         id: RequestId,
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,6 +1,6 @@
-//! The messages between the engine and the sides that do I/O: the server side submits requests and waits for final answers;
-//! the client side carries out attempts by the engine's commands and reports how they end. Neither side knows the other.
-//! `Q` is the question that a front asks backends, `A` their answer.
+//! The messages between the engine and the sides that do I/O: the server side submits requests and waits for
+//! final answers; the client side carries out attempts by the engine's commands and reports how they end.
+//! Neither side knows the other. `Q` is the question that a front asks backends, `A` their answer.
 
 use crate::backends::entries::BackendList;
 use crate::interface::*;
@@ -32,8 +32,8 @@
     pub first_ingress: IngressId,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// Whether the body is still being received. If so, `time_left` runs from its last byte, and the request can be sent
-    /// only once.
+    /// Whether the body is still being received. If so, `time_left` runs from its last byte, and the request
+    /// can be sent only once.
     pub body_pending: bool,
 }
 
@@ -44,8 +44,8 @@
     Served(A),
     /// The decision module rejected the request; the client may retry after this time, in milliseconds.
     Rejected(Millis),
-    /// The table of requests is full, and the request was not considered; the client may retry after this time, in
-    /// milliseconds.
+    /// The table of requests is full, and the request was not considered; the client may retry after this
+    /// time, in milliseconds.
     NoRoom(Millis),
     /// The request failed; a backend may or may not have processed it.
     Failed {
@@ -89,7 +89,8 @@
     ClientLeft(RequestId),
     /// The last byte of a request's body has been received.
     BodyReceived(RequestId),
-    /// The answer of an attempt has begun to arrive. It is the request's final answer, however the attempt ends.
+    /// The answer of an attempt has begun to arrive. It is the request's final answer, however the attempt
+    /// ends.
     AnswerStarted(RequestId, AttemptIndex, A),
     /// An attempt has ended.
     AttemptEnded(AttemptReport<A>),
@@ -101,9 +102,11 @@
     CounterAnswered(u64, CounterAnswer),
     /// Another process decides from now on; the sender takes this engine's state.
     HandOver(oneshot::Sender<EngineState>),
-    /// The live ingresses have changed: for each ingress number, whether it is live; `None` if that is not known.
+    /// The live ingresses have changed: for each ingress number, whether it is live; `None` if that is not
+    /// known.
     LiveIngresses(Option<Vec<bool>>),
-    /// An operator has disabled (`true`) or enabled the backend of this name at another ingress's admin interface.
+    /// An operator has disabled (`true`) or enabled the backend of this name at another ingress's admin
+    /// interface.
     DisabledElsewhere(String, bool),
     /// The process that took over has ended: this one decides again.
     Resume,
@@ -117,8 +120,8 @@
     Operate(Operation, oneshot::Sender<OperationResult>),
 }
 
-/// The state of an engine, which passes to the next process in an upgrade. Written by postcard: the order and the types of
-/// the fields are the format.
+/// The state of an engine, which passes to the next process in an upgrade. Written by postcard: the order and
+/// the types of the fields are the format.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct EngineState {
     /// The serialized state of the limiter.
@@ -129,7 +132,8 @@
     pub list: BackendList,
 }
 
-/// An operation that an operator requests of the engine. Written by postcard: the order of the variants is the format.
+/// An operation that an operator requests of the engine. Written by postcard: the order of the variants is
+/// the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// Returns the status without changing anything.
@@ -167,8 +171,8 @@
         question: Q,
         /// How long the engine waits for the answer, in milliseconds.
         timeout: Millis,
-        /// The time, in Unix milliseconds, by which the question must be written completely, or else is not sent at all; `None`
-        /// for no limit.
+        /// The time, in Unix milliseconds, by which the question must be written completely, or else is not
+        /// sent at all; `None` for no limit.
         send_by: Option<Millis>,
     },
     /// Aborts an attempt and reports it ended with this outcome, unless it has ended already.
@@ -222,7 +226,8 @@
         let _ = self.events.send(event);
     }
 
-    /// Submits a request. The returned future resolves to its final answer; dropping it earlier means that the client has left.
+    /// Submits a request. The returned future resolves to its final answer; dropping it earlier means that
+    /// the client has left.
     pub fn submit(&self, info: RequestInfo, question: Q) -> PendingAnswer<Q, A> {
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
--- a/src/files.rs
+++ b/src/files.rs
@@ -3,7 +3,8 @@
 use std::io;
 use std::path::Path;
 
-/// Replaces the content of a file atomically: a reader sees either the old content or the new one, never a mixture.
+/// Replaces the content of a file atomically: a reader sees either the old content or the new one, never a
+/// mixture.
 ///
 /// # Errors
 /// Returns an error if the temporary file beside it cannot be written or renamed.
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,5 +1,5 @@
-//! Assembles an instance from its parts (one front, one engine, the connections to the counter, to peers and to discovery)
-//! and runs it until it is told to stop.
+//! Assembles an instance from its parts (one front, one engine, the connections to the counter, to peers and
+//! to discovery) and runs it until it is told to stop.
 
 use crate::admin::drain::close_after_announcement;
 use crate::admin::server::AdminServer;
@@ -53,14 +53,14 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 
-/// The longest time that an instance waits for a list of backends before it serves with the list that it has, in
-/// milliseconds.
+/// The longest time that an instance waits for a list of backends before it serves with the list that it has,
+/// in milliseconds.
 const MAX_LIST_WAIT: Millis = 1000.0;
-/// How long an instance continues to serve after it is told to stop, in milliseconds. New connections still arrive for up to
-/// 0.4 s.
+/// How long an instance continues to serve after it is told to stop, in milliseconds. New connections still
+/// arrive for up to 0.4 s.
 const STOPPING_TIME: Millis = 550.0;
-/// An instance that drains ends once all requests are answered, at the latest this many milliseconds after the longest
-/// deadline of a request.
+/// An instance that drains ends once all requests are answered, at the latest this many milliseconds after
+/// the longest deadline of a request.
 const DRAIN_SLACK: Millis = 100.0;
 /// The maximum number of concurrent checks, per connection that the authorisation front may have.
 const CHECKS_PER_CONNECTION: usize = 2;
@@ -91,8 +91,9 @@
 }
 
 impl Sockets {
-    /// Takes the sockets over from the process that serves at this address, or binds them. With an admin interface, both
-    /// processes may be bound at once, so that an old process that hangs cannot block an upgrade.
+    /// Takes the sockets over from the process that serves at this address, or binds them. With an admin
+    /// interface, both processes may be bound at once, so that an old process that hangs cannot block an
+    /// upgrade.
     pub async fn acquire(instance: &Instance, log: &Logger) -> io::Result<Self> {
         let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
         let inherited = match path {
@@ -133,8 +134,8 @@
     Ok(socket.into())
 }
 
-/// Returns the names of the backends that operators had disabled in an earlier process. A file that cannot be read is
-/// ignored.
+/// Returns the names of the backends that operators had disabled in an earlier process. A file that cannot be
+/// read is ignored.
 fn load_disabled(path: &Path, log: &Logger) -> Vec<String> {
     match std::fs::read(path) {
         Ok(bytes) => match std::str::from_utf8(&bytes).ok().and_then(read_bans) {
@@ -168,7 +169,8 @@
 
     fn log_change(&self, change: Option<StageChange>) {
         if let Some((before, stage, span)) = change {
-            info!(self.log, "coming back"; "stage" => stage.name(), "before" => before.name(), "ms" => span.round());
+            info!(self.log, "coming back";
+                "stage" => stage.name(), "before" => before.name(), "ms" => span.round());
         }
     }
 
@@ -186,7 +188,8 @@
     }
 }
 
-/// The part of an instance that both fronts share: the engine, with its connections to the counter and to peers.
+/// The part of an instance that both fronts share: the engine, with its connections to the counter and to
+/// peers.
 struct Core<Q, A> {
     deadlines: Deadlines,
     exchange: Exchange<Q, A>,
@@ -405,13 +408,14 @@
         };
         let list_receiver = self.list_receiver();
         self.essential_tasks.spawn_local(watch.run(list_receiver));
-        // The first queries of a fleet that starts together are spread over this time, and no instance may report that it is
-        // ready before its query.
+        // The first queries of a fleet that starts together are spread over this time, and no instance may
+        // report that it is ready before its query.
         self.max_list_wait = MAX_LIST_WAIT + START;
     }
 
-    /// Serves until `stop` resolves, and then until `server`, which watches the phase, has answered all requests.
-    /// `start_handover` is called once the first list has been received.
+    /// Serves until `stop` resolves, and then until `server`, which watches the phase, has answered all
+    /// requests. `start_handover` is called once the first list has been received, or the wait for it has
+    /// timed out.
     async fn serve(
         mut self,
         instance: &Instance,
@@ -431,9 +435,10 @@
         info!(log, "serving"; "name" => &instance.name, "listen" => %instance.listen);
         tokio::select! {
             _ = stop => {}
-            // An instance without its engine or one of its sides must not keep running: operators notice its exit.
+            // An instance without its engine or one of its sides must not keep running: operators notice its
+            // exit.
             ended = self.essential_tasks.join_next() => {
-                return Err(io::Error::other(format!("a part ended: {ended:?}")));
+                return Err(io::Error::other(format!("an essential task ended: {ended:?}")));
             }
         }
         info!(log, "stopping");
@@ -449,8 +454,9 @@
     }
 }
 
-/// Runs an ingress of the platform on the given sockets until `stop` resolves. Must be called within a local task set. `ways`
-/// holds the current addresses of discovery and of the counter, which a reload of the configuration changes.
+/// Runs an ingress of the platform on the given sockets until `stop` resolves. Must be called within a local
+/// task set. `ways` holds the current addresses of discovery and of the counter, which a reload of the
+/// configuration changes.
 pub async fn serve(
     config: Config,
     sockets: impl Into<Sockets>,
@@ -560,8 +566,9 @@
     core.serve(&instance, server, start_handover, stop, log).await
 }
 
-/// Runs an instance of the external authorisation front on a listener until `stop` resolves. Must be called within a local task
-/// set. `ways` holds the current addresses of Consul and of the counter, which a reload of the configuration changes.
+/// Runs an instance of the external authorisation front on a listener until `stop` resolves. Must be called
+/// within a local task set. `ways` holds the current addresses of Consul and of the counter, which a reload
+/// of the configuration changes.
 pub async fn serve_authz(
     config: AuthzConfig,
     listener: TcpListener,
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,20 +1,22 @@
-//! Delays between the queries that one instance of a fleet sends to a service that all instances query (discovery,
-//! Consul). A service that all instances query at the same moment answers none of them in time, and if all of them
-//! retry together it never recovers. Each delay is therefore drawn at random from a time span that grows with the
-//! size of the fleet and doubles after each failure. Pure arithmetic: no clock and no I/O.
+//! Delays between the queries that one instance of a fleet sends to a service that all instances query
+//! (discovery, Consul). A service that all instances query at the same moment answers none of them in time,
+//! and if all of them retry together it never recovers. Each delay is therefore drawn at random from a time
+//! span that grows with the size of the fleet and doubles after each failure. Pure arithmetic: no clock and
+//! no I/O.
 
 use crate::interface::Millis;
 use crate::prng::Prng;
 
-/// The time by which each further instance of the fleet extends the span that queries are spread over, in milliseconds.
+/// The time by which each further instance of the fleet extends the span that queries are spread over, in
+/// milliseconds.
 const SPREAD_PER_INSTANCE: Millis = 50.0;
-/// The longest span that initial queries are spread over, in milliseconds: after it, the ingress is expected to know what
-/// was published before its start.
+/// The longest span that initial queries are spread over, in milliseconds: after it, the ingress is expected
+/// to know what was published before its start.
 const MAX_INITIAL_SPREAD: Millis = 150.0;
 /// The limit of the exponential backoff, as a multiple of the fleet's spread.
 const MAX_BACKOFF_FACTOR: f64 = 4.0;
-/// Where the caller's bound is shorter than the backoff, delays after the first one are at least this fraction of the
-/// bound.
+/// Where the caller's bound is shorter than the backoff, delays after the first one are at least this
+/// fraction of the bound.
 const MIN_BOUND_FRACTION: f64 = 0.8;
 
 /// The delays between the queries of one instance.
@@ -30,16 +32,16 @@
 }
 
 impl Pacing {
-    /// Creates the pacing of one of `instances` instances. `min_delay` and `max_delay` bound the delay after a failure, in
-    /// milliseconds; a large fleet exceeds `max_delay`. Each instance must pass a `seed` of its own, or all draw the same
-    /// delays.
+    /// Creates the pacing of one of `instances` instances. `min_delay` and `max_delay` bound the delay after
+    /// a failure, in milliseconds; a large fleet exceeds `max_delay`. Each instance must pass a `seed` of its
+    /// own, or all draw the same delays.
     pub fn new(instances: u16, [min_delay, max_delay]: [Millis; 2], seed: u64) -> Self {
         let spread = SPREAD_PER_INSTANCE * f64::from(instances.saturating_sub(1));
         Self { spread, min_delay, max_delay, failures: 0, rng: Prng::new(seed) }
     }
 
-    /// Returns the delay before the first query, in milliseconds. It is short, since the answer is needed early, and
-    /// random, since other instances may have started at the same moment.
+    /// Returns the delay before the first query, in milliseconds. It is short, since the answer is needed
+    /// early, and random, since other instances may have started at the same moment.
     pub fn initial_delay(&mut self) -> Millis {
         self.initial_delay_within(MAX_INITIAL_SPREAD)
     }
@@ -54,15 +56,15 @@
         self.failures = 0;
     }
 
-    /// Returns the delay before the next query, in milliseconds, after a failure or after the end of a working connection,
-    /// which may have ended for all instances at once.
+    /// Returns the delay before the next query, in milliseconds, after a failure or after the end of a
+    /// working connection, which may have ended for all instances at once.
     pub fn next_delay(&mut self) -> Millis {
         self.next_delay_within(f64::INFINITY)
     }
 
-    /// Returns the delay before a next query that must be sent within `latest` milliseconds. The first delay after a failure
-    /// spreads a large fleet over all of that time; further ones come near the bound, since shorter ones would only raise
-    /// the rate of queries.
+    /// Returns the delay before a next query that must be sent within `latest` milliseconds. The first delay
+    /// after a failure spreads a large fleet over all of that time; further ones come near the bound, since
+    /// shorter ones would only raise the rate of queries.
     pub fn next_delay_within(&mut self, latest: Millis) -> Millis {
         let wanted = (self.min_delay.max(self.spread) * f64::from(1u32 << self.failures.min(16)))
             .min(self.max_delay.max(MAX_BACKOFF_FACTOR * self.spread));
@@ -81,8 +83,8 @@
 
     const DELAY_BOUNDS: [Millis; 2] = [50.0, 1000.0];
 
-    /// Returns the highest number of queries within any `window` milliseconds where every instance of a fleet fails
-    /// repeatedly for 20 s and sends each query within `latest` milliseconds of the last.
+    /// Returns the highest number of queries within any `window` milliseconds where every instance of a fleet
+    /// fails repeatedly for 20 s and sends each query within `latest` milliseconds of the last.
     fn peak_queries(instances: u16, window: Millis, latest: Millis) -> usize {
         let mut sent_at: Vec<Millis> = Vec::new();
         for seed in 0..instances {
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -1,11 +1,11 @@
-//! The recovery of an instance after its start: which information it has, which is missing, and how long each stage took.
-//! No I/O and no clock of its own. The design is described in `docs/recovery.md`.
+//! The recovery of an instance after its start: which information it has, which is missing, and how long each
+//! stage took. No I/O and no clock of its own. The design is described in `docs/recovery.md`.
 
 use crate::interface::Millis;
 use std::fmt::Write;
 
-/// The time that an instance must have served before it counts as fully recovered, in milliseconds. During this time the
-/// other instances send it the quotas that they have granted.
+/// The time that an instance must have served before it counts as fully recovered, in milliseconds. During
+/// this time the other instances send it the quotas that they have granted.
 const QUOTA_SYNC_PERIOD: Millis = 3000.0;
 
 /// How far an instance has recovered.
@@ -71,8 +71,8 @@
 }
 
 impl Recovery {
-    /// Creates the recovery of an instance that starts at `now`. If `in_fleet` is true, it is not whole before it knows the
-    /// live members of the fleet.
+    /// Creates the recovery of an instance that starts at `now`. If `in_fleet` is true, it is not whole
+    /// before it knows the live members of the fleet.
     pub fn new(in_fleet: bool, now: Millis) -> Self {
         Self {
             in_fleet,
@@ -120,8 +120,8 @@
         Some((before, stage, span))
     }
 
-    /// Returns the time of the next [`Self::tick`] that may change the stage, in Unix milliseconds, or `None` if only an
-    /// event can change it.
+    /// Returns the time of the next [`Self::tick`] that may change the stage, in Unix milliseconds, or `None`
+    /// if only an event can change it.
     pub fn next_tick(&self) -> Option<Millis> {
         self.serving_since.map(|at| at + QUOTA_SYNC_PERIOD).filter(|_| self.stage == Stage::Partial)
     }
@@ -143,8 +143,9 @@
         all.into_iter().filter(|(_, has)| !has).map(|(what, _)| what)
     }
 
-    /// Returns the report that the admin interface shows: the stage and its duration so far, what is missing, the time spent
-    /// in each stage, and the time until the instance was first whole. All times in milliseconds.
+    /// Returns the report that the admin interface shows: the stage and its duration so far, what is missing,
+    /// the time spent in each stage, and the time until the instance was first whole. All times in
+    /// milliseconds.
     pub fn report(&self, now: Millis) -> String {
         let mut text = String::new();
         let _ = writeln!(text, "stage {} {:.0}", self.stage.name(), (now - self.stage_since).max(0.0));
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -32,7 +32,8 @@
     services: AtomicU64,
     /// The number of them whose queries currently fail.
     failing: AtomicU64,
-    /// The time of the least recent among the last answers for each service, in Unix milliseconds; 0 if there is none.
+    /// The time of the least recent among the last answers for each service, in Unix milliseconds; 0 if there
+    /// is none.
     oldest_answer: AtomicU64,
 }
 
@@ -74,8 +75,8 @@
         self.attempts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Sets the metrics of Consul: the number of services that are queried, the number of them whose queries fail, and the
-    /// time of the oldest answer, in Unix milliseconds.
+    /// Sets the metrics of Consul: the number of services that are queried, the number of them whose queries
+    /// fail, and the time of the oldest answer, in Unix milliseconds.
     pub fn set_consul(&self, services: usize, failing: usize, oldest_answer: f64) {
         self.consul.services.store(services as u64, Ordering::Relaxed);
         self.consul.failing.store(failing as u64, Ordering::Relaxed);
@@ -121,7 +122,8 @@
     }
 }
 
-/// A request in progress. It is counted under no outcome if it is dropped without [`Self::ended`]: its client has left.
+/// A request in progress. It is counted under no outcome if it is dropped without [`Self::ended`]: its client
+/// has left.
 #[derive(Debug)]
 pub struct RequestInProgress {
     stats: Arc<Stats>,
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -1,4 +1,5 @@
-//! TLS for connections as a client, by rustls. Certificates and keys are read once and shared by all connections.
+//! TLS for connections as a client, by rustls. Certificates and keys are read once and shared by all
+//! connections.
 
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, ServerName};
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -13,8 +13,8 @@
 /// The size of the length field that a frame begins with, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame from one process to the other. Written by postcard: the order of the variants and fields, and the fields' types,
-/// are the format.
+/// A frame from one process to the other. Written by postcard: the order of the variants and fields, and the
+/// fields' types, are the format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// The new process has started, and reads this version of the frames.
@@ -39,7 +39,8 @@
     ClientConnection {
         /// Whether it has carried requests before.
         had_requests: bool,
-        /// The time since the first byte of its incomplete message, in milliseconds, or `None` if there is no such message.
+        /// The time since the first byte of its incomplete message, in milliseconds, or `None` if there is no
+        /// such message.
         message_age: Option<Millis>,
         /// The bytes of that message that have been read.
         bytes: Vec<u8>,
--- a/src/upgrade/handover.rs
+++ b/src/upgrade/handover.rs
@@ -1,5 +1,5 @@
-//! Both sides of an upgrade: how the old process hands over to the next one, and how the next one takes over until the old
-//! one has ended. Only the transfer is here; the engines decide what follows from it.
+//! Both sides of an upgrade: how the old process hands over to the next one, and how the next one takes over
+//! until the old one has ended. Only the transfer is here; the engines decide what follows from it.
 
 use super::frame::{Frame, LAYOUT_VERSION};
 use super::link::{Message, Reader, Writer, link};
@@ -22,8 +22,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
-/// The time within which the next process must be able to serve after it got the sockets, in milliseconds; after it, the
-/// process counts as failed.
+/// The time within which the next process must be able to serve after it got the sockets, in milliseconds;
+/// after it, the process counts as failed.
 const START_TIMEOUT: Millis = 30_000.0;
 /// The delay before the next attempt to accept a connection after a failed one, in milliseconds.
 const ACCEPT_RETRY: Millis = 50.0;
@@ -82,8 +82,8 @@
         answer.await.ok()
     }
 
-    /// Takes over from the old process that gave its sockets: first its state, then its connections, until it ends. This
-    /// process becomes active even if the old one sends no state.
+    /// Takes over from the old process that gave its sockets: first its state, then its connections, until it
+    /// ends. This process becomes active even if the old one sends no state.
     pub async fn take_over(self: Rc<Self>, link: (Reader, Writer)) {
         let (mut reader, mut writer) = link;
         let reply = async {
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Serves a client's connection that has passed to this process, or that could not be passed to the next one.
+    /// Serves a client's connection that has passed to this process, or that could not be passed to the next
+    /// one.
     fn adopt_client(&self, message: Message) {
         let Frame::ClientConnection { had_requests, message_age, bytes } = message.frame else { return };
         let Some(stream) = first_stream(message.descriptors) else { return };
@@ -158,8 +159,8 @@
         });
     }
 
-    /// Waits for the next process and hands over to it; if that one ends while this one still serves, waits for another.
-    /// Returns once this process drains.
+    /// Waits for the next process and hands over to it; if that one ends while this one still serves, waits
+    /// for another. Returns once this process drains.
     pub async fn serve_successor(self: Rc<Self>, path: PathBuf, mut outgoing: Outgoing) {
         let listener = match listen(&path) {
             Ok(listener) => listener,
@@ -173,8 +174,8 @@
             let active = *self.role.borrow() == Role::Active;
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                // A draining process gives no sockets away, and closes its copy of the listener here: otherwise the kernel
-                // would still complete clients' connections that no process serves.
+                // A draining process gives no sockets away, and closes its copy of the listener here:
+                // otherwise the kernel would still complete clients' connections that no process serves.
                 Ok(_) = phase.wait_for(|phase| *phase == Phase::Draining), if active => return,
             };
             match accepted {
@@ -226,7 +227,7 @@
     ) -> io::Result<()> {
         let hello = self.deadlines.within(ANSWER_TIMEOUT, reader.next()).await;
         if !matches!(hello, Some(Ok(Some(Message { frame: Frame::Hello(LAYOUT_VERSION), .. })))) {
-            return Err(io::Error::other("it reads another layout"));
+            return Err(io::Error::other("it uses another version of the frames"));
         }
         if *self.phase.borrow() != Phase::Serving {
             return Err(io::Error::other("this process is about to end"));
@@ -241,7 +242,7 @@
         match self.deadlines.within(START_TIMEOUT, reader.next()).await {
             Some(Ok(Some(Message { frame: Frame::TakeOver, .. }))) => Ok(()),
             Some(Err(e)) => Err(e),
-            _ => Err(io::Error::other("it did not start")),
+            _ => Err(io::Error::other("it did not take over in time")),
         }
     }
 
@@ -262,7 +263,7 @@
                         self.handle(message, &outbox).await;
                         continue;
                     }
-                    None => return Err(io::Error::other("it ended")),
+                    None => return Err(io::Error::other("it closed the link")),
                 },
                 Some(message) = messages.recv() => message,
                 Some(end) = outgoing.ended_attempts.recv() => Frame::AttemptEnded(end).into(),
--- a/src/upgrade/other_process.rs
+++ b/src/upgrade/other_process.rs
@@ -1,4 +1,5 @@
-//! The other process at this address, while there is one. Operators' commands to either process apply to both.
+//! The other process at this address, while there is one. Operators' commands to either process apply to
+//! both.
 
 use super::frame::Frame;
 use super::link::Message;
@@ -10,7 +11,8 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// The time within which the other process must answer, in milliseconds; after it, this process continues alone.
+/// The time within which the other process must answer, in milliseconds; after it, this process continues
+/// alone.
 pub(super) const ANSWER_TIMEOUT: Millis = 700.0;
 
 /// A handle to the other process, while there is one.
@@ -33,8 +35,8 @@
             outbox.map(|outbox| Link { outbox, last_operation: 0, waiting: BTreeMap::new() });
     }
 
-    /// Forwards an operation to the other process, and waits until it has been carried out, at most [`ANSWER_TIMEOUT`].
-    /// Returns at once if there is no other process.
+    /// Forwards an operation to the other process, and waits until it has been carried out, at most
+    /// `ANSWER_TIMEOUT`. Returns at once if there is no other process.
     pub async fn operate(&self, operation: Operation, deadlines: &Deadlines) {
         let done = {
             let mut other = self.0.borrow_mut();
--- a/src/upgrade/rendezvous.rs
+++ b/src/upgrade/rendezvous.rs
@@ -1,4 +1,5 @@
-//! How the new process finds the old one and gets its sockets: over a Unix socket in a directory that both share.
+//! How the new process finds the old one and gets its sockets: over a Unix socket in a directory that both
+//! share.
 
 use super::frame::{Frame, LAYOUT_VERSION};
 use super::link::{Message, Reader, Writer, link};
@@ -12,8 +13,8 @@
 /// The time within which the old process must answer; after it, the new one starts without it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Returns the path of a file for the processes that listen at this address, or `None` if `TMPDIR` is not set. `kind` is the
-/// extension.
+/// Returns the path of a file for the processes that listen at this address, or `None` if `TMPDIR` is not
+/// set. `kind` is the extension.
 pub fn path(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
     Some(PathBuf::from(directory).join(format!("weldhub-{}-{}.{kind}", listen.ip(), listen.port())))
@@ -52,11 +53,13 @@
     match tokio::time::timeout(ANSWER_TIMEOUT, reply).await {
         Ok(Ok(Some(Message { frame: Frame::Sockets { .. }, descriptors }))) => {
             let mut descriptors = descriptors.into_iter();
-            let listener = descriptors.next().ok_or_else(|| io::Error::other("no listener came"))?;
+            let listener = descriptors
+                .next()
+                .ok_or_else(|| io::Error::other("the descriptor of the listener is missing"))?;
             Ok(Some(InheritedSockets { listener, peers: descriptors.next(), reader, writer }))
         }
         Ok(Err(e)) => Err(e),
-        Ok(Ok(_)) => Err(io::Error::other("the old process did not give its sockets")),
+        Ok(Ok(_)) => Err(io::Error::other("the old process sent no sockets")),
         Err(_) => Err(io::Error::other("the old process does not answer")),
     }
 }
