--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -253,7 +253,7 @@
                         // In an ingress the engine removes the deadlines that have expired.
                         spawn_local(async move {
                             loop {
-                                deadlines.first_due().await;
+                                deadlines.next_expiry().await;
                                 let expired = deadlines.take_expired(deadlines.clock().now());
                                 expired.into_iter().for_each(|_: Expiry| ());
                             }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -412,7 +412,7 @@
             }
         }
         stage.set(Stage::Written);
-        self.stats.written();
+        self.stats.attempt_written();
         Ok(Asked::Whole)
     }
 
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -1048,7 +1048,7 @@
                         UploadResult::Invalid(error) => return Some(self.answer_error(out, error)),
                         UploadResult::ClientLeft => return None,
                     }
-                    pending.uploaded();
+                    pending.body_received();
                     unread = early.is_some().then_some(body);
                 }
                 let final_answer = match early {
@@ -1070,7 +1070,7 @@
                     },
                 };
                 let close = closes(ahead.overflowed);
-                let (mut close, end, before, mut rest) = (close, final_answer.end(), out.len(), None);
+                let (mut close, end, before, mut rest) = (close, final_answer.outcome(), out.len(), None);
                 match final_answer {
                     FinalAnswer::Served(answer) => {
                         // Without a length and without chunks, the body lasts until the connection closes.
