--- a/src/rules.rs
+++ b/src/rules.rs
@@ -240,7 +240,7 @@
         }
         if kind != ListKind::Changes {
             let listed: BTreeSet<BackendId> = entries.iter().map(|e| e.backend).collect();
-            for backend in self.backends.values_mut().filter(|s| !listed.contains(&s.entry.backend)) {
+            for backend in self.backends.values_mut().filter(|b| !listed.contains(&b.entry.backend)) {
                 backend.entry.state = BackendState::Gone;
             }
         }
@@ -265,12 +265,12 @@
 
     /// Updates the cold, warm and preferred backends and their total capacity.
     fn refresh_backend_sets(&mut self, now: Millis) {
-        let is_cold = |id: &&BackendId| self.backends.get(id).is_some_and(|s| self.warmth(now, s) < 1.0);
+        let is_cold = |id: &&BackendId| self.backends.get(id).is_some_and(|b| self.warmth(now, b) < 1.0);
         self.cold = self.ready.iter().filter(is_cold).copied().collect();
         // Prevents a capacity that was right for all backends from staying when most have gone: the list
         // shows it before late answers do. The capacity grows again as they warm up.
         let ready_capacity =
-            self.ready.iter().filter_map(|id| self.backends.get(id)).map(|s| self.warmth(now, s)).sum();
+            self.ready.iter().filter_map(|id| self.backends.get(id)).map(|b| self.warmth(now, b)).sum();
         let previous = std::mem::replace(&mut self.ready_capacity, ready_capacity);
         if previous > 0.0 && ready_capacity > 0.0 {
             self.capacity = self.capacity.map(|capacity| capacity * ready_capacity / previous);
@@ -326,7 +326,7 @@
     fn pick_backend(&mut self, now: Millis, open: &OpenRequest) -> Option<BackendId> {
         let retry_safety = self.settings.classes[open.request.class.0].retry_safety;
         let first =
-            open.first_maybe_run.and_then(|i| self.backends.get(&open.attempts[i].backend)).map(|s| s.entry);
+            open.first_maybe_run.and_then(|i| self.backends.get(&open.attempts[i].backend)).map(|b| b.entry);
         let in_scope =
             |id: &&BackendId| retry_safety.allows_backend(first.as_ref(), &self.backends[*id].entry);
         let allowed =
@@ -409,7 +409,7 @@
             let is_healthy = limiter
                 .backends
                 .get(&id)
-                .is_some_and(|s| limiter.widespread_trouble || !limiter.is_passed_over(now, s));
+                .is_some_and(|b| limiter.widespread_trouble || !limiter.is_passed_over(now, b));
             !tried && is_healthy && limiter.try_slow_start_admit(now, id, open.request.units)
         };
         let found = (0..cold.len()).map(|i| cold[(start + i) % cold.len()]).find(|id| admits(self, *id));
@@ -1086,8 +1086,8 @@
         let (cold, window) = (self.settings.cold, self.settings.cold.overload_window.max(1.0));
         let conclusive = !matches!(end.outcome, Outcome::NotSent | Outcome::Cancelled);
         // Work that is finished by cold, draining or gone backends does not show what a warm one can do.
-        let is_warm = |s: &Backend| s.entry.state == BackendState::Ready && self.warmth(now, s) >= 1.0;
-        if let Some(backend) = self.backends.get(&end.backend).filter(|s| served && is_warm(s)) {
+        let is_warm = |b: &Backend| b.entry.state == BackendState::Ready && self.warmth(now, b) >= 1.0;
+        if let Some(backend) = self.backends.get(&end.backend).filter(|b| served && is_warm(b)) {
             self.warm_backend_served(now, backend.entry.kind, request.units);
         }
         if let Some(backend) = self.backends.get_mut(&end.backend) {
@@ -1193,7 +1193,7 @@
         }
         self.refresh_backend_sets(now);
         let unhealthy = self.ready.iter().filter(|id| self.is_passed_over(now, &self.backends[*id])).count();
-        let silent_backends = self.backends.values().filter(|s| s.silence(now) > SILENCE_LATENCIES);
+        let silent_backends = self.backends.values().filter(|b| b.silence(now) > SILENCE_LATENCIES);
         self.silent_units = silent_backends.map(Backend::units_in_flight).sum();
         self.widespread_trouble = unhealthy as f64 > MAX_PASSED_OVER_SHARE * self.ready.len() as f64;
         let max_reservation = |customer| {
--- a/src/state.rs
+++ b/src/state.rs
@@ -47,7 +47,7 @@
     pub(crate) max_weight: f64,
     /// Latency of the backends of a zone or a kind of machine, by class.
     pub(crate) group_latency: BTreeMap<(BackendGroup, ClassId), GroupLatency>,
-    /// So many backends look unhealthy that the fault is not their own, and none is passed over.
+    /// Nearly all backends look unhealthy, so the fault is not their own and none is passed over.
     pub(crate) widespread_trouble: bool,
     /// A backend list has been received.
     pub(crate) list_received: bool,
@@ -399,8 +399,8 @@
 
     /// Rebuilds the list of ready backends, and drops backends that are gone and have nothing in flight.
     pub(crate) fn rebuild_ready(&mut self) {
-        self.backends.retain(|_, s| s.entry.state != BackendState::Gone || !s.in_flight.is_empty());
-        let ready = self.backends.iter().filter(|(_, s)| s.entry.state == BackendState::Ready);
+        self.backends.retain(|_, b| b.entry.state != BackendState::Gone || !b.in_flight.is_empty());
+        let ready = self.backends.iter().filter(|(_, b)| b.entry.state == BackendState::Ready);
         self.ready = ready.map(|(id, _)| *id).collect();
         self.max_weight = self.ready.iter().map(|id| self.backends[id].weight()).fold(0.01, f64::max);
         self.list_received = true;
@@ -432,19 +432,19 @@
         attempt.streaming = true;
         (self.in_flight, self.sent_at_sum) =
             (self.in_flight - units, self.sent_at_sum - units * attempt.sent_at);
-        let waiting = self.backends.get_mut(&attempt.backend).and_then(|s| s.in_flight.get_mut(&(id, index)));
+        let waiting = self.backends.get_mut(&attempt.backend).and_then(|b| b.in_flight.get_mut(&(id, index)));
         waiting.into_iter().for_each(|(_, _, expected)| *expected = f64::INFINITY);
     }
 
     /// Returns the number of listed backends, and of those that get no work now because of their listed state
     /// or their failures.
     pub fn backend_counts(&self, now: Millis) -> BackendCounts {
-        let listed = self.backends.values().filter(|s| s.entry.state != BackendState::Gone);
-        let is_unavailable = |s: &Backend| {
-            s.entry.state != BackendState::Ready || !self.widespread_trouble && self.is_passed_over(now, s)
+        let listed = self.backends.values().filter(|b| b.entry.state != BackendState::Gone);
+        let is_unavailable = |b: &Backend| {
+            b.entry.state != BackendState::Ready || !self.widespread_trouble && self.is_passed_over(now, b)
         };
         let (listed, unavailable) =
-            listed.fold((0, 0), |(all, count), s| (all + 1, count + usize::from(is_unavailable(s))));
+            listed.fold((0, 0), |(all, count), b| (all + 1, count + usize::from(is_unavailable(b))));
         BackendCounts { listed, unavailable }
     }
 
--- a/src/view.rs
+++ b/src/view.rs
@@ -27,7 +27,7 @@
     pub passed_over: usize,
     /// Those of the passed over ones that are warm.
     pub passed_over_warm: usize,
-    /// So many are passed over that the fault is not their own, and none is.
+    /// Nearly all look unhealthy, so the fault is not their own and none is passed over.
     #[serde(rename = "shared")]
     pub widespread_trouble: bool,
     /// What the ready backends can do, in warm backends.
@@ -46,9 +46,9 @@
 impl Limiter {
     /// Returns a snapshot at `now`.
     pub fn view(&self, now: Millis) -> View {
-        let ready = || self.backends.values().filter(|s| s.entry.state == BackendState::Ready);
-        let is_cold = |s: &&crate::state::Backend| self.warmth(now, s) < 1.0;
-        let is_passed_over = |s: &&crate::state::Backend| self.is_passed_over(now, s);
+        let ready = || self.backends.values().filter(|b| b.entry.state == BackendState::Ready);
+        let is_cold = |b: &&crate::state::Backend| self.warmth(now, b) < 1.0;
+        let is_passed_over = |b: &&crate::state::Backend| self.is_passed_over(now, b);
         View {
             capacity: self.capacity(),
             in_flight: self.in_flight,
@@ -58,7 +58,7 @@
             ready: ready().count(),
             cold: ready().filter(is_cold).count(),
             passed_over: ready().filter(is_passed_over).count(),
-            passed_over_warm: ready().filter(|s| !is_cold(s)).filter(is_passed_over).count(),
+            passed_over_warm: ready().filter(|b| !is_cold(b)).filter(is_passed_over).count(),
             widespread_trouble: self.widespread_trouble,
             ready_capacity: self.ready_capacity,
             retry_budget: self.retry_budget,
