--- a/src/engine.rs
+++ b/src/engine.rs
@@ -262,7 +262,8 @@
                 }
             }
             EngineEvent::LiveIngresses(living) => {
-                let change = self.subset.as_mut().and_then(|subset| subset.living(living.as_deref()));
+                let change =
+                    self.subset.as_mut().and_then(|subset| subset.set_live_ingresses(living.as_deref()));
                 self.limiter.living(living);
                 if let Some(change) = change {
                     self.tell(change, ListKind::Changes);
@@ -353,7 +354,7 @@
 
     fn believe(&mut self, list: BackendList, kind: ListKind) {
         let list = match &mut self.subset {
-            Some(subset) => subset.listed(self.now, list),
+            Some(subset) => subset.apply_list(self.now, list),
             None => list,
         };
         self.tell(list, kind);
--- a/src/subset/mod.rs
+++ b/src/subset/mod.rs
@@ -1,190 +1,200 @@
-//! Bounded subsets: each ingress of a large fleet goes by some of the backends, not by all. Pure: it lies between the
-//! list with its bans and the decisions, which see a shorter list and nothing else.
+//! Subsetting: each ingress of a large fleet sends to a bounded subset of the backends instead of all of
+//! them. No I/O: the subset is applied to the backend list, after disabled backends were marked in it; the
+//! decision module sees only the shorter list.
 //!
-//! Each backend is held by the first living ingresses of its line ([`Line`]), by as many as give each ingress about the
-//! configured number of backends. So backends are held by equally many ingresses, one that comes or goes concerns only
-//! those that hold it, and an ingress that dies leaves its places to the next in line. `docs/subset.md` tells more.
+//! Each backend is held by the first live ingresses of its [`IngressOrder`]. Their number is chosen so that
+//! each ingress holds about the configured number of backends. All backends are thus held by equally many
+//! ingresses, adding or removing a backend concerns only its holders, and a dead ingress is replaced by the
+//! next one in the order. See `docs/subset.md`.
 
-mod line;
+mod ingress_order;
 
-pub use line::Line;
+pub use ingress_order::IngressOrder;
 
 use crate::entries::{BackendList, ServiceEntry};
 use crate::interface::{BackendId, BackendState, IngressId, Millis, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Holders are counted anew once their right number is beyond this multiple of what it was, or below its inverse.
-/// Prevents each change of the list from moving the subsets of the whole fleet.
-const DRIFT: f64 = 1.25;
-/// An ingress that chance gives fewer than this part of its share of a zone holds more of that zone.
-const LEAST: f64 = 0.5;
-/// When a backend has been listed that was there before this ingress.
-const ALWAYS: Millis = f64::MIN;
+/// The number of holders per backend is recomputed once the target is more than this factor above or below
+/// the number in use. Without this margin each change of the list would move the subsets of the whole fleet.
+const HOLDERS_DRIFT_FACTOR: f64 = 1.25;
+/// The least fraction of its fair share of a zone that an ingress holds; below it, the ingress holds backends
+/// of the zone for which it ranks lower.
+const MIN_ZONE_SHARE: f64 = 0.5;
+/// The listing time, in milliseconds, of a backend that was listed before this ingress started.
+const LISTED_BEFORE_START: Millis = f64::MIN;
 
-/// A backend on the whole list.
+/// A backend on the full list.
 #[derive(Debug, Clone)]
 struct Listed {
     entry: ServiceEntry,
-    /// Since when it has been listed. Prevents one that is warm and comes into the subset later from being taken for a
-    /// newcomer by the decisions.
-    since: Millis,
+    /// When it was first listed, in milliseconds. Passed on as its start: without it the decision module
+    /// would treat a warm backend that enters the subset later as newly started.
+    listed_at: Millis,
 }
 
 impl Listed {
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.entry.entry.state == BackendState::Ready
     }
 
-    fn told(&self) -> ServiceEntry {
+    /// Returns the entry for the decision module.
+    fn to_entry(&self) -> ServiceEntry {
         let mut entry = self.entry.clone();
-        entry.entry.last_start = entry.entry.last_start.or(Some(self.since));
+        entry.entry.last_start = entry.entry.last_start.or(Some(self.listed_at));
         entry
     }
 }
 
-/// The ready backends of a zone.
+/// Counts of the ready backends of a zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct Zone {
+    /// The number of ready backends.
     ready: usize,
-    /// Those of them that this ingress holds.
+    /// The number of ready backends in the subset of this ingress.
     held: usize,
-    /// The first so many in line hold each of them, as far as this ingress is concerned.
+    /// This ingress holds the zone's backends for which its rank is below this number.
     holders: u16,
 }
 
-/// The subset of one ingress.
+/// The subset of one ingress, kept up to date with the backend list and the live ingresses.
 #[derive(Debug, Clone)]
 pub struct Subset {
-    line: Line,
-    size: usize,
+    order: IngressOrder,
+    /// The number of backends that an ingress should hold.
+    target_size: usize,
+    /// The full backend list.
     listed: BTreeMap<BackendId, Listed>,
     zones: BTreeMap<ZoneId, Zone>,
-    /// Those that the decisions know.
-    told: BTreeSet<BackendId>,
-    /// The right number of holders when they were last counted.
-    settled: f64,
+    /// The backends that were passed to the decision module and not withdrawn since.
+    reported: BTreeSet<BackendId>,
+    /// The number of holders per backend in use; see `target_holders`.
+    holders: f64,
+    /// The version of the last list.
     generation: u64,
-    /// A list has come.
-    begun: bool,
+    /// Whether a list has been applied.
+    initialized: bool,
 }
 
 impl Subset {
-    /// The subset, of about so many backends, of one of so many ingresses.
-    pub fn new(me: IngressId, ingresses: u16, size: usize) -> Self {
+    /// Creates the subset of `ingress`, one of `ingress_count` ingresses, with about `target_size` backends.
+    pub fn new(ingress: IngressId, ingress_count: u16, target_size: usize) -> Self {
         Self {
-            line: Line::new(me, ingresses),
-            size,
+            order: IngressOrder::new(ingress, ingress_count),
+            target_size,
             listed: BTreeMap::new(),
             zones: BTreeMap::new(),
-            told: BTreeSet::new(),
-            settled: 0.0,
+            reported: BTreeSet::new(),
+            holders: 0.0,
             generation: 0,
-            begun: false,
+            initialized: false,
         }
     }
 
-    /// Takes in a list or its changes; tells what the decisions are to go by.
-    pub fn listed(&mut self, now: Millis, list: BackendList) -> BackendList {
+    /// Applies a full list or changes to it; returns the full list or the changes for the decision module.
+    pub fn apply_list(&mut self, now: Millis, list: BackendList) -> BackendList {
         self.generation = list.generation;
         if list.complete {
-            return self.whole(now, list);
+            return self.apply_full_list(now, list);
         }
         let mut changed = BTreeMap::new();
         for entry in list.entries {
             changed.insert(entry.entry.backend, entry.clone());
-            self.take(now, entry);
+            self.update_entry(now, entry);
         }
-        self.begun = true;
-        let entries = match self.drifted() {
-            true => self.settle_and_tell(&changed),
-            false => changed.iter().filter_map(|(id, entry)| self.tell(*id, Some(entry))).collect(),
+        self.initialized = true;
+        let entries = match self.needs_recompute() {
+            true => self.recompute_and_report(&changed),
+            false => changed.iter().filter_map(|(id, entry)| self.report(*id, Some(entry))).collect(),
         };
-        // What was told may leave too few.
-        let entries = if self.drifted() { self.also(entries) } else { entries };
+        // The reported changes may leave this ingress with too few backends of a zone.
+        let entries = if self.needs_recompute() { self.recompute_and_append(entries) } else { entries };
         BackendList { generation: self.generation, complete: false, entries }
     }
 
-    /// Takes in which ingresses live, by number; the changes for the decisions, if there are any.
-    pub fn living(&mut self, living: Option<&[bool]>) -> Option<BackendList> {
-        self.line.living(living);
-        let entries = self.settle_and_tell(&BTreeMap::new());
+    /// Sets which ingresses are live, indexed by ingress number; `None` if that is not known. Returns the
+    /// changes for the decision module, or `None` if the subset stays the same.
+    pub fn set_live_ingresses(&mut self, live: Option<&[bool]>) -> Option<BackendList> {
+        self.order.set_live(live);
+        let entries = self.recompute_and_report(&BTreeMap::new());
         let generation = self.generation;
         (!entries.is_empty()).then_some(BackendList { generation, complete: false, entries })
     }
 
-    /// The backends that this ingress sends to.
-    pub fn held(&self) -> impl Iterator<Item = BackendId> {
-        self.told.iter().copied().filter(|id| self.listed.get(id).is_some_and(Listed::ready))
+    /// Returns the ready backends of the subset.
+    pub fn ready_backends(&self) -> impl Iterator<Item = BackendId> {
+        self.reported.iter().copied().filter(|id| self.listed.get(id).is_some_and(Listed::is_ready))
     }
 
-    fn whole(&mut self, now: Millis, list: BackendList) -> BackendList {
+    fn apply_full_list(&mut self, now: Millis, list: BackendList) -> BackendList {
         let before = std::mem::take(&mut self.listed);
         self.zones.clear();
         for entry in list.entries {
-            let known = before.get(&entry.entry.backend).map(|listed| listed.since);
-            self.take(known.unwrap_or(now), entry);
+            let known = before.get(&entry.entry.backend).map(|listed| listed.listed_at);
+            self.update_entry(known.unwrap_or(now), entry);
         }
-        self.begun = true;
-        self.told.clear();
-        self.settle();
+        self.initialized = true;
+        self.reported.clear();
+        self.recompute_holders();
         let ids: Vec<BackendId> = self.listed.keys().copied().collect();
-        let entries = ids.into_iter().filter_map(|id| self.tell(id, None)).collect();
+        let entries = ids.into_iter().filter_map(|id| self.report(id, None)).collect();
         BackendList { generation: self.generation, complete: true, entries }
     }
 
-    /// Puts an entry on the whole list, or takes it off.
-    fn take(&mut self, now: Millis, entry: ServiceEntry) {
+    /// Adds an entry to the full list, or replaces or removes it.
+    fn update_entry(&mut self, now: Millis, entry: ServiceEntry) {
         let id = entry.entry.backend;
         let before = self.listed.remove(&id);
-        if let Some(before) = before.as_ref().filter(|before| before.ready()) {
-            self.count(before.entry.entry.zone, |zone| zone.ready -= 1);
-            if self.told.contains(&id) {
-                self.count(before.entry.entry.zone, |zone| zone.held -= 1);
+        if let Some(before) = before.as_ref().filter(|before| before.is_ready()) {
+            self.update_zone(before.entry.entry.zone, |zone| zone.ready -= 1);
+            if self.reported.contains(&id) {
+                self.update_zone(before.entry.entry.zone, |zone| zone.held -= 1);
             }
         }
         if entry.entry.state == BackendState::Gone {
             return;
         }
-        let newcomer = if self.begun { now } else { ALWAYS };
-        let listed = Listed { since: before.map_or(newcomer, |before| before.since), entry };
-        if listed.ready() {
-            let told = usize::from(self.told.contains(&id));
-            self.count(listed.entry.entry.zone, |zone| {
+        let first_listed_at = if self.initialized { now } else { LISTED_BEFORE_START };
+        let listed = Listed { listed_at: before.map_or(first_listed_at, |before| before.listed_at), entry };
+        if listed.is_ready() {
+            let held = usize::from(self.reported.contains(&id));
+            self.update_zone(listed.entry.entry.zone, |zone| {
                 zone.ready += 1;
-                zone.held += told;
+                zone.held += held;
             });
         }
         self.listed.insert(id, listed);
     }
 
-    fn count(&mut self, zone: ZoneId, change: impl FnOnce(&mut Zone)) {
+    fn update_zone(&mut self, zone: ZoneId, change: impl FnOnce(&mut Zone)) {
         change(self.zones.entry(zone).or_default());
     }
 
-    /// What the decisions are to be told of a backend, if anything; `changed` is what its list has just said of it.
-    fn tell(&mut self, id: BackendId, changed: Option<&ServiceEntry>) -> Option<ServiceEntry> {
-        let known = self.told.contains(&id);
+    /// Brings a backend's membership in the subset up to date. Returns the entry for the decision module, or
+    /// `None` if it needs none. `changed` is the backend's entry if it has just changed on the list.
+    fn report(&mut self, id: BackendId, changed: Option<&ServiceEntry>) -> Option<ServiceEntry> {
+        let was_reported = self.reported.contains(&id);
         let listed = self.listed.get(&id);
-        if let Some(listed) = listed.filter(|listed| listed.ready() && self.holds(listed)) {
-            let (zone, told) = (listed.entry.entry.zone, listed.told());
-            if !known {
-                self.told.insert(id);
-                self.count(zone, |zone| zone.held += 1);
+        if let Some(listed) = listed.filter(|listed| listed.is_ready() && self.holds(listed)) {
+            let (zone, entry) = (listed.entry.entry.zone, listed.to_entry());
+            if !was_reported {
+                self.reported.insert(id);
+                self.update_zone(zone, |zone| zone.held += 1);
             }
-            return (!known || changed.is_some()).then_some(told);
+            return (!was_reported || changed.is_some()).then_some(entry);
         }
-        if !known {
+        if !was_reported {
             return None;
         }
-        if let Some(listed) = listed.filter(|listed| !listed.ready()) {
-            return changed.map(|_| listed.told());
+        if let Some(listed) = listed.filter(|listed| !listed.is_ready()) {
+            return changed.map(|_| listed.to_entry());
         }
         let (zone, entry) = match listed {
             Some(listed) => (Some(listed.entry.entry.zone), Some(listed.entry.clone())),
             None => (None, changed.cloned()),
         };
-        self.told.remove(&id);
-        zone.into_iter().for_each(|zone| self.count(zone, |zone| zone.held -= 1));
+        self.reported.remove(&id);
+        zone.into_iter().for_each(|zone| self.update_zone(zone, |zone| zone.held -= 1));
         entry.map(|mut entry| {
             entry.entry.state = BackendState::Gone;
             entry.address = None;
@@ -192,62 +202,72 @@
         })
     }
 
+    /// Returns whether this ingress is to hold the backend.
     fn holds(&self, listed: &Listed) -> bool {
         let zone = self.zones.get(&listed.entry.entry.zone);
-        zone.is_some_and(|zone| self.line.place(listed.entry.entry.backend) < zone.holders)
+        zone.is_some_and(|zone| self.order.rank(listed.entry.entry.backend) < zone.holders)
     }
 
-    /// How many are to hold each backend, so that each ingress has about the configured number; no backend is without.
-    fn right_holders(&self) -> f64 {
+    /// Returns the number of holders per backend, at least 1, at which each ingress holds about `target_size`
+    /// backends.
+    fn target_holders(&self) -> f64 {
         let ready: usize = self.zones.values().map(|zone| zone.ready).sum();
-        let all = f64::from(self.line.count());
-        (all * self.size as f64 / ready.max(1) as f64).clamp(1.0, all)
+        let ingresses = f64::from(self.order.live_count());
+        (ingresses * self.target_size as f64 / ready.max(1) as f64).clamp(1.0, ingresses)
     }
 
-    /// The least that this ingress is to hold of a zone.
-    fn least(&self, zone: &Zone) -> usize {
+    /// Returns the least number of backends of a zone that this ingress is to hold.
+    fn min_held(&self, zone: &Zone) -> usize {
         let ready: usize = self.zones.values().map(|zone| zone.ready).sum();
-        let share = self.size as f64 * zone.ready as f64 / ready.max(1) as f64;
-        ((share * LEAST).ceil() as usize).min(zone.ready)
+        let share = self.target_size as f64 * zone.ready as f64 / ready.max(1) as f64;
+        ((share * MIN_ZONE_SHARE).ceil() as usize).min(zone.ready)
     }
 
-    fn drifted(&self) -> bool {
-        let right = self.right_holders();
-        let moved = right > self.settled * DRIFT || right * DRIFT < self.settled;
-        moved || self.zones.values().any(|zone| zone.held < self.least(zone))
+    /// Returns whether the number of holders has drifted too far from its target, or a zone has too few held
+    /// backends.
+    fn needs_recompute(&self) -> bool {
+        let target = self.target_holders();
+        let drifted =
+            target > self.holders * HOLDERS_DRIFT_FACTOR || target * HOLDERS_DRIFT_FACTOR < self.holders;
+        drifted || self.zones.values().any(|zone| zone.held < self.min_held(zone))
     }
 
-    /// Counts the holders of each zone anew.
-    fn settle(&mut self) {
-        let right = self.right_holders();
-        if right > self.settled * DRIFT || right * DRIFT < self.settled {
-            self.settled = right;
+    /// Recomputes the number of holders of each zone.
+    fn recompute_holders(&mut self) {
+        let target = self.target_holders();
+        if target > self.holders * HOLDERS_DRIFT_FACTOR || target * HOLDERS_DRIFT_FACTOR < self.holders {
+            self.holders = target;
         }
-        let usual = self.settled.round() as u16;
-        let mut places: BTreeMap<ZoneId, Vec<u16>> = BTreeMap::new();
-        for listed in self.listed.values().filter(|listed| listed.ready()) {
-            let place = self.line.place(listed.entry.entry.backend);
-            places.entry(listed.entry.entry.zone).or_default().push(place);
+        let holders = self.holders.round() as u16;
+        let mut ranks: BTreeMap<ZoneId, Vec<u16>> = BTreeMap::new();
+        for listed in self.listed.values().filter(|listed| listed.is_ready()) {
+            let rank = self.order.rank(listed.entry.entry.backend);
+            ranks.entry(listed.entry.entry.zone).or_default().push(rank);
         }
-        for (id, mut places) in places {
-            let least = self.zones.get(&id).map_or(0, |zone| self.least(zone));
-            places.sort_unstable();
-            let enough = least.checked_sub(1).and_then(|last| places.get(last)).map_or(0, |place| place + 1);
-            self.count(id, |zone| zone.holders = usual.max(enough));
+        for (id, mut ranks) in ranks {
+            let min_held = self.zones.get(&id).map_or(0, |zone| self.min_held(zone));
+            ranks.sort_unstable();
+            // The number of holders at which this ingress holds `min_held` backends of the zone.
+            let min_holders =
+                min_held.checked_sub(1).and_then(|last| ranks.get(last)).map_or(0, |rank| rank + 1);
+            self.update_zone(id, |zone| zone.holders = holders.max(min_holders));
         }
     }
 
-    fn settle_and_tell(&mut self, changed: &BTreeMap<BackendId, ServiceEntry>) -> Vec<ServiceEntry> {
-        self.settle();
+    /// Recomputes the holders; returns the entries for the decision module that follow from this and from
+    /// `changed`.
+    fn recompute_and_report(&mut self, changed: &BTreeMap<BackendId, ServiceEntry>) -> Vec<ServiceEntry> {
+        self.recompute_holders();
         let ids: BTreeSet<BackendId> = self.listed.keys().chain(changed.keys()).copied().collect();
-        ids.into_iter().filter_map(|id| self.tell(id, changed.get(&id))).collect()
+        ids.into_iter().filter_map(|id| self.report(id, changed.get(&id))).collect()
     }
 
-    /// Settles once more; of what is told twice the later goes before.
-    fn also(&mut self, entries: Vec<ServiceEntry>) -> Vec<ServiceEntry> {
+    /// Recomputes the holders again and adds the resulting entries to `entries`; for a backend in both the
+    /// later entry wins.
+    fn recompute_and_append(&mut self, entries: Vec<ServiceEntry>) -> Vec<ServiceEntry> {
         let mut all: BTreeMap<BackendId, ServiceEntry> =
             entries.into_iter().map(|entry| (entry.entry.backend, entry)).collect();
-        let more = self.settle_and_tell(&BTreeMap::new());
+        let more = self.recompute_and_report(&BTreeMap::new());
         all.extend(more.into_iter().map(|entry| (entry.entry.backend, entry)));
         all.into_values().collect()
     }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -28,20 +28,20 @@
 fn fleet(ingresses: u16, size: usize, backends: usize) -> Vec<Subset> {
     let one = |number| {
         let mut subset = Subset::new(IngressId(number), ingresses, size);
-        subset.listed(0.0, ready(backends));
+        subset.apply_list(0.0, ready(backends));
         subset
     };
     (0..ingresses).map(one).collect()
 }
 
 fn held(subset: &Subset) -> BTreeSet<BackendId> {
-    subset.held().collect()
+    subset.ready_backends().collect()
 }
 
 /// How many ingresses hold each backend that any of them does.
 fn holders<'a>(fleet: impl Iterator<Item = &'a Subset>) -> BTreeMap<BackendId, usize> {
     let mut all = BTreeMap::new();
-    fleet.flat_map(Subset::held).for_each(|id| *all.entry(id).or_default() += 1);
+    fleet.flat_map(Subset::ready_backends).for_each(|id| *all.entry(id).or_default() += 1);
     all
 }
 
@@ -82,7 +82,7 @@
         let before: Vec<_> = all.iter().map(held).collect();
         let id = backend_id(&format!("backend-{number}"));
         let gone = list(false, vec![entry(number, BackendState::Gone)]);
-        all.iter_mut().for_each(|subset| drop(subset.listed(1.0, gone.clone())));
+        all.iter_mut().for_each(|subset| drop(subset.apply_list(1.0, gone.clone())));
         // Who falls below its least part of the zone takes some more.
         let lost = |before: &BTreeSet<BackendId>, subset: &Subset| {
             let now = held(subset);
@@ -90,7 +90,7 @@
         };
         let fewer = before.iter().zip(&all).all(|(before, subset)| lost(before, subset));
         let back = list(false, vec![entry(number, BackendState::Ready)]);
-        all.iter_mut().for_each(|subset| drop(subset.listed(2.0, back.clone())));
+        all.iter_mut().for_each(|subset| drop(subset.apply_list(2.0, back.clone())));
         fewer && before.iter().zip(&all).all(|(before, subset)| before.is_subset(&held(subset)))
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(1000, 3)).tests(15).quickcheck(check as fn(usize) -> bool);
@@ -103,7 +103,7 @@
         let before: Vec<_> = all.iter().map(held).collect();
         let mut living = vec![true; 24];
         dead.iter().take(10).for_each(|number| living[usize::from(number % 24)] = false);
-        all.iter_mut().for_each(|subset| drop(subset.living(Some(&living))));
+        all.iter_mut().for_each(|subset| drop(subset.set_live_ingresses(Some(&living))));
         let live = || all.iter().zip(&living).filter(|(_, lives)| **lives).map(|(subset, _)| subset);
         let grown = all.iter().zip(&before).zip(&living).filter(|(_, lives)| **lives);
         let grown = grown.into_iter().all(|((subset, before), _)| before.is_subset(&held(subset)));
@@ -111,7 +111,7 @@
         let covered = by_backend.len() == 160;
         // Where a fifth is dead or more, the others keep the size of their subsets rather than each backend.
         let many = living.iter().filter(|lives| **lives).count() * 5 < 24 * 4;
-        all.iter_mut().for_each(|subset| drop(subset.living(None)));
+        all.iter_mut().for_each(|subset| drop(subset.set_live_ingresses(None)));
         let as_before = all.iter().map(held).eq(before);
         covered && (many || grown && as_before)
     }
@@ -121,12 +121,12 @@
 #[test]
 fn half_of_the_fleet_or_more_that_looks_dead_moves_nothing() {
     let mut subset = Subset::new(IngressId(3), 10, 16);
-    subset.listed(0.0, ready(100));
+    subset.apply_list(0.0, ready(100));
     let before = held(&subset);
     let mut living = vec![false; 10];
     living[1..6].fill(true);
-    assert_eq!(subset.living(Some(&living)), None);
-    assert_eq!(subset.living(Some(&[true; 4])), None, "nor does a view of another fleet");
+    assert_eq!(subset.set_live_ingresses(Some(&living)), None);
+    assert_eq!(subset.set_live_ingresses(Some(&[true; 4])), None, "nor does a view of another fleet");
     assert_eq!(held(&subset), before);
 }
 
@@ -159,14 +159,14 @@
             let entries: Vec<_> = more.iter().map(|n| entry(usize::from(*n), state)).collect();
             if kind % 4 == 3 {
                 let living: Vec<bool> = (0..20).map(|n| n == 2 || !more.contains(&n)).collect();
-                subset.living(Some(&living)).into_iter().for_each(|list| told.take(list));
+                subset.set_live_ingresses(Some(&living)).into_iter().for_each(|list| told.take(list));
             } else {
                 let whole = kind % 4 == 0;
                 let change = list(whole, entries);
                 let mut truth = Told(std::mem::take(&mut listed));
                 truth.take(change.clone());
                 listed = truth.0;
-                told.take(subset.listed(step as f64, change));
+                told.take(subset.apply_list(step as f64, change));
             }
             let ready: BTreeSet<BackendId> =
                 told.0.iter().filter(|(_, state)| **state == Ready).map(|(id, _)| *id).collect();
@@ -187,15 +187,15 @@
 #[test]
 fn one_that_comes_into_the_subset_later_is_no_newcomer_and_a_newcomer_is() {
     let mut subset = Subset::new(IngressId(0), 40, 16);
-    subset.listed(5.0, ready(400));
+    subset.apply_list(5.0, ready(400));
     let before = held(&subset);
     let mut living = vec![true; 40];
     living[25..].fill(false);
-    let more = subset.living(Some(&living)).unwrap().entries;
+    let more = subset.set_live_ingresses(Some(&living)).unwrap().entries;
     assert!(more.iter().any(|entry| !before.contains(&entry.entry.backend)));
     assert!(more.iter().all(|entry| entry.entry.last_start.is_some_and(|at| at < -1e12)));
     let new = list(false, (400..800).map(|number| entry(number, BackendState::Ready)).collect());
-    let told = subset.listed(9.0, new).entries;
+    let told = subset.apply_list(9.0, new).entries;
     let news: BTreeSet<_> = (400..800).map(|number| backend_id(&format!("backend-{number}"))).collect();
     let news: Vec<_> = told.iter().filter(|entry| news.contains(&entry.entry.backend)).collect();
     assert!(!news.is_empty() && news.iter().all(|entry| entry.entry.last_start == Some(9.0)));
--- a/trials/src/scale/layers.rs
+++ b/trials/src/scale/layers.rs
@@ -55,7 +55,7 @@
         let (list, above) = measure(|| {
             let list = self.maintenance.listed(list);
             match &mut self.subset {
-                Some(subset) => subset.listed(now, list),
+                Some(subset) => subset.apply_list(now, list),
                 None => list,
             }
         });
--- a/trials/src/scale/spread.rs
+++ b/trials/src/scale/spread.rs
@@ -55,7 +55,7 @@
 
 fn subset(number: usize, ingresses: usize, size: usize, list: &BackendList) -> Subset {
     let mut subset = Subset::new(IngressId(number as u16), ingresses as u16, size);
-    subset.listed(0.0, list.clone());
+    subset.apply_list(0.0, list.clone());
     subset
 }
 
@@ -68,18 +68,18 @@
     let living: Vec<bool> = (0..ingresses).map(|number| number % ZONES != 0).collect();
     for number in 0..ingresses {
         let mut one = subset(number, ingresses, size, list);
-        let held: BTreeSet<BackendId> = one.held().collect();
+        let held: BTreeSet<BackendId> = one.ready_backends().collect();
         seen.sizes.push(held.len());
         for id in &held {
             *seen.holders.entry(*id).or_default() += 1;
             *seen.load.entry(*id).or_default() += 1.0 / held.len() as f64;
         }
         if living[number] {
-            one.living(Some(&living));
-            seen.moved_by_zone += one.held().filter(|id| !held.contains(id)).count();
-            one.living(None);
+            one.set_live_ingresses(Some(&living));
+            seen.moved_by_zone += one.ready_backends().filter(|id| !held.contains(id)).count();
+            one.set_live_ingresses(None);
         }
-        seen.moved_by_one += usize::from(!one.listed(1.0, gone.clone()).entries.is_empty());
+        seen.moved_by_one += usize::from(!one.apply_list(1.0, gone.clone()).entries.is_empty());
     }
     seen
 }
