--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -34,7 +34,8 @@
             return self.feed(i, Event::BackendList(kind, Vec::new()));
         }
         let whole = kind != ListKind::Changes;
-        let list = self.nodes[i].maintenance.listed(BackendList { generation: 0, complete: whole, entries });
+        let list =
+            self.nodes[i].maintenance.apply_list(BackendList { generation: 0, complete: whole, entries });
         self.believes(i, kind, list);
     }
 
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -146,7 +146,7 @@
     /// An ingress starts: with its last list, and soon with the whole one.
     pub(super) fn begin(&mut self, i: usize) {
         let life = self.nodes[i].life;
-        let known = self.nodes[i].maintenance.told();
+        let known = self.nodes[i].maintenance.discovered_list();
         self.feed(i, Event::Start);
         let first = if known.entries.is_empty() {
             let all = self.published.iter();
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -123,7 +123,7 @@
                 brain.handle(EPOCH + now, Event::Start, &mut acts);
                 brain.inherit(&bytes);
                 self.nodes[i].brain = brain;
-                let list = self.nodes[i].maintenance.told();
+                let list = self.nodes[i].maintenance.discovered_list();
                 self.believes(i, ListKind::Full, list);
             }
         }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,7 +1,7 @@
 //! The server of the admin interface.
 
 use super::command::{Command, CommandError};
-use crate::backends::maintenance::write_bans;
+use crate::backends::maintenance::encode_disabled;
 use crate::cluster::notices::{LocalNotice, MAX_SUBJECT, Subject};
 use crate::cluster::transport::SharedCluster;
 use crate::cluster::{Cluster, report};
@@ -243,7 +243,7 @@
 
     fn save_bans(&self, bans: &[String]) {
         let Some(path) = &self.server.bans else { return };
-        if let Err(e) = files::replace(path, write_bans(bans).as_bytes()) {
+        if let Err(e) = files::replace(path, encode_disabled(bans).as_bytes()) {
             warn!(self.server.log, "bans could not be kept"; "error" => %e);
         }
     }
--- a/src/backends/mod.rs
+++ b/src/backends/mod.rs
@@ -1,5 +1,5 @@
-//! The backends that requests are sent to: the list as it is told, operators' maintenance laid over it, and what of Consul's
-//! answers is believed. No I/O.
+//! The backends that requests are sent to: the backend list, the backends that operators have disabled, and
+//! the evaluation of Consul's answers. No I/O.
 
 pub mod entries;
 pub mod maintenance;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use super::error::ConfigError;
 use super::pairs::Pairs;
-use crate::backends::entries::Places;
+use crate::backends::entries::TopologyNames;
 use crate::interface::{
     Class, ColdStart, DedupScope, IngressId, Millis, Plan, RetrySafety, Settings, ZoneId,
 };
@@ -31,7 +31,7 @@
     /// The places of the plans in their list, by name.
     pub plans: HashMap<String, usize>,
     /// The zones and kinds of machine by name.
-    pub places: Places,
+    pub places: TopologyNames,
     /// Backends close a connection that was idle for so many milliseconds.
     pub conn_idle: Millis,
     /// A connection that is not established within so many milliseconds never will be.
@@ -71,7 +71,7 @@
             classes: (0..settings.classes.len()).map(class).collect::<Result<_, _>>()?,
             plans: (0..settings.plans.len()).map(plan).collect::<Result<_, _>>()?,
             load_names: pairs.list("feedback.names")?,
-            places: Places { zones: pairs.list("zones")?, kinds: pairs.list("flavors")? },
+            places: TopologyNames { zones: pairs.list("zones")?, kinds: pairs.list("flavors")? },
             conn_idle: pairs.positive("limits.connIdle", DEFAULT_CONN_IDLE)?,
             connect_timeout: pairs.positive("limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT)?,
             max_retry_after: pairs.positive("limits.maxRetryAfter", DEFAULT_MAX_RETRY_AFTER)?,
--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -7,7 +7,7 @@
 pub mod query;
 pub mod read;
 
-use crate::backends::entries::{BackendList, Places};
+use crate::backends::entries::{BackendList, TopologyNames};
 use crate::backends::membership::members::Members;
 use crate::backends::membership::merged_list::Slot;
 use crate::backends::membership::traffic::Witness;
@@ -43,7 +43,7 @@
     /// New configurations.
     pub ways: watch::Receiver<Ways>,
     /// The zones and kinds of machine that instances name.
-    pub places: Places,
+    pub places: TopologyNames,
     /// How many ingresses ask the same.
     pub instances: u16,
     /// The clock and the timers.
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -3,7 +3,7 @@
 use super::agent::{Counts, Line, Refusal};
 use super::book::ServiceBook;
 use super::{query, read};
-use crate::backends::entries::{BackendList, Places};
+use crate::backends::entries::{BackendList, TopologyNames};
 use crate::backends::membership::asking::{AgentRotation, Cursor, QueryLimiter};
 use crate::backends::membership::merged_list::Slot;
 use crate::config::{Consul, Service};
@@ -29,7 +29,7 @@
     pub(super) consul: Arc<Consul>,
     pub(super) service: Service,
     pub(super) slot: Slot,
-    pub(super) places: Places,
+    pub(super) places: TopologyNames,
     pub(super) instances: u16,
     pub(super) deadlines: Deadlines,
     pub(super) seed: u64,
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -1,6 +1,6 @@
 //! Reads Consul's answers: instances of a service with their node and checks, and the catalogue's list of them.
 
-use crate::backends::entries::{Places, ServiceEntry, backend_id};
+use crate::backends::entries::{ServiceEntry, TopologyNames, backend_id};
 use crate::backends::membership::{Observation, Reason};
 use crate::config::Service;
 use crate::interface::{BackendEntry, BackendId, BackendState, CellId};
@@ -18,7 +18,7 @@
 }
 
 /// Reads an answer of `/v1/health/service/NAME`; an error where it is none, or nothing of it can be read.
-pub fn health(body: &[u8], service: &Service, places: &Places) -> Result<Read, String> {
+pub fn health(body: &[u8], service: &Service, places: &TopologyNames) -> Result<Read, String> {
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
     let instances = answer.as_array().ok_or("its answer is no list")?;
     let (mut read, mut ids) = (Read::default(), BTreeSet::new());
@@ -62,7 +62,11 @@
 ///
 /// One whose checks pass or warn is ready. One with a critical check, as maintenance sets it, or without weight drains: it
 /// finishes what it has. One that is no longer listed is gone.
-fn observation(value: &Value, service: &Service, places: &Places) -> Result<Observation, &'static str> {
+fn observation(
+    value: &Value,
+    service: &Service,
+    places: &TopologyNames,
+) -> Result<Observation, &'static str> {
     let meta = |name: &str| text(value, &format!("/Service/Meta/{name}"));
     text(value, "/Node/Node").ok_or("Node.Node")?;
     let name = name(value, "/Node/Node", "/Service/ID", service).ok_or("Service.ID")?;
@@ -102,8 +106,8 @@
         backend: backend_id(&name),
         state: if ready { BackendState::Ready } else { BackendState::Draining },
         weight,
-        zone: places.zone(meta("zone")),
-        kind: places.kind(meta("kind")),
+        zone: places.zone_id(meta("zone")),
+        kind: places.kind_id(meta("kind")),
         cell: match meta("cell") {
             Some(cell) => CellId(cell.parse().map_err(|_| "Service.Meta.cell")?),
             None => CellId(0),
--- a/src/consul/read/tests.rs
+++ b/src/consul/read/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn read(instances: Vec<Value>) -> Result<Read, String> {
-    let places = Places { zones: vec!["west".into(), "east".into()], kinds: vec!["big".into()] };
+    let places = TopologyNames { zones: vec!["west".into(), "east".into()], kinds: vec!["big".into()] };
     health(Value::from(instances).to_string().as_bytes(), &Service::default(), &places)
 }
 
@@ -110,7 +110,7 @@
         }
         let service = Service::default();
         let _ = catalogue(&body, &service);
-        match health(&body, &service, &Places::default()) {
+        match health(&body, &service, &TopologyNames::default()) {
             Ok(read) => {
                 !cut && read.seen.iter().all(|seen| seen.entry.address.is_some_and(|at| at.port() > 0))
             }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -270,13 +270,13 @@
                 }
             }
             EngineEvent::DisabledElsewhere(name, out) => {
-                if let Some(change) = self.maintenance.ordered(&name, out) {
+                if let Some(change) = self.maintenance.apply_notice(&name, out) {
                     self.believe(change, ListKind::Changes);
                 }
             }
             EngineEvent::HandOver(reply) => {
                 self.retired = true;
-                let (list, bans) = (self.maintenance.told(), self.maintenance.bans());
+                let (list, bans) = (self.maintenance.discovered_list(), self.maintenance.disabled());
                 let _ = reply.send(EngineState { limiter: self.limiter.hand_over(), disabled: bans, list });
             }
             EngineEvent::Resume => {
@@ -304,7 +304,7 @@
 
     /// Goes on from what another process knew. What cannot be read leaves this one as after a restart.
     fn inherit(&mut self, estate: EngineState) {
-        self.maintenance.ban_only(estate.disabled);
+        self.maintenance.replace_disabled(estate.disabled);
         match self.limiter.inherit(&estate.limiter) {
             Ok(out) => {
                 self.elsewhere =
@@ -314,11 +314,11 @@
             Err(why) => warn!(self.log, "what the old process knew was passed over"; "why" => why),
         }
         if !self.told && !estate.list.entries.is_empty() {
-            self.maintenance.listed(estate.list);
+            self.maintenance.apply_list(estate.list);
         }
-        let mut list = self.maintenance.told();
+        let mut list = self.maintenance.discovered_list();
         if !list.entries.is_empty() {
-            list = self.maintenance.listed(list);
+            list = self.maintenance.apply_list(list);
             self.believe(list, ListKind::Full);
         }
     }
@@ -344,11 +344,11 @@
         if let Some(change) = change {
             self.believe(change, ListKind::Changes);
         }
-        Ok(BackendStatus { counts: self.limiter.members(self.now), disabled: self.maintenance.bans() })
+        Ok(BackendStatus { counts: self.limiter.members(self.now), disabled: self.maintenance.disabled() })
     }
 
     fn listed(&mut self, list: BackendList, kind: ListKind) {
-        let list = self.maintenance.listed(list);
+        let list = self.maintenance.apply_list(list);
         self.believe(list, kind);
     }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,7 @@
 use super::stream::{Way, connect, read_more};
 use crate::config::{MAX_WATCH_ATTEMPTS, Site};
 use crate::deadlines::Deadlines;
-use crate::entries::{BackendList, Places};
+use crate::entries::{BackendList, TopologyNames};
 use crate::interface::*;
 use crate::pacing::Pacing;
 use bytes::BytesMut;
@@ -311,7 +311,11 @@
 ///
 /// # Errors
 /// Why it cannot be taken in: it is unreadable, or it changes a list that is not known.
-pub fn read_line(line: &[u8], known: Option<u64>, places: &Places) -> Result<Option<BackendList>, String> {
+pub fn read_line(
+    line: &[u8],
+    known: Option<u64>,
+    places: &TopologyNames,
+) -> Result<Option<BackendList>, String> {
     let line = line.trim_ascii();
     if line.is_empty() {
         return Ok(None);
--- a/src/node.rs
+++ b/src/node.rs
@@ -18,7 +18,7 @@
 use crate::fronts::ext_authz::{Check, Front};
 use crate::fronts::platform;
 use crate::interface::{AttemptEnd, Millis};
-use crate::maintenance::{Maintenance, read_bans};
+use crate::maintenance::{Maintenance, decode_disabled};
 use crate::membership::traffic::Witness;
 use crate::net::budget::{Budget, Elsewhere};
 use crate::net::client_side::{Answer, ClientSide, Links, Question};
@@ -132,7 +132,7 @@
 /// The bans that a process before has left; what cannot be read is passed over.
 fn kept_bans(path: &Path, log: &Logger) -> Vec<String> {
     match std::fs::read(path) {
-        Ok(bytes) => match std::str::from_utf8(&bytes).ok().and_then(read_bans) {
+        Ok(bytes) => match std::str::from_utf8(&bytes).ok().and_then(decode_disabled) {
             Some(bans) => bans,
             None => {
                 warn!(log, "a file of bans was passed over"; "path" => %path.display());
@@ -302,7 +302,7 @@
             counter_timeout: site.settings.counter_timeout,
             retry_after: site.max_retry_after,
         };
-        let maintenance = Maintenance::with(out);
+        let maintenance = Maintenance::with_disabled(out);
         let deciding = (limiter, maintenance);
         let subset =
             instance.subset.map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use std::fmt::Write;
-use weldhub::entries::{BackendList, Places};
+use weldhub::entries::{BackendList, TopologyNames};
 use weldhub::interface::{
     Class, ClassId, ColdStart, CustomerId, DedupScope, IngressId, Plan, PlanId, Request, RequestId,
     RetrySafety, Settings, ZoneId,
@@ -61,9 +61,9 @@
 }
 
 /// The names of the installation's zones and kinds of machine.
-pub fn places() -> Places {
+pub fn places() -> TopologyNames {
     let zones = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
-    Places { zones, kinds: vec!["gen-a".into(), "gen-b".into()] }
+    TopologyNames { zones, kinds: vec!["gen-a".into(), "gen-b".into()] }
 }
 
 fn instance(number: usize, lifecycle: &str) -> serde_json::Value {
--- a/trials/src/scale/layers.rs
+++ b/trials/src/scale/layers.rs
@@ -53,7 +53,7 @@
     pub fn listed(&mut self, now: Millis, list: BackendList) -> Kept {
         let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
         let (list, above) = measure(|| {
-            let list = self.maintenance.listed(list);
+            let list = self.maintenance.apply_list(list);
             match &mut self.subset {
                 Some(subset) => subset.apply_list(now, list),
                 None => list,
