--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -8,7 +8,7 @@
 use weldhub::Event;
 use weldhub::entries::{BackendList, ServiceEntry, backend_id};
 use weldhub::interface::{BackendEntry, BackendId, BackendState, CellId, KindId, ListKind, ZoneId};
-use weldhub::membership::members::Step;
+use weldhub::membership::members::HealthUpdate;
 use weldhub::membership::{Observation, Reason};
 
 impl World<'_> {
@@ -103,13 +103,13 @@
             name: String::new(),
             reason: if entry.entry.state == BackendState::Ready { Reason::Passing } else { Reason::Critical },
             entry,
-            registered: 0,
+            create_index: 0,
         });
         let (seen, now) = (seen.collect(), self.now);
         let members = &mut self.nodes[i].members;
-        let told = match members.health(now, seen) {
-            Step::Report(told) => told,
-            Step::Confirm(told) => {
+        let told = match members.apply_health(now, seen) {
+            HealthUpdate::Complete(told) => told,
+            HealthUpdate::NeedsConfirmation(told) => {
                 let round = members.unconfirmed_round().unwrap_or(0);
                 self.after(CATALOGUE, What::Catalogue(i, life, round));
                 told
@@ -123,7 +123,7 @@
         if !told.is_empty() {
             self.listed(i, ListKind::Changes, told.into_iter().map(|s| s.entry).collect());
         }
-        if let Some(at) = self.nodes[i].members.next_due() {
+        if let Some(at) = self.nodes[i].members.next_hold_down_end() {
             self.at(at, What::Due(i, life));
         }
     }
@@ -152,7 +152,7 @@
     pub(super) fn catalogue(&mut self, i: usize, life: u32, round: u64) {
         if self.nodes[i].up && self.nodes[i].life == life {
             let held = self.published.keys().map(|s| backend_id(&name(*s))).collect();
-            let told = self.nodes[i].members.catalogue(self.now, round, &held);
+            let told = self.nodes[i].members.apply_catalogue(self.now, round, &held);
             self.tells(i, told);
         }
     }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -307,7 +307,7 @@
             What::Catalogue(i, life, round) => self.catalogue(i, life, round),
             What::Due(i, life) => {
                 if self.nodes[i].up && self.nodes[i].life == life {
-                    let told = self.nodes[i].members.due(self.now);
+                    let told = self.nodes[i].members.end_hold_downs(self.now);
                     self.tells(i, told);
                 }
             }
--- a/src/backends/membership/merged_list.rs
+++ b/src/backends/membership/merged_list.rs
@@ -1,5 +1,6 @@
-//! One list of several services. An instance may have work where every service that lists it says so, and of two at
-//! one address only the one that was registered last: work for both would be twice the work for one real server.
+//! Merges the instances of several Consul services into one backend list. An instance is ready only if every
+//! service that lists it has it ready. Of several instances at one address only the one that was registered
+//! last is ready: otherwise that backend would get several shares of the requests.
 
 use super::Observation;
 use crate::backends::entries::ServiceEntry;
@@ -7,26 +8,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Which service said something: by the order in which they came to be asked for.
+/// Identifies a queried service; assigned in the order in which services are first queried.
 pub type Slot = u64;
 
-/// The services' lists, and what was told of them.
+/// The instances of all services, and the merged list that was last reported.
 #[derive(Debug, Default)]
 pub struct MergedList {
-    /// What each service lists, by instance.
+    /// The instances that each service lists.
     listed: BTreeMap<(BackendId, Slot), Observation>,
     reported: BTreeMap<BackendId, ServiceEntry>,
-    /// In which order they came; those that are listed only.
-    order: BTreeMap<BackendId, u64>,
-    next: u64,
+    /// The order in which the listed instances were first seen.
+    arrival_order: BTreeMap<BackendId, u64>,
+    /// The last number given out in `arrival_order`.
+    last_arrival: u64,
 }
 
 impl MergedList {
-    /// Takes in what changed of a service.
+    /// Applies the changes of one service.
     pub fn apply(&mut self, slot: Slot, changes: Vec<Observation>) {
         for change in changes {
-            self.next += 1;
-            self.order.entry(change.id()).or_insert(self.next);
+            self.last_arrival += 1;
+            self.arrival_order.entry(change.id()).or_insert(self.last_arrival);
             match change.entry.entry.state {
                 BackendState::Gone => drop(self.listed.remove(&(change.id(), slot))),
                 _ => drop(self.listed.insert((change.id(), slot), change)),
@@ -34,59 +36,61 @@
         }
     }
 
-    /// A service is no longer asked for: what only it listed is gone.
-    pub fn retain(&mut self, slots: &BTreeSet<Slot>) {
+    /// Keeps only these services; the others are no longer queried, and instances that only they list are
+    /// removed.
+    pub fn retain_slots(&mut self, slots: &BTreeSet<Slot>) {
         self.listed.retain(|(_, slot), _| slots.contains(slot));
     }
 
-    /// The whole list as it is to be told.
-    fn view(&self) -> BTreeMap<BackendId, ServiceEntry> {
-        let mut view: BTreeMap<BackendId, ServiceEntry> = BTreeMap::new();
+    /// Returns the merged list.
+    fn merge(&self) -> BTreeMap<BackendId, ServiceEntry> {
+        let mut merged: BTreeMap<BackendId, ServiceEntry> = BTreeMap::new();
         let mut owners: BTreeMap<SocketAddr, (u64, u64, BackendId)> = BTreeMap::new();
         for ((id, _), observation) in &self.listed {
-            let entry = view.entry(*id).or_insert_with(|| observation.entry.clone());
-            if !observation.ready() {
+            let entry = merged.entry(*id).or_insert_with(|| observation.entry.clone());
+            if !observation.is_ready() {
                 entry.entry.state = BackendState::Draining;
             }
-            // Where neither says when it was registered, the one that came here later is the later one.
-            let this = (observation.registered, self.order.get(id).copied().unwrap_or(0), *id);
-            if let Some(at) = observation.entry.address {
-                let owner = owners.entry(at).or_insert(this);
-                *owner = (*owner).max(this);
+            // Where the registration indexes do not decide, the instance that was seen later owns the
+            // address.
+            let candidate = (observation.create_index, self.arrival_order.get(id).copied().unwrap_or(0), *id);
+            if let Some(address) = observation.entry.address {
+                let owner = owners.entry(address).or_insert(candidate);
+                *owner = (*owner).max(candidate);
             }
         }
-        for (id, entry) in &mut view {
-            if entry.address.and_then(|at| owners.get(&at)).is_some_and(|(.., owner)| owner != id) {
+        for (id, entry) in &mut merged {
+            if entry.address.and_then(|address| owners.get(&address)).is_some_and(|(.., owner)| owner != id) {
                 entry.entry.state = BackendState::Draining;
             }
         }
-        view
+        merged
     }
 
-    /// What has changed since this was asked last.
-    pub fn changes(&mut self) -> Vec<ServiceEntry> {
-        let view = self.view();
+    /// Returns what has changed in the merged list since the last call.
+    pub fn take_changes(&mut self) -> Vec<ServiceEntry> {
+        let merged = self.merge();
         let mut changes = Vec::new();
         for (id, entry) in &self.reported {
-            if !view.contains_key(id) {
+            if !merged.contains_key(id) {
                 let mut gone = entry.clone();
                 gone.entry.state = BackendState::Gone;
                 changes.push(gone);
             }
         }
-        changes
-            .extend(view.iter().filter(|(id, e)| self.reported.get(id) != Some(e)).map(|(_, e)| e.clone()));
-        self.order.retain(|id, _| view.contains_key(id));
-        self.reported = view;
+        let changed = merged.iter().filter(|(id, entry)| self.reported.get(id) != Some(entry));
+        changes.extend(changed.map(|(_, entry)| entry.clone()));
+        self.arrival_order.retain(|id, _| merged.contains_key(id));
+        self.reported = merged;
         changes
     }
 
-    /// How many were told.
+    /// Returns the number of instances last reported.
     pub fn len(&self) -> usize {
         self.reported.len()
     }
 
-    /// Whether none was told.
+    /// Returns whether no instance was last reported.
     pub fn is_empty(&self) -> bool {
         self.reported.is_empty()
     }
--- a/src/backends/membership/merged_list/tests.rs
+++ b/src/backends/membership/merged_list/tests.rs
@@ -1,51 +1,54 @@
-use super::super::seen;
+use super::super::observation;
 use super::*;
 use BackendState::{Draining, Gone, Ready};
 
-fn reported(union: &mut MergedList) -> Vec<(u64, BackendState)> {
-    union.changes().iter().map(|e| (e.entry.backend.0, e.entry.state)).collect()
+fn reported(list: &mut MergedList) -> Vec<(u64, BackendState)> {
+    list.take_changes().iter().map(|e| (e.entry.backend.0, e.entry.state)).collect()
 }
 
 #[test]
-fn several_services_make_one_list_and_each_may_drain_but_not_bring_back() {
-    let mut union = MergedList::default();
-    union.apply(0, vec![seen(1, Ready, 1), seen(2, Ready, 2)]);
-    union.apply(1, vec![seen(2, Ready, 2), seen(3, Ready, 3)]);
-    assert_eq!(reported(&mut union), [(1, Ready), (2, Ready), (3, Ready)]);
-    union.apply(1, vec![seen(2, Draining, 2)]);
-    assert_eq!(reported(&mut union), [(2, Draining)]);
-    union.apply(1, vec![seen(2, Gone, 2)]);
-    assert_eq!(reported(&mut union), [(2, Ready)], "the other lists it still");
-    union.retain(&BTreeSet::from([1]));
-    assert_eq!(reported(&mut union), [(1, Gone), (2, Gone)]);
-    assert!(reported(&mut union).is_empty() && union.len() == 1);
+fn instance_is_ready_only_if_every_service_that_lists_it_has_it_ready() {
+    let mut list = MergedList::default();
+    list.apply(0, vec![observation(1, Ready, 1), observation(2, Ready, 2)]);
+    list.apply(1, vec![observation(2, Ready, 2), observation(3, Ready, 3)]);
+    assert_eq!(reported(&mut list), [(1, Ready), (2, Ready), (3, Ready)]);
+    list.apply(1, vec![observation(2, Draining, 2)]);
+    assert_eq!(reported(&mut list), [(2, Draining)]);
+    list.apply(1, vec![observation(2, Gone, 2)]);
+    assert_eq!(reported(&mut list), [(2, Ready)], "still listed by the other service");
+    list.retain_slots(&BTreeSet::from([1]));
+    assert_eq!(reported(&mut list), [(1, Gone), (2, Gone)]);
+    assert!(reported(&mut list).is_empty() && list.len() == 1);
 }
 
 #[test]
-fn an_address_under_a_new_id_is_one_real_server() {
-    let mut union = MergedList::default();
-    union.apply(0, vec![seen(1, Ready, 1), seen(9, Ready, 9)]);
-    reported(&mut union);
-    // The new registration has come, the old one is not gone yet.
-    union.apply(0, vec![seen(2, Ready, 1)]);
-    assert_eq!(reported(&mut union), [(1, Draining), (2, Ready)]);
-    assert!(reported(&mut union).is_empty());
-    union.apply(0, vec![seen(1, Gone, 1), seen(0, Ready, 1)]);
-    assert_eq!(reported(&mut union), [(1, Gone), (0, Ready), (2, Draining)], "however ids are ordered");
-    assert!(reported(&mut union).is_empty());
-    // By Consul's own count, in whatever order they come, over services.
-    let registered = |n: u64, at: u64| Observation { registered: at, ..seen(n, Ready, 5) };
-    union.apply(0, vec![registered(6, 90)]);
-    reported(&mut union);
-    union.apply(1, vec![registered(5, 80)]);
-    assert_eq!(reported(&mut union), [(5, Draining)]);
-    // The address is the later one's, also where that is not well.
-    union.apply(
+fn only_the_last_registered_instance_at_an_address_is_ready() {
+    let mut list = MergedList::default();
+    list.apply(0, vec![observation(1, Ready, 1), observation(9, Ready, 9)]);
+    reported(&mut list);
+    // The new registration is listed while the old one still is.
+    list.apply(0, vec![observation(2, Ready, 1)]);
+    assert_eq!(reported(&mut list), [(1, Draining), (2, Ready)]);
+    assert!(reported(&mut list).is_empty());
+    list.apply(0, vec![observation(1, Gone, 1), observation(0, Ready, 1)]);
+    assert_eq!(reported(&mut list), [(1, Gone), (0, Ready), (2, Draining)], "whatever the order of ids");
+    assert!(reported(&mut list).is_empty());
+    // The create index decides across services, in whatever order the instances are seen.
+    let registered = |n: u64, create_index: u64| Observation { create_index, ..observation(n, Ready, 5) };
+    list.apply(0, vec![registered(6, 90)]);
+    reported(&mut list);
+    list.apply(1, vec![registered(5, 80)]);
+    assert_eq!(reported(&mut list), [(5, Draining)]);
+    // The last registered instance owns the address even if it is not ready.
+    list.apply(
         0,
-        vec![seen(6, Draining, 5)].into_iter().map(|s| Observation { registered: 90, ..s }).collect(),
+        vec![observation(6, Draining, 5)]
+            .into_iter()
+            .map(|s| Observation { create_index: 90, ..s })
+            .collect(),
     );
-    assert_eq!(reported(&mut union), [(6, Draining)]);
-    // One that moves on leaves the address to the other.
-    union.apply(0, vec![Observation { registered: 90, ..seen(6, Ready, 6) }]);
-    assert_eq!(reported(&mut union), [(5, Ready), (6, Ready)]);
+    assert_eq!(reported(&mut list), [(6, Draining)]);
+    // When it moves to another address, the other instance owns this one.
+    list.apply(0, vec![Observation { create_index: 90, ..observation(6, Ready, 6) }]);
+    assert_eq!(reported(&mut list), [(5, Ready), (6, Ready)]);
 }
--- a/src/backends/membership/mod.rs
+++ b/src/backends/membership/mod.rs
@@ -1,48 +1,51 @@
-//! Membership of backends: which there are and which of them may have work, from Consul's answers and from traffic. No I/O:
-//! `consul` asks and passes the answers in.
+//! Membership of backends: which exist and which may get requests, by Consul's answers and by connection
+//! failures. No I/O: the `consul` module sends the queries and passes the answers in.
 //!
-//! `members` decides what is believed of one service, `merged_list` makes one list of several services, `traffic` counts
-//! connections that fail, and `asking` says when and which agent to ask.
+//! `members` evaluates the answers about one service, `merged_list` merges several services into one list,
+//! `connection_failures` counts failed connections, and `query_schedule` decides when to query which agent.
 
-pub mod asking;
+pub mod connection_failures;
 pub mod members;
 pub mod merged_list;
-pub mod traffic;
+pub mod query_schedule;
 
 use crate::backends::entries::ServiceEntry;
 use crate::interface::{BackendId, BackendState, Millis};
 
-/// The most instances of a service; more are passed over.
+/// The most instances of a service; further ones are ignored.
 pub const MAX_INSTANCES: usize = 10_000;
 
-/// How long the return of an instance that flaps is held down: it doubles with each flap.
+/// How long a flapping instance is kept out of service after it is ready again; doubles with each flap.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HoldDown {
-    /// At the second return within the memory of flaps, in milliseconds.
+    /// The first hold-down, at the second return within the flap memory, in milliseconds.
     pub first: Millis,
-    /// At most, in milliseconds.
+    /// The longest hold-down, in milliseconds.
     pub longest: Millis,
 }
 
 impl HoldDown {
-    /// The hold-down after so many flaps more than the first two.
-    pub(super) fn after(self, flaps: u32) -> Millis {
-        (self.first * f64::from(1u32 << flaps.min(16))).min(self.longest)
+    /// Returns the hold-down, in milliseconds, after it has doubled this many times.
+    pub(super) fn after_doublings(self, doublings: u32) -> Millis {
+        (self.first * f64::from(1u32 << doublings.min(16))).min(self.longest)
     }
 }
 
-/// What is believed of Consul's answers, and when.
+/// When changes in Consul's answers are accepted, delayed or confirmed first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MembershipPolicy {
-    /// How long the return of an instance that flaps is held down.
+    /// The hold-down of flapping instances.
     pub hold_down: HoldDown,
-    /// Flaps are remembered for so many milliseconds.
+    /// How long flaps are remembered, in milliseconds.
     pub flap_memory: Millis,
-    /// An answer that lacks more than this part of the instances that were ready ...
+    /// The fraction of the ready instances above which a withdrawal is confirmed by the catalogue before it
+    /// is accepted, together with `withdrawal_minimum`. Also bounds the fraction that failed connections may
+    /// take out of service.
     pub withdrawal_share: f64,
-    /// ... and at least so many of them, is confirmed by the catalogue before it is believed.
+    /// The least number of withdrawn ready instances that has to be confirmed.
     pub withdrawal_minimum: usize,
-    /// So many failed connections in a row make an instance unreachable that no answer vouches for.
+    /// The number of consecutive connection failures that makes an instance unreachable, while no current
+    /// answer says that it is ready.
     pub unreachable_after: u32,
 }
 
@@ -61,29 +64,29 @@
 /// Why an instance is in its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// All of its checks pass.
+    /// All of its checks are passing.
     Passing,
-    /// At least one warns, none is critical.
+    /// At least one check is warning, none is critical.
     Warning,
-    /// A check is critical, or of a state that is not known.
+    /// A check is critical or has an unknown status.
     Critical,
     /// Its node is in maintenance.
     NodeMaintenance,
-    /// It is in maintenance itself.
+    /// The instance itself is in maintenance.
     ServiceMaintenance,
-    /// Its weight for this state is 0.
+    /// Its weight for the status of its checks is 0.
     NoWeight,
-    /// It is no longer listed, and that is believed.
+    /// It is no longer listed, and the withdrawal was accepted.
     Withdrawn,
-    /// No answer vouches for it, and connections to it fail.
+    /// Connections to it fail, and no current answer says that it is ready.
     Unreachable,
     /// Its hold-down is over.
-    Back,
+    HoldDownEnded,
 }
 
 impl Reason {
-    /// The text of it in the log.
-    pub fn text(self) -> &'static str {
+    /// Returns the text for the log.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Passing => "passing",
             Self::Warning => "warning",
@@ -93,32 +96,32 @@
             Self::NoWeight => "no weight",
             Self::Withdrawn => "withdrawn",
             Self::Unreachable => "unreachable while Consul's word is in doubt",
-            Self::Back => "its hold is over",
+            Self::HoldDownEnded => "its hold is over",
         }
     }
 }
 
-/// An instance as an answer has it, or as it is reported.
+/// The state of an instance, as seen in an answer from Consul or as reported after evaluation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Observation {
-    /// Its name, which its id is made from; operators name it so.
+    /// The instance's name, by which operators refer to it; its id is derived from it.
     pub name: String,
-    /// Its entry for the list.
+    /// The entry for the backend list.
     pub entry: ServiceEntry,
-    /// When it was registered, by Consul's own index (`CreateIndex`); 0 where the answer has none.
-    pub registered: u64,
-    /// Why it is in its state.
+    /// Consul's `CreateIndex` of the registration, which orders registrations; 0 if the answer has none.
+    pub create_index: u64,
+    /// Why the instance is in its state.
     pub reason: Reason,
 }
 
 impl Observation {
-    /// Its id.
+    /// Returns the instance's id.
     pub fn id(&self) -> BackendId {
         self.entry.entry.backend
     }
 
-    /// Whether it may have work.
-    pub fn ready(&self) -> bool {
+    /// Returns whether the instance may get requests.
+    pub fn is_ready(&self) -> bool {
         self.entry.entry.state == BackendState::Ready
     }
 
@@ -129,7 +132,7 @@
 }
 
 #[cfg(test)]
-pub(crate) fn seen(n: u64, state: BackendState, port: u16) -> Observation {
+pub(crate) fn observation(n: u64, state: BackendState, port: u16) -> Observation {
     use crate::interface::{BackendEntry, CellId, KindId, ZoneId};
     let entry = BackendEntry {
         backend: BackendId(n),
@@ -142,5 +145,5 @@
     };
     let reason = if state == BackendState::Ready { Reason::Passing } else { Reason::Critical };
     let entry = ServiceEntry { entry, address: Some(([127, 0, 0, 1], port).into()) };
-    Observation { name: format!("n1/{n}"), entry, registered: 0, reason }
+    Observation { name: format!("n1/{n}"), entry, create_index: 0, reason }
 }
--- a/src/consul/book.rs
+++ b/src/consul/book.rs
@@ -3,7 +3,7 @@
 use super::read;
 use crate::backends::entries::BackendList;
 use crate::backends::membership::Observation;
-use crate::backends::membership::members::{Members, Step};
+use crate::backends::membership::members::{HealthUpdate, Members};
 use crate::backends::membership::merged_list::{MergedList, Slot};
 use crate::interface::{BackendId, BackendState, Millis};
 use crate::stats::Stats;
@@ -77,14 +77,14 @@
 
     /// When the next hold-down is over.
     pub(super) fn next_return(&self) -> Option<Millis> {
-        self.services.values().filter_map(|known| known.members.next_due()).reduce(f64::min)
+        self.services.values().filter_map(|known| known.members.next_hold_down_end()).reduce(f64::min)
     }
 
     /// Reports the instances whose hold-down is over.
     pub(super) fn report_returns(&mut self, now: Millis) {
         for slot in self.all_slots() {
             let Some(known) = self.services.get_mut(&slot) else { continue };
-            let returned = known.members.due(now);
+            let returned = known.members.end_hold_downs(now);
             if !returned.is_empty() {
                 self.apply(slot, returned);
             }
@@ -95,7 +95,8 @@
     pub(super) fn report_unreachable(&mut self, now: Millis, suspects: &BTreeSet<BackendId>) {
         for slot in self.all_slots() {
             let Some(known) = self.services.get_mut(&slot) else { continue };
-            let unreachable = suspects.iter().filter_map(|id| known.members.unreachable(now, *id)).collect();
+            let unreachable =
+                suspects.iter().filter_map(|id| known.members.mark_unreachable(now, *id)).collect();
             self.apply(slot, unreachable);
         }
     }
@@ -115,7 +116,7 @@
             return false;
         }
         self.services.retain(|slot, _| current.contains(slot));
-        self.list.retain(&current);
+        self.list.retain_slots(&current);
         self.report_changes(false);
         self.update_stats();
         true
@@ -127,7 +128,7 @@
         if !self.first_reported && !due && !self.services.values().all(|known| known.answered) {
             return;
         }
-        let entries = self.list.changes();
+        let entries = self.list.take_changes();
         if !entries.is_empty() || !self.first_reported {
             self.generation += 1;
             // The first list with any entries replaces the whole one that the process before had.
@@ -147,12 +148,12 @@
                 BackendState::Draining => "drains",
                 BackendState::Gone => "gone",
             };
-            let why = change.reason.text();
+            let why = change.reason.as_str();
             info!(self.log, "a real server's state by Consul"; "id" => &change.name, "state" => state, "why" => why);
         }
         let more = changes.len().saturating_sub(if first { 0 } else { MAX_LOG_LINES });
         if more > 0 {
-            let ready = changes.iter().filter(|change| change.ready()).count();
+            let ready = changes.iter().filter(|change| change.is_ready()).count();
             info!(self.log, "Consul lists real servers"; "changed" => changes.len(), "ready" => ready);
         }
         self.list.apply(slot, changes);
@@ -180,9 +181,9 @@
             warn!(self.log, "consul entry passed over"; "id" => id, "key" => key);
         }
         known.faults = read.faults;
-        let (changes, confirm) = match known.members.health(now, read.seen) {
-            Step::Report(changes) => (changes, false),
-            Step::Confirm(changes) => (changes, true),
+        let (changes, confirm) = match known.members.apply_health(now, read.seen) {
+            HealthUpdate::Complete(changes) => (changes, false),
+            HealthUpdate::NeedsConfirmation(changes) => (changes, true),
         };
         self.update_stats();
         self.apply(slot, changes);
@@ -192,7 +193,7 @@
     /// Takes in that a query failed.
     pub(super) fn query_failed(&mut self, slot: Slot, at: SocketAddr, why: &str) {
         let Some(known) = self.services.get_mut(&slot) else { return };
-        known.members.query_has_failed();
+        known.members.set_query_failed();
         known.healthy_agent = None;
         // Logged once when it begins, and once when it ends.
         if !std::mem::replace(&mut known.silence_logged, true) {
--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -8,9 +8,9 @@
 pub mod read;
 
 use crate::backends::entries::{BackendList, TopologyNames};
+use crate::backends::membership::connection_failures::FailureMonitor;
 use crate::backends::membership::members::Members;
 use crate::backends::membership::merged_list::Slot;
-use crate::backends::membership::traffic::Witness;
 use crate::config::{Consul, Service, Ways};
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
@@ -51,7 +51,7 @@
     /// The seed of this instance's pauses, so that a fleet does not ask together.
     pub seed: u64,
     /// The failed connections of requests.
-    pub witness: Rc<Witness>,
+    pub witness: Rc<FailureMonitor>,
     /// The metrics.
     pub stats: Arc<Stats>,
     /// Counts of queries.
@@ -80,7 +80,7 @@
             tokio::select! {
                 () = self.deadlines.sleep((due - self.now()).clamp(0.0, FOREVER)) => {}
                 () = wake.notified() => {}
-                suspects = self.witness.suspects() => {
+                suspects = self.witness.wait_for_suspects() => {
                     book.borrow_mut().report_unreachable(self.now(), &suspects);
                 }
                 new = changed(&mut ways, &consul) => {
@@ -115,7 +115,7 @@
         before: Option<&Arc<Consul>>,
         consul: &Arc<Consul>,
     ) -> JoinSet<()> {
-        self.witness.suspect_after(consul.membership.unreachable_after);
+        self.witness.set_threshold(consul.membership.unreachable_after);
         let mut tasks = JoinSet::new();
         let mut open = book.borrow_mut();
         let slots_before = std::mem::take(&mut open.slots);
@@ -127,7 +127,7 @@
             known.answered = false;
             known.members.set_policy(consul.membership);
             if before.is_some_and(|before| has_changed(&before.services, service)) {
-                known.members.query_has_changed();
+                known.members.set_query_changed();
             }
             open.slots.insert(key, slot);
             let queries = Rc::new(self.queries(book.clone(), consul.clone(), service.clone(), slot));
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -4,8 +4,8 @@
 use super::book::ServiceBook;
 use super::{query, read};
 use crate::backends::entries::{BackendList, TopologyNames};
-use crate::backends::membership::asking::{AgentRotation, Cursor, QueryLimiter};
 use crate::backends::membership::merged_list::Slot;
+use crate::backends::membership::query_schedule::{AgentRotation, Cursor, QueryLimiter};
 use crate::config::{Consul, Service};
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
@@ -112,7 +112,7 @@
                         pacing.heard();
                         let mut book = self.book.borrow_mut();
                         let Some(known) = book.services.get_mut(&self.slot) else { return };
-                        let gone = known.members.catalogue(self.now(), round, &held);
+                        let gone = known.members.apply_catalogue(self.now(), round, &held);
                         let stay = known.members.len();
                         if !gone.is_empty() {
                             info!(self.log, "a mass withdrawal is confirmed by the catalogue"; "service" => &self.service.name, "gone" => gone.len(), "stay" => stay);
--- a/src/consul/query.rs
+++ b/src/consul/query.rs
@@ -1,6 +1,6 @@
 //! What is asked of an agent: the targets of queries.
 
-use crate::backends::membership::asking::Cursor;
+use crate::backends::membership::query_schedule::Cursor;
 use crate::config::{Consul, Service};
 use crate::interface::Millis;
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -118,9 +118,9 @@
         }
         .filter(|at| *at > 0.0),
     };
-    let registered = value.pointer("/Service/CreateIndex").and_then(Value::as_u64).unwrap_or(0);
+    let create_index = value.pointer("/Service/CreateIndex").and_then(Value::as_u64).unwrap_or(0);
     let entry = ServiceEntry { entry, address: Some(SocketAddr::new(host, port)) };
-    Ok(Observation { name, entry, registered, reason })
+    Ok(Observation { name, entry, create_index, reason })
 }
 
 #[cfg(test)]
--- a/src/consul/read/tests.rs
+++ b/src/consul/read/tests.rs
@@ -38,7 +38,7 @@
 fn an_instance_is_read_with_its_node_place_start_and_weight() {
     let seen = one(good());
     let BackendEntry { weight, zone, kind, cell, last_start, state, .. } = seen.entry.entry;
-    assert_eq!((seen.name.as_str(), seen.registered, seen.reason), ("n1/a", 7, Reason::Passing));
+    assert_eq!((seen.name.as_str(), seen.create_index, seen.reason), ("n1/a", 7, Reason::Passing));
     assert_eq!((weight, zone.0, kind.0, cell.0, last_start), (3.0, 1, 0, 4, Some(99.0)));
     assert_eq!((state, seen.entry.address), (BackendState::Ready, "127.0.0.1:80".parse().ok()));
     assert_eq!(one(with("/Service/Address", Some("".into()))).entry.address, "127.0.0.9:80".parse().ok());
@@ -59,11 +59,11 @@
         (check("_service_maintenance:a", "critical"), Reason::ServiceMaintenance),
     ] {
         let seen = one(with("/Checks/-", extra));
-        assert_eq!((seen.reason, seen.ready()), (why, matches!(why, Reason::Passing | Reason::Warning)));
+        assert_eq!((seen.reason, seen.is_ready()), (why, matches!(why, Reason::Passing | Reason::Warning)));
         assert_eq!(seen.entry.entry.weight, if why == Reason::Warning { 2.0 } else { 3.0 });
     }
     let none = one(with("/Service/Weights/Passing", Some(0.into())));
-    assert_eq!((none.reason, none.ready()), (Reason::NoWeight, false));
+    assert_eq!((none.reason, none.is_ready()), (Reason::NoWeight, false));
 }
 
 #[test]
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -10,7 +10,7 @@
 };
 use crate::interface::*;
 use crate::maintenance::Maintenance;
-use crate::membership::traffic::Witness;
+use crate::membership::connection_failures::FailureMonitor;
 use crate::state::Limiter;
 use crate::subset::Subset;
 use slog::{Logger, debug, info, warn};
@@ -39,7 +39,7 @@
     /// To the other ingresses, which real servers an operator takes out here or puts back, where they tell each other.
     pub said: Option<mpsc::UnboundedSender<LocalNotice>>,
     /// To the membership, how schedulings end, where it wants to know.
-    pub witness: Option<Rc<Witness>>,
+    pub witness: Option<Rc<FailureMonitor>>,
 }
 
 /// Bounds of the engine.
@@ -468,7 +468,7 @@
             _ => {}
         }
         if let Some(witness) = &self.outlets.witness {
-            witness.ended(ended.server, outcome);
+            witness.record(ended.server, outcome);
         }
         let closed = self.flows.get(&id).is_none_or(|flow| flow.client.is_none());
         let spent = ended.began.unwrap_or(self.now) - ended.sent;
--- a/src/node.rs
+++ b/src/node.rs
@@ -19,7 +19,7 @@
 use crate::fronts::platform;
 use crate::interface::{AttemptEnd, Millis};
 use crate::maintenance::{Maintenance, decode_disabled};
-use crate::membership::traffic::Witness;
+use crate::membership::connection_failures::FailureMonitor;
 use crate::net::budget::{Budget, Elsewhere};
 use crate::net::client_side::{Answer, ClientSide, Links, Question};
 use crate::net::counter::Counter;
@@ -206,7 +206,7 @@
         instance: &Instance,
         ways: &watch::Receiver<Ways>,
         known: Option<BackendList>,
-        (flows, witness): (usize, Option<Rc<Witness>>),
+        (flows, witness): (usize, Option<Rc<FailureMonitor>>),
         (peers, role): (Option<UdpSocket>, Role),
         log: &Logger,
     ) -> io::Result<Self> {
@@ -379,7 +379,7 @@
         instance: &Instance,
         consul: Arc<Consul>,
         ways: &watch::Receiver<Ways>,
-        witness: Rc<Witness>,
+        witness: Rc<FailureMonitor>,
         log: &Logger,
     ) {
         let watch = Watch {
@@ -461,7 +461,7 @@
     let leaving = (copy(listener.as_fd())?, peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?);
     let role = if link.is_some() { Role::Standby } else { Role::Active };
     let socket = peers.map(UdpSocket::from_std).transpose()?;
-    let witness = matches!(source, Source::Consul(_)).then(Rc::<Witness>::default);
+    let witness = matches!(source, Source::Consul(_)).then(Rc::<FailureMonitor>::default);
     let bounds = (flows, witness.clone());
     let mut core =
         Core::<Question, Answer>::start(&instance, &ways, known, bounds, (socket, role), &log).await?;
@@ -560,7 +560,7 @@
     let peers = peers.map(|at| bind_peers(&instance, at)).transpose()?;
     let peers = peers.map(UdpSocket::from_std).transpose()?;
     let alone = (peers, Role::Active);
-    let witness = Rc::<Witness>::default();
+    let witness = Rc::<FailureMonitor>::default();
     let bounds = (flows, Some(witness.clone()));
     let mut core = Core::<Check, Bytes>::start(&instance, &ways, None, bounds, alone, &log).await?;
     let (deadlines, exchange) = (core.deadlines.clone(), core.exchange.clone());
