--- a/emulator/src/members.rs
+++ b/emulator/src/members.rs
@@ -139,7 +139,7 @@
                         self.push(self.now + way as u64, to, Some((n, bytes)));
                     }
                 }
-                Action::Changed(id, before, state) => {
+                Action::StateChanged(id, before, state) => {
                     let lives = |state: Option<State>| state.is_some_and(|s| s <= State::Suspect);
                     let node = &mut self.nodes[n];
                     match (lives(before), lives(Some(state))) {
@@ -207,8 +207,12 @@
 }
 
 fn node(n: usize, count: usize, rng: &mut fastrand::Rng) -> Node {
-    let id =
-        Identity { name: format!("ingress-{n:04}"), number: n as u16, at: at(n), born: 1_000_000_000_000 };
+    let id = Identity {
+        name: format!("ingress-{n:04}"),
+        number: n as u16,
+        address: at(n),
+        started_at: 1_000_000_000_000,
+    };
     let seeds = [0, 1, 2, (n + 1) % count].map(at).to_vec();
     let fleet = FleetId { key: fleet_key("emulated"), size: count as u16 };
     let cluster = Cluster::new(id, fleet, seeds, Timing::default(), rng.u64(..), 1e12);
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -251,7 +251,7 @@
 
 /// Whether an ingress of this name is a member, or is drained by a notice.
 fn is_known(cluster: &Cluster, name: &str) -> bool {
-    cluster.me().name == name
+    cluster.local().name == name
         || cluster.members().any(|(identity, ..)| identity.name == name)
         || cluster.notices().is_active(&Subject::Ingress(name.to_owned()))
 }
--- a/src/cluster/detector.rs
+++ b/src/cluster/detector.rs
@@ -6,21 +6,21 @@
 use crate::interface::Millis;
 use std::net::SocketAddr;
 
-/// So many others are asked to probe a member that does not answer directly.
+/// The number of other members asked to probe a member that does not answer directly.
 const INDIRECT_PROBES: usize = 3;
-/// The view is compared with that of a random member in one round of so many.
+/// The view is compared with that of a random member once in this number of rounds.
 const SYNC_ROUNDS: u32 = 20;
-/// A dead member is pinged in one round of so many, so that a healed partition is noticed.
+/// A dead member is pinged once in this number of rounds, so that the end of a partition is noticed.
 const RECONNECT_ROUNDS: u32 = 4;
-/// A seed is asked again in one round of so many while too few members have answered.
+/// A seed is asked again once in this number of rounds while too few members have answered.
 const REJOIN_ROUNDS: u32 = 4;
-/// After a stall so many members must answer before the view counts again.
+/// The number of answers needed after a stall before the view counts as known again.
 const REJOIN_ACKS: usize = 3;
-/// What a stall adds to the health score.
+/// The amount that a stall adds to the health score.
 const STALL_PENALTY: u32 = 2;
-/// After a stall suspicions are extended by its length, up to so many suspicion timeouts.
+/// After a stall, suspicions are extended by its length, up to this number of suspicion timeouts.
 const MAX_EXTENSION: f64 = 10.0;
-/// Rounds and answers may take so many times longer where this instance is slow.
+/// The highest factor by which a high health score lengthens rounds and the wait for a direct answer.
 const MAX_SLOWDOWN: f64 = 3.0;
 
 /// The probe of the current round.
@@ -28,15 +28,15 @@
 pub(super) struct Probe {
     /// The name of the member that is probed.
     target: String,
-    /// The sequence number that its answer carries.
+    /// The sequence number of the ping, which the answer repeats.
     seq: u32,
-    /// It has answered.
+    /// Whether the member has answered.
     answered: bool,
-    /// When others are asked to probe it.
+    /// When other members are asked to probe it, in milliseconds.
     indirect_at: Millis,
-    /// Others were asked.
+    /// Whether other members were asked.
     indirect_sent: bool,
-    /// How many of them have said that it does not answer them either.
+    /// The number of those members that have got no answer from it either.
     nacks: u32,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Cluster {
-    /// When `tick` is due.
+    /// Returns when `tick` has to be called next, in milliseconds.
     pub fn due(&self) -> Millis {
         let indirect = self.probe.iter().filter(|probe| probe.awaits_indirect());
         let indirect = indirect.map(|probe| probe.indirect_at);
@@ -56,7 +56,7 @@
         indirect.chain(suspicions).chain(self.nacks_due()).fold(self.round_at, f64::min)
     }
 
-    /// Does what is due at this moment.
+    /// Does what is due now: probes members, ends suspicions and answers ping requests.
     pub fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.detect_stall(now, actions);
         if self.left {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Notices that this process stood still, by the gap since it last ran; to be called before anything else is done
-    /// with `now`.
+    /// Detects that this process was stalled, by how late it runs. Must be called before anything else is
+    /// done with `now`.
     pub fn detect_stall(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let gap = now - self.last_run;
         let late = now - self.due().max(self.last_run);
@@ -81,7 +81,7 @@
         if late <= self.timing.stall_threshold {
             return;
         }
-        // Answers that did not come during the stall say nothing about the others.
+        // Answers that are missing because of the stall say nothing about the other members.
         self.probe = None;
         self.relays.clear();
         self.round_at = now;
@@ -94,7 +94,7 @@
         self.request_view(actions);
     }
 
-    /// Asks one random member for its view, and pings some more.
+    /// Asks one random member for its view, and pings some others.
     fn request_view(&mut self, actions: &mut Vec<Action>) {
         let addresses = self.shuffled_live_addresses();
         for (i, address) in addresses.into_iter().take(2 * REJOIN_ACKS).enumerate() {
@@ -104,15 +104,15 @@
         }
     }
 
-    /// Asks others to probe the target of this round, once its direct answer is late.
+    /// Asks other members to probe the target of this round once its direct answer is late.
     fn probe_indirectly(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let late = |probe: &&mut Probe| probe.awaits_indirect() && now >= probe.indirect_at;
         let Some(probe) = self.probe.as_mut().filter(late) else { return };
         probe.indirect_sent = true;
         let (target, seq) = (probe.target.clone(), probe.seq);
-        let Some(address) = self.members.get(&target).map(|member| member.identity.at) else { return };
+        let Some(address) = self.members.get(&target).map(|member| member.identity.address) else { return };
         let others = self.members.alive().filter(|member| member.identity.name != target);
-        let mut helpers: Vec<SocketAddr> = others.map(|member| member.identity.at).collect();
+        let mut helpers: Vec<SocketAddr> = others.map(|member| member.identity.address).collect();
         self.rng.shuffle(&mut helpers);
         for helper in helpers.into_iter().take(INDIRECT_PROBES) {
             self.send(helper, Body::PingRequest(seq, address), actions);
@@ -120,7 +120,7 @@
         self.send(address, Body::Ping(seq), actions);
     }
 
-    /// Takes in the answer to a probe.
+    /// Handles the answer to a probe.
     pub(super) fn receive_ack(&mut self, seq: u32, actions: &mut Vec<Action>) {
         self.relay_ack(seq, actions);
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq && !probe.answered) {
@@ -133,7 +133,7 @@
         self.acks_needed = self.acks_needed.saturating_sub(1);
     }
 
-    /// Takes in that a helper has probed the target and got no answer yet.
+    /// Handles the report of a helper that the target has not answered it in time.
     pub(super) fn receive_nack(&mut self, seq: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) {
             probe.nacks += 1;
@@ -149,19 +149,19 @@
         self.members.forget(now, self.timing.retention, 2 * usize::from(self.fleet.size));
     }
 
-    /// A probe got no answer, directly or through others: its target is probed once more or suspected.
+    /// Handles a probe without an answer: the target is probed once more, or is suspected.
     fn fail_probe(&mut self, now: Millis, probe: Probe, actions: &mut Vec<Action>) {
         let healthy = self.health_score == 0;
         if probe.nacks == 0 {
-            // Not even the helpers were heard: the fault may be this instance's own.
+            // The helpers have not answered either, so the fault may be on this side.
             self.worsen_health(1);
         }
         let Some(member) = self.members.get_mut(&probe.target) else { return };
         if !member.state.is_live() {
             return;
         }
-        // Prevents a chance loss of datagrams from becoming a suspicion that all are told: where this instance hears
-        // others well, it probes the member once more first.
+        // A member is probed once more first if other members do answer this instance. Otherwise a random
+        // loss of datagrams would become a suspicion that spreads to the whole fleet.
         let may_retry = (probe.nacks > 0 || healthy) && member.state == State::Alive;
         if may_retry && !member.missed_probe {
             member.missed_probe = true;
@@ -172,13 +172,14 @@
         self.apply_claim(now, claim, Source::Local, actions);
     }
 
-    /// Pings each suspect that this instance has probed itself, so that it learns of the suspicion and can refute it.
+    /// Pings each suspect that this instance itself has probed, so that it receives the claim and can refute
+    /// it.
     fn ping_confirmed_suspects(&mut self, actions: &mut Vec<Action>) {
         let suspects = self
             .members
             .not_alive()
             .filter(|member| member.suspicion.is_some_and(|suspicion| suspicion.confirmed));
-        let addresses: Vec<SocketAddr> = suspects.map(|member| member.identity.at).collect();
+        let addresses: Vec<SocketAddr> = suspects.map(|member| member.identity.address).collect();
         for address in addresses {
             self.ping(address, actions);
         }
@@ -193,7 +194,7 @@
             self.ping_dead_member(actions);
         }
         let Some(target) = self.next_probe_target() else { return };
-        let Some(address) = self.members.get(&target).map(|member| member.identity.at) else { return };
+        let Some(address) = self.members.get(&target).map(|member| member.identity.address) else { return };
         let seq = self.next_seq();
         let indirect_at = now + self.timing.ack_timeout * slowdown;
         self.probe =
@@ -201,7 +202,8 @@
         self.send(address, Body::Ping(seq), actions);
     }
 
-    /// Asks a seed for its view until a member has sent one; later compares views with a random member now and then.
+    /// Asks a seed for its view until a member has sent one, or while answers are still needed after a stall.
+    /// Otherwise compares views with a random member once in `SYNC_ROUNDS` rounds.
     fn request_sync(&mut self, actions: &mut Vec<Action>) {
         let alone = self.members.live().next().is_none();
         let rejoin = self.acks_needed > 0 && self.rounds % REJOIN_ROUNDS == 1;
@@ -210,7 +212,7 @@
                 self.send(seed, Body::Join(0), actions);
             }
         } else if self.rounds.is_multiple_of(SYNC_ROUNDS) {
-            let alive: Vec<SocketAddr> = self.members.alive().map(|member| member.identity.at).collect();
+            let alive: Vec<SocketAddr> = self.members.alive().map(|member| member.identity.address).collect();
             if let Some(address) = self.rng.choice(&alive).copied() {
                 let checksums = self.bucket_checksums();
                 self.send(address, Body::Compare(checksums), actions);
@@ -220,13 +222,13 @@
 
     fn ping_dead_member(&mut self, actions: &mut Vec<Action>) {
         let dead = self.members.not_alive().filter(|member| member.state == State::Dead);
-        let addresses: Vec<SocketAddr> = dead.map(|member| member.identity.at).collect();
+        let addresses: Vec<SocketAddr> = dead.map(|member| member.identity.address).collect();
         if let Some(address) = self.rng.choice(&addresses).copied() {
             self.ping(address, actions);
         }
     }
 
-    /// The next live member in the order of probes, which is shuffled anew after each pass through all of them.
+    /// Returns the name of the next live member in the probe order, which is shuffled again after each pass.
     fn next_probe_target(&mut self) -> Option<String> {
         while let Some(name) = self.probe_order.pop_front() {
             if self.members.is_live(&name) {
@@ -239,18 +241,19 @@
         self.probe_order.pop_front()
     }
 
-    /// Pings a member outside the rounds; nothing follows where it does not answer.
+    /// Pings a member outside the rounds; a missing answer has no consequences.
     fn ping(&mut self, address: SocketAddr, actions: &mut Vec<Action>) {
         let seq = self.next_seq();
         self.send(address, Body::Ping(seq), actions);
     }
 
+    /// Returns a new sequence number.
     pub(super) fn next_seq(&mut self) -> u32 {
         self.seq = self.seq.wrapping_add(1);
         self.seq
     }
 
-    /// Raises the health score, which makes this instance slower to blame others.
+    /// Raises the health score, so that this instance is slower to suspect others.
     pub(super) fn worsen_health(&mut self, by: u32) {
         self.health_score = (self.health_score + by).min(MAX_HEALTH_SCORE);
     }
--- a/src/cluster/member_table.rs
+++ b/src/cluster/member_table.rs
@@ -1,4 +1,4 @@
-//! The other members of the fleet, with the indexes that are kept beside them.
+//! The table of the other members of the fleet, and its indexes.
 
 use super::packet::{Claim, Identity, State};
 use super::suspicion::Suspicion;
@@ -6,91 +6,92 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of another member.
+/// Another member of the fleet.
 #[derive(Debug, Clone)]
 pub(super) struct Member {
-    /// Which process it is.
+    /// The member's process.
     pub(super) identity: Identity,
-    /// Its incarnation, which it raises to refute a suspicion.
+    /// The member's incarnation, which it raises to refute a suspicion.
     pub(super) incarnation: u32,
-    /// Its state.
+    /// The member's state.
     pub(super) state: State,
-    /// When it came into that state.
+    /// When the member entered this state, in milliseconds.
     pub(super) since: Millis,
-    /// The suspicion that it is under.
+    /// The suspicion, if the member is suspect.
     pub(super) suspicion: Option<Suspicion>,
-    /// How many more datagrams carry the claim about it.
+    /// The number of further datagrams that carry the claim about it.
     pub(super) retransmits: u32,
-    /// The last probe got no answer, directly or through others; the next one decides.
+    /// Whether the last probe got no answer, neither directly nor through other members. Another such probe
+    /// makes the member suspect.
     pub(super) missed_probe: bool,
 }
 
 impl Member {
-    /// The claim that passes on what is known of it.
+    /// Returns the claim that gossips the member's state.
     pub(super) fn claim(&self) -> Claim {
         Claim { member: self.identity.clone(), incarnation: self.incarnation, state: self.state }
     }
 }
 
-/// All other members by name.
+/// All other known members, by name.
 #[derive(Debug, Clone, Default)]
 pub(super) struct MemberTable {
     members: BTreeMap<String, Member>,
-    /// Which name holds a number, among the live members.
+    /// The name of the live member with each number.
     numbers: BTreeMap<u16, String>,
-    /// The names of those that are suspect, dead or left.
+    /// The names of the members that are suspect, dead or left.
     not_alive: BTreeSet<String>,
-    /// The names of those whose claim is still to be sent, the least sent first.
+    /// The names of the members whose claims are still to be sent, the least sent first.
     gossip_queue: BTreeSet<(Reverse<u32>, String)>,
 }
 
 impl MemberTable {
-    /// How many members are known, in any state.
+    /// Returns the number of known members, in any state.
     pub(super) fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no other member is known.
+    /// Returns whether no other member is known.
     pub(super) fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The member of a name.
+    /// Returns the member of this name.
     pub(super) fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// The member of a name, for changes that no index depends on.
+    /// Returns the member of this name, for changes that no index depends on.
     pub(super) fn get_mut(&mut self, name: &str) -> Option<&mut Member> {
         self.members.get_mut(name)
     }
 
-    /// All members, in the order of their names.
+    /// Iterates over all members, ordered by name.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The members that are alive or suspect, in the order of their names.
+    /// Iterates over the members that are alive or suspect, ordered by name.
     pub(super) fn live(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.state.is_live())
     }
 
-    /// The members that are alive and not suspect, in the order of their names.
+    /// Iterates over the members that are alive and not suspect, ordered by name.
     pub(super) fn alive(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.state == State::Alive)
     }
 
-    /// The members that are suspect, dead or left, in the order of their names.
+    /// Iterates over the members that are suspect, dead or left, ordered by name.
     pub(super) fn not_alive(&self) -> impl Iterator<Item = &Member> {
         self.not_alive.iter().filter_map(|name| self.members.get(name))
     }
 
-    /// Whether a name is that of a live member.
+    /// Returns whether the member of this name is live.
     pub(super) fn is_live(&self, name: &str) -> bool {
         self.get(name).is_some_and(|member| member.state.is_live())
     }
 
-    /// The name of the live member that holds a number.
+    /// Returns the name of the live member with this number.
     pub(super) fn holder_of(&self, number: u16) -> Option<&str> {
         self.numbers.get(&number).map(String::as_str)
     }
@@ -111,7 +112,7 @@
         self.update_indexes(&name);
     }
 
-    /// Replaces what is known of a member by a newer claim; returns the state before.
+    /// Updates a member from a newer claim. Returns its previous state, or `None` if it is not known.
     pub(super) fn update(
         &mut self,
         now: Millis,
@@ -120,23 +121,23 @@
     ) -> Option<State> {
         let name = claim.member.name.clone();
         let member = self.members.get_mut(&name)?;
-        let number_before = member.identity.number;
-        let state_before = member.state;
-        if state_before != claim.state {
+        let previous_number = member.identity.number;
+        let previous_state = member.state;
+        if previous_state != claim.state {
             member.since = now;
         }
         member.identity = claim.member;
         member.incarnation = claim.incarnation;
         member.state = claim.state;
         member.suspicion = suspicion;
-        if self.holder_of(number_before) == Some(&name) {
-            self.numbers.remove(&number_before);
+        if self.holder_of(previous_number) == Some(&name) {
+            self.numbers.remove(&previous_number);
         }
         self.update_indexes(&name);
-        Some(state_before)
+        Some(previous_state)
     }
 
-    /// Brings the indexes up to date with a member's state.
+    /// Updates the indexes after a change of the member of this name.
     fn update_indexes(&mut self, name: &str) {
         let Some(member) = self.members.get(name) else { return };
         if member.state.is_live() {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Sets how many more datagrams carry the claim about a member.
+    /// Sets the number of further datagrams that carry the claim about a member.
     pub(super) fn set_retransmits(&mut self, name: &str, retransmits: u32) {
         let Some(member) = self.members.get_mut(name) else { return };
         let before = std::mem::replace(&mut member.retransmits, retransmits);
@@ -159,20 +160,20 @@
         }
     }
 
-    /// The first names whose claims are due to be sent, the least sent first.
+    /// Returns up to `limit` names of members whose claims are still to be sent, the least sent first.
     pub(super) fn due_for_gossip(&self, limit: usize) -> Vec<String> {
         self.gossip_queue.iter().take(limit).map(|(_, name)| name.clone()).collect()
     }
 
-    /// Gives every suspicion until this moment to be refuted.
+    /// Moves the expiry of every suspicion to this time, in milliseconds.
     pub(super) fn extend_suspicions(&mut self, until: Millis) {
         for suspicion in self.members.values_mut().filter_map(|member| member.suspicion.as_mut()) {
             suspicion.expires_at = until;
         }
     }
 
-    /// Forgets members that have been dead or left for longer than `retention`, and the oldest of those while more than
-    /// `capacity` members are known.
+    /// Removes members that have been dead or left for longer than `retention`, and the oldest of these while
+    /// more than `capacity` members are known.
     pub(super) fn forget(&mut self, now: Millis, retention: Millis, capacity: usize) {
         let before = self.members.len();
         self.members.retain(|_, member| member.state.is_live() || now - member.since < retention);
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! Membership of the fleet's ingresses: SWIM with refutable suspicion, and Lifeguard's local health score for slow
-//! machines. Apart from `transport` it has no clock, socket or thread of its own; `docs/cluster.md` tells why it is as
-//! it is.
+//! Membership of the fleet's ingresses: SWIM with refutable suspicion, and Lifeguard's local health score for
+//! slow machines. No clock and no I/O, apart from `transport`. The design is explained in `docs/cluster.md`.
 //!
-//! Sources: Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style process group membership protocol"
-//! (2002); Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection" (2018).
+//! Sources: Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style process group membership
+//! protocol" (2002); Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure
+//! detection" (2018).
 
 mod detector;
 mod gossip;
@@ -32,15 +32,16 @@
 /// The intervals and timeouts of the protocol, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Timing {
-    /// One member is probed in each interval.
+    /// The time between two rounds, in each of which one member is probed.
     pub probe_interval: Millis,
-    /// A direct answer may take so long before others are asked to probe.
+    /// How long to wait for a direct answer to a probe before other members are asked to probe too.
     pub ack_timeout: Millis,
-    /// A suspect may refute for so long, where the fleet is small and this instance healthy.
+    /// How long a suspect has to refute the suspicion, in a small fleet and while this instance is healthy.
     pub suspicion_timeout: Millis,
-    /// An instance that stood still for longer asks others before it trusts its view again.
+    /// How late this process must run to count as stalled; after a stall it does not rely on its view until
+    /// other members have answered.
     pub stall_threshold: Millis,
-    /// Dead members and those that have left are remembered for so long.
+    /// How long members that are dead or have left are remembered.
     pub retention: Millis,
 }
 
@@ -56,54 +57,58 @@
     }
 }
 
-/// The highest health score, 0 being healthy: rounds and timeouts grow with it.
+/// The highest local health score. 0 is healthy; rounds and timeouts become longer with the score.
 const MAX_HEALTH_SCORE: u32 = 6;
 
-/// Which fleet an instance belongs to.
+/// Identifies the fleet that an instance belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetId {
-    /// The key of its name: [`packet::fleet_key`].
+    /// The key of the fleet's name; see [`packet::fleet_key`].
     pub key: u64,
-    /// How many ingresses it may have: their numbers are below this.
+    /// The highest number of ingresses; the number of each is below this.
     pub size: u16,
 }
 
-/// What the caller is to do, or to know.
+/// Something for the caller to do, or an event for it to handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send this datagram.
+    /// Send a datagram to this address.
     Send(SocketAddr, Vec<u8>),
-    /// A member has changed its state: from the first, where it was known before, to the second.
-    Changed(Identity, Option<State>, State),
-    /// Another process has this one's name or number.
+    /// The state of a member has changed: from the first state, `None` if the member was not known before, to
+    /// the second.
+    StateChanged(Identity, Option<State>, State),
+    /// Another process uses the name or the number of this one.
     Conflict(Identity),
-    /// This process stood still for so long.
+    /// This process has not run for this time, in milliseconds.
     Stalled(Millis),
-    /// A notice that was published at another instance is active from now on, or has ended.
+    /// A notice of another instance has become active (true) or has ended (false).
     NoticeChanged(Subject, bool),
 }
 
-/// How many datagrams were sent, received and dropped, and why.
+/// Counts of datagrams sent, received and dropped, and of claims rejected and refuted, since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams received and read.
+    /// Datagrams received and decoded.
     pub received: u64,
-    /// Datagrams dropped since they could not be read.
+    /// Datagrams dropped because they could not be decoded.
     pub malformed: u64,
-    /// Datagrams dropped since they were another fleet's.
+    /// Datagrams dropped because they belong to another fleet.
     pub foreign: u64,
-    /// Claims dropped: of a number outside the fleet, or of a name or number that another member holds.
+    /// Claims rejected because the number is outside the fleet, or because another member has the name or
+    /// number; also datagrams from a process with this one's name or number.
     pub rejected: u64,
-    /// Claims about this instance that it refuted.
+    /// Claims about this instance that it has refuted.
     pub refuted: u64,
 }
 
-/// What an instance knows of its fleet.
+/// The membership state of this instance: its view of the fleet, its probes and the operators' notices.
 #[derive(Debug, Clone)]
 pub struct Cluster {
-    me: Identity,
+    /// This instance.
+    local: Identity,
+    /// The incarnation of this instance, raised to refute suspicions.
     incarnation: u32,
     fleet: FleetId,
     seeds: Vec<SocketAddr>,
@@ -114,37 +119,41 @@
     probe_order: VecDeque<String>,
     /// The probe of the current round.
     probe: Option<Probe>,
-    /// When the next round begins.
+    /// When the next round begins, in milliseconds.
     round_at: Millis,
+    /// The number of rounds so far, wrapping around.
     rounds: u32,
-    /// The last sequence number that was given out.
+    /// The last sequence number used.
     seq: u32,
-    /// Probes on behalf of others, by their sequence numbers here.
+    /// Probes on behalf of other members, by the sequence number of this instance's ping.
     relays: BTreeMap<u32, Relay>,
+    /// The local health score, from 0 for healthy to `MAX_HEALTH_SCORE`.
     health_score: u32,
-    /// When this instance last did anything.
+    /// When this instance last ran, in milliseconds.
     last_run: Millis,
-    /// Answers that are needed before the view counts, since the start or a stall.
+    /// The number of answers still needed, after the start or a stall, before the view counts as known.
     acks_needed: usize,
-    /// When the view was last sent to anybody.
+    /// When the full view was last sent to any member, in milliseconds.
     view_synced_at: Millis,
-    /// Another member has sent its view.
+    /// Whether another member has sent its view.
     synced: bool,
-    /// How many more datagrams carry the claim about this instance.
+    /// The number of further datagrams that carry the claim about this instance.
     own_retransmits: u32,
+    /// Whether this instance has left the fleet.
     left: bool,
-    /// The last process with this one's name or number that was reported.
+    /// The last process reported for using this one's name or number.
     conflict: Option<Identity>,
     notices: Notices,
-    /// When all notices were last sent to anybody.
+    /// When all notices were last sent to any member, in milliseconds.
     notices_synced_at: Millis,
     counts: Counts,
 }
 
 impl Cluster {
-    /// An instance that has just started in this fleet, and joins it by any of the seeds. `seed` is for random numbers.
+    /// Creates the state of an instance that starts now and joins the fleet through any of the `seeds`.
+    /// `seed` initializes the random numbers.
     pub fn new(
-        me: Identity,
+        local: Identity,
         fleet: FleetId,
         seeds: Vec<SocketAddr>,
         timing: Timing,
@@ -152,11 +161,11 @@
         now: Millis,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let seeds = seeds.into_iter().filter(|at| *at != me.at).collect();
+        let seeds = seeds.into_iter().filter(|address| *address != local.address).collect();
         let seq = rng.u32(..);
         let round_at = now + rng.f64() * timing.probe_interval;
         Self {
-            me,
+            local,
             incarnation: 0,
             fleet,
             seeds,
@@ -183,17 +192,17 @@
         }
     }
 
-    /// This instance.
-    pub fn me(&self) -> &Identity {
-        &self.me
+    /// Returns the identity of this instance.
+    pub fn local(&self) -> &Identity {
+        &self.local
     }
 
-    /// What was sent, received and dropped.
+    /// Returns the counts of datagrams and claims.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The notices of operators that are known.
+    /// Returns the operators' notices that this instance knows.
     pub fn notices(&self) -> &Notices {
         &self.notices
     }
--- a/src/cluster/notices.rs
+++ b/src/cluster/notices.rs
@@ -1,6 +1,6 @@
-//! Operators' notices, which all ingresses follow: backends that are disabled, ingresses that are drained. The latest
-//! notice of a subject replaces earlier ones. An end is a notice too, so that an instance that was away does not bring
-//! back what has ended. No I/O; `docs/cluster.md` tells why it is as it is.
+//! Operators' notices, which all ingresses follow: disabled backends and drained ingresses. The latest notice
+//! of a subject replaces earlier ones. Ended notices are kept too, so that an instance that was unreachable
+//! does not bring one back. No I/O. The design is explained in `docs/cluster.md`.
 
 use crate::interface::Millis;
 use serde::{Deserialize, Serialize};
@@ -9,53 +9,56 @@
 
 /// The longest name of a subject, in bytes.
 pub const MAX_SUBJECT: usize = 96;
-/// So many subjects are kept; ended notices go first, the oldest before the others.
+/// The most notices kept. Beyond it ended notices are dropped first, and of these the oldest.
 pub const MAX_NOTICES: usize = 1024;
-/// Notices from further in the future are rejected, as no later notice could end them. In milliseconds.
+/// How far a notice may be dated in the future, in milliseconds. Others are rejected: they could not be
+/// ended, as a notice that ends one must be later.
 const MAX_CLOCK_LEAD: u64 = 24 * 3_600_000;
-/// So much of a datagram may be notices, in bytes.
+/// The most that notices may take in a datagram, in bytes.
 const DATAGRAM_BUDGET: usize = 420;
-/// What a notice takes in a datagram beside its subject's name, in bytes, at most.
-const OVERHEAD: usize = 18;
+/// The most that a notice takes in a datagram in addition to its subject's name, in bytes.
+const NOTICE_OVERHEAD: usize = 18;
 
-/// What a notice is about.
+/// The subject of a notice.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Subject {
-    /// A backend is disabled; its id in the list.
-    Server(String),
-    /// An ingress is drained; its name.
+    /// A backend that is disabled, by its name.
+    Backend(String),
+    /// An ingress that is drained, by its name.
     Ingress(String),
 }
 
 impl Subject {
     fn name(&self) -> &str {
-        let (Self::Server(name) | Self::Ingress(name)) = self;
+        let (Self::Backend(name) | Self::Ingress(name)) = self;
         name
     }
 }
 
-/// A notice of an operator.
+/// A notice from an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Notice {
-    /// What it is about.
+    /// The backend or ingress that the notice is about.
     pub subject: Subject,
-    /// It is in force, or has ended.
+    /// Whether the notice is active; otherwise it has ended.
     pub active: bool,
-    /// When it was issued, in Unix milliseconds, and later than all that its issuer knew. 0 where nobody knows.
+    /// When the notice was issued, in Unix milliseconds; always later than all notices that its issuer knew.
+    /// 0 if unknown.
     pub issued_at: u64,
-    /// The number of the ingress where it was issued.
+    /// The number of the ingress where the notice was issued.
     pub origin: u16,
 }
 
 impl Notice {
-    /// Whether it replaces another notice of the same subject. Of two at one moment and ingress, the end wins.
+    /// Returns whether this notice replaces another one of the same subject: the later one wins, then the
+    /// higher origin, then the ended one.
     fn overrides(&self, other: &Self) -> bool {
         (self.issued_at, self.origin, !self.active) > (other.issued_at, other.origin, !other.active)
     }
 
-    /// Its length in a datagram, in bytes, at most.
+    /// Returns an upper bound of the notice's length in a datagram, in bytes.
     pub(super) fn encoded_len(&self) -> usize {
-        self.subject.name().len() + OVERHEAD
+        self.subject.name().len() + NOTICE_OVERHEAD
     }
 
     fn is_valid(&self) -> bool {
@@ -63,19 +66,20 @@
     }
 }
 
-/// What this instance has to tell the others.
+/// A notice that starts at this instance and is to be passed to the others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LocalNotice {
-    /// An operator has called here: the notice is active from now on, or has ended.
+    /// An operator's call at this instance: the notice becomes active (true) or ends (false).
     Published(Subject, bool),
-    /// Backends that were disabled when this process started.
+    /// The names of the backends that were disabled when this process started.
     Restored(Vec<String>),
 }
 
+/// A notice and how often it is still to be sent.
 #[derive(Debug, Clone)]
 struct Entry {
     notice: Notice,
-    /// How many more datagrams carry it.
+    /// The number of further datagrams that carry the notice.
     retransmits: u32,
 }
 
@@ -83,20 +87,22 @@
 #[derive(Debug, Clone, Default)]
 pub struct Notices {
     entries: BTreeMap<Subject, Entry>,
-    /// The latest moment of issue that was seen.
-    latest: u64,
+    /// The latest time of issue of all notices seen, in Unix milliseconds.
+    latest_issued_at: u64,
+    /// The checksum of all entries; 0 if there are none.
     digest: u32,
+    /// The number of notices that were rejected.
     rejected: u64,
 }
 
 impl Notices {
-    /// Issues a notice at the ingress of this number.
+    /// Issues a notice at this ingress, whose number is `origin`.
     pub fn publish(&mut self, now: Millis, origin: u16, subject: Subject, active: bool, retransmits: u32) {
-        let issued_at = (now as u64).max(self.latest.saturating_add(1));
+        let issued_at = (now as u64).max(self.latest_issued_at.saturating_add(1));
         self.insert(Notice { subject, active, issued_at, origin }, retransmits);
     }
 
-    /// Restores an active notice of which nobody knows when it was issued, unless another one of the subject is known;
+    /// Restores an active notice with an unknown time of issue, unless a notice of the subject is known;
     /// returns whether it did.
     pub fn restore(&mut self, origin: u16, subject: Subject, retransmits: u32) -> bool {
         let notice = Notice { subject, active: true, issued_at: 0, origin };
@@ -107,7 +113,8 @@
         new
     }
 
-    /// Applies a notice of another ingress; returns whether its subject has become active or has ended by it.
+    /// Applies a notice from another ingress; returns whether the subject's notice has become active or has
+    /// ended by it.
     pub fn apply(&mut self, now: Millis, notice: Notice, retransmits: u32) -> bool {
         if !notice.is_valid() || notice.issued_at > now as u64 + MAX_CLOCK_LEAD {
             self.rejected += 1;
@@ -124,7 +131,7 @@
     }
 
     fn insert(&mut self, notice: Notice, retransmits: u32) {
-        self.latest = self.latest.max(notice.issued_at);
+        self.latest_issued_at = self.latest_issued_at.max(notice.issued_at);
         self.entries.insert(notice.subject.clone(), Entry { notice, retransmits });
         while self.entries.len() > MAX_NOTICES {
             let oldest = self.iter().min_by_key(|notice| (notice.active, notice.issued_at));
@@ -134,22 +141,23 @@
         self.digest = self.checksum();
     }
 
-    /// Whether a notice of this subject is active.
+    /// Returns whether a notice of this subject is active.
     pub fn is_active(&self, subject: &Subject) -> bool {
         self.entries.get(subject).is_some_and(|entry| entry.notice.active)
     }
 
-    /// All notices, in the order of their subjects.
+    /// Iterates over all notices, ordered by subject.
     pub fn iter(&self) -> impl Iterator<Item = &Notice> {
         self.entries.values().map(|entry| &entry.notice)
     }
 
-    /// How many notices were rejected.
+    /// Returns the number of notices that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// A checksum of all notices, equal wherever the same are known; 0 for none.
+    /// Returns a checksum of all notices, the same at each ingress with the same notices; 0 if there are
+    /// none.
     pub fn digest(&self) -> u32 {
         self.digest
     }
@@ -169,7 +177,7 @@
         hasher.finalize().max(1)
     }
 
-    /// The notices for the next datagram, those that were sent least first.
+    /// Returns the notices for the next datagram, those that were sent least first, and counts them as sent.
     pub fn next_batch(&mut self) -> Vec<Notice> {
         let mut due: Vec<&mut Entry> =
             self.entries.values_mut().filter(|entry| entry.retransmits > 0).collect();
@@ -177,15 +185,15 @@
         let mut budget = DATAGRAM_BUDGET;
         let mut batch = Vec::new();
         for entry in due {
-            let Some(left) = budget.checked_sub(entry.notice.encoded_len()) else { break };
-            budget = left;
+            let Some(remaining) = budget.checked_sub(entry.notice.encoded_len()) else { break };
+            budget = remaining;
             entry.retransmits -= 1;
             batch.push(entry.notice.clone());
         }
         batch
     }
 
-    /// All notices in batches, each for one datagram.
+    /// Returns all notices in batches that each fit into one datagram.
     pub fn batches(&self) -> Vec<Vec<Notice>> {
         let mut batches = Vec::new();
         let mut batch = Vec::new();
@@ -205,17 +213,17 @@
     }
 }
 
-/// Begins a file of notices; the last byte is the version.
+/// The first bytes of a file of notices; the last byte is the version.
 const MAGIC: [u8; 4] = *b"whn\x01";
 
-/// The content of a file of notices.
+/// Encodes the content of a file of notices.
 pub fn encode(notices: &Notices) -> Vec<u8> {
     let all: Vec<&Notice> = notices.iter().collect();
     let body = postcard::to_allocvec(&all).unwrap_or_default();
     [&MAGIC[..], &crc32fast::hash(&body).to_be_bytes(), &body].concat()
 }
 
-/// The notices of a file; none where it is truncated, corrupt or of another version.
+/// Decodes a file of notices; returns `None` if it is truncated, corrupt or of another version.
 pub fn decode(bytes: &[u8]) -> Option<Vec<Notice>> {
     let (checksum, body) = bytes.strip_prefix(&MAGIC)?.split_first_chunk::<4>()?;
     if crc32fast::hash(body) != u32::from_be_bytes(*checksum) {
--- a/src/cluster/packet.rs
+++ b/src/cluster/packet.rs
@@ -1,90 +1,92 @@
-//! The datagrams of the membership protocol, which are read whole or not at all.
+//! The datagrams of the membership protocol and their encoding.
 
 use super::notices::Notice;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest datagram, in bytes: short enough to pass any path without fragmentation.
+/// The longest datagram, in bytes; short enough to avoid IP fragmentation on any path.
 pub const MAX_DATAGRAM: usize = 1200;
 /// The longest name of an instance, in bytes.
 pub const MAX_NAME: usize = 48;
-/// Begins each datagram; the last byte is the version.
+/// The first bytes of a datagram without notices; the last byte is the version.
 const MAGIC: [u8; 4] = *b"whc\x01";
-/// The same where notices follow. Datagrams without any keep the first form, which older versions can read.
+/// The first bytes of a datagram that may carry notices, or a message that version 1 does not have. All other
+/// datagrams keep version 1, which older programs can decode.
 const MAGIC_WITH_NOTICES: [u8; 4] = *b"whc\x02";
 /// The length of magic, fleet key and checksum, in bytes.
 const HEADER: usize = 4 + 8 + 4;
 
-/// One process of the fleet.
+/// Identifies one process of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, unique in the fleet.
+    /// The ingress's name, unique in the fleet.
     pub name: String,
-    /// Its number among the ingresses, from 0.
+    /// The ingress's number, from 0, unique in the fleet.
     pub number: u16,
     /// The address that its datagrams come from.
-    pub at: SocketAddr,
-    /// When it started, in Unix milliseconds: a restart has a later one.
-    pub born: u64,
+    pub address: SocketAddr,
+    /// When the process started, in Unix milliseconds; orders the processes of one name.
+    pub started_at: u64,
 }
 
-/// The state of a member; of two claims with equal versions the later one in this order wins.
+/// The state of a member. Of two claims with equal versions the one whose state is later in this order wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It did not answer somebody's probes, and may refute that.
+    /// The member has not answered another member's probes, and can still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member has not refuted a suspicion in time.
     Dead,
-    /// It left by itself.
+    /// The member has announced that it leaves.
     Left,
 }
 
-/// What somebody claims about a member.
+/// A claim that a member is in a certain state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
     /// The member.
     pub member: Identity,
-    /// The member's incarnation, which it alone raises, to refute.
+    /// The member's incarnation; only the member itself raises it, to refute a claim.
     pub incarnation: u32,
-    /// The state that it is claimed to be in.
+    /// The claimed state.
     pub state: State,
 }
 
 impl State {
-    /// Whether the member takes part: alive or suspect.
+    /// Returns whether a member in this state takes part in the fleet: it is alive or suspect.
     pub fn is_live(self) -> bool {
         self <= Self::Suspect
     }
 }
 
 impl Claim {
-    /// Whether this replaces what is known of a member of the same name: a later start, then a higher incarnation, then
-    /// the later state.
-    pub fn overrides(&self, born: u64, incarnation: u32, state: State) -> bool {
-        (self.member.born, self.incarnation, self.state) > (born, incarnation, state)
+    /// Returns whether this claim replaces what is known of the member. The later start wins, then the higher
+    /// incarnation, then the later state.
+    pub fn overrides(&self, started_at: u64, incarnation: u32, state: State) -> bool {
+        (self.member.started_at, self.incarnation, self.state) > (started_at, incarnation, state)
     }
 }
 
-/// The message of a datagram. The numbers are sequence numbers, which answers repeat.
+/// The message of a datagram. The number in a ping or ping request is a sequence number, which the answer
+/// repeats.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
     /// Asks for an `Ack`.
     Ping(u32),
-    /// Answers a probe.
+    /// Answers a probe, or with 0 a `Join` or `Compare`.
     Ack(u32),
-    /// Asks the receiver to ping that address, and to pass the answer on.
+    /// Asks the receiver to ping this address and to forward the answer.
     PingRequest(u32, SocketAddr),
-    /// Answers a `PingRequest` whose target has not answered yet.
+    /// Answers a `PingRequest` whose target has not answered in time.
     Nack(u32),
-    /// Asks for the receiver's whole view, unless its digest is this one.
+    /// Asks for the receiver's full view, unless it has this digest.
     Join(u64),
-    /// Brings the claims of a view, as an answer to `Join` or `Compare`.
-    News,
-    /// Brings notices only.
+    /// Carries claims of the sender's view, in answer to `Join` or `Compare`, or when the sender leaves.
+    View,
+    /// Carries notices, and expects no answer.
     Notices,
-    /// Asks for the part of the receiver's view whose bucket checksums are not these.
+    /// Asks for the members in those buckets of the receiver's view whose checksums differ from these.
     Compare(Vec<u32>),
 }
 
@@ -99,42 +101,44 @@
     pub body: Body,
     /// Claims about others, or about the sender.
     pub claims: Vec<Claim>,
-    /// Operators' notices.
+    /// Operators' notices; encoded apart from the other fields.
     #[serde(skip)]
     pub notices: Vec<Notice>,
-    /// The digest of all notices that the sender knows; 0 for none.
+    /// The digest of all notices that the sender knows; 0 if it knows none. Encoded apart from the other
+    /// fields.
     #[serde(skip)]
-    pub digest: u32,
+    pub notices_digest: u32,
 }
 
 /// Why a datagram is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketError {
-    /// It is truncated, corrupt, too long or of another version.
+    /// The datagram is truncated, corrupt, too long or of an unknown version.
     Malformed,
-    /// It is another fleet's.
+    /// The datagram belongs to another fleet.
     ForeignFleet,
 }
 
-/// The key of a fleet, by its name, which tells its datagrams from those of other fleets.
+/// Returns the key of the fleet of this name. Each datagram carries it, so that datagrams of other fleets are
+/// recognized.
 pub fn fleet_key(name: &str) -> u64 {
-    let part = |salt: &[u8]| {
+    let half = |salt: &[u8]| {
         let mut hasher = crc32fast::Hasher::new();
         hasher.update(salt);
         hasher.update(name.as_bytes());
         u64::from(hasher.finalize())
     };
-    part(b"a") << 32 | part(b"b")
+    half(b"a") << 32 | half(b"b")
 }
 
 impl Packet {
-    /// Its bytes; none where it is too long.
-    pub fn write(&self, fleet: u64) -> Option<Vec<u8>> {
+    /// Encodes the datagram; returns `None` if it is too long.
+    pub fn encode(&self, fleet: u64) -> Option<Vec<u8>> {
         let mut body = postcard::to_allocvec(self).ok()?;
-        let old = !matches!(self.body, Body::Notices | Body::Compare(_));
-        let plain = self.digest == 0 && self.notices.is_empty() && old;
+        let version_1_body = !matches!(self.body, Body::Notices | Body::Compare(_));
+        let plain = self.notices_digest == 0 && self.notices.is_empty() && version_1_body;
         if !plain {
-            body.extend_from_slice(&postcard::to_allocvec(&(&self.notices, self.digest)).ok()?);
+            body.extend_from_slice(&postcard::to_allocvec(&(&self.notices, self.notices_digest)).ok()?);
         }
         let mut bytes = Vec::with_capacity(HEADER + body.len());
         bytes.extend_from_slice(if plain { &MAGIC } else { &MAGIC_WITH_NOTICES });
@@ -144,11 +148,11 @@
         (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// [`PacketError`] for whatever is not a whole datagram of this fleet.
-    pub fn read(bytes: &[u8], fleet: u64) -> Result<Self, PacketError> {
+    /// Returns [`PacketError`] if the bytes are not a complete datagram of this fleet.
+    pub fn decode(bytes: &[u8], fleet: u64) -> Result<Self, PacketError> {
         let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(PacketError::Malformed)?;
         let (key, rest) = rest.split_first_chunk::<8>().ok_or(PacketError::Malformed)?;
         let (sum, body) = rest.split_first_chunk::<4>().ok_or(PacketError::Malformed)?;
@@ -162,15 +166,15 @@
         if u64::from_be_bytes(*key) != fleet {
             return Err(PacketError::ForeignFleet);
         }
-        let (mut packet, mut left) =
+        let (mut packet, mut rest) =
             postcard::take_from_bytes::<Self>(body).map_err(|_| PacketError::Malformed)?;
         if !plain {
-            ((packet.notices, packet.digest), left) =
-                postcard::take_from_bytes(left).map_err(|_| PacketError::Malformed)?;
+            ((packet.notices, packet.notices_digest), rest) =
+                postcard::take_from_bytes(rest).map_err(|_| PacketError::Malformed)?;
         }
         let is_valid = |id: &Identity| !id.name.is_empty() && id.name.len() <= MAX_NAME;
-        let all = is_valid(&packet.from) && packet.claims.iter().all(|claim| is_valid(&claim.member));
-        (left.is_empty() && all).then_some(packet).ok_or(PacketError::Malformed)
+        let names_valid = is_valid(&packet.from) && packet.claims.iter().all(|claim| is_valid(&claim.member));
+        (rest.is_empty() && names_valid).then_some(packet).ok_or(PacketError::Malformed)
     }
 }
 
--- a/src/cluster/receive.rs
+++ b/src/cluster/receive.rs
@@ -1,4 +1,4 @@
-//! What is received: a datagram is read, the claims and notices that it carries are applied, and it is answered.
+//! Receives datagrams: decodes them, applies the claims and notices that they carry, and answers.
 
 use super::notices::Notice;
 use super::packet::{Body, Claim, Identity, Packet, PacketError, State};
@@ -8,27 +8,27 @@
 use std::net::SocketAddr;
 
 impl Cluster {
-    /// Takes in a datagram from this address.
+    /// Handles a datagram that was received from the address `sender`.
     pub fn receive(&mut self, now: Millis, sender: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
         self.detect_stall(now, actions);
-        let packet = match Packet::read(bytes, self.fleet.key) {
+        let packet = match Packet::decode(bytes, self.fleet.key) {
             Ok(packet) => packet,
             Err(PacketError::Malformed) => return self.counts.malformed += 1,
             Err(PacketError::ForeignFleet) => return self.counts.foreign += 1,
         };
-        if packet.from.name == self.me.name || packet.from.number == self.me.number {
+        if packet.from.name == self.local.name || packet.from.number == self.local.number {
             self.report_conflict(packet.from, actions);
             self.counts.rejected += 1;
             return;
         }
         self.counts.received += 1;
-        let Packet { from, incarnation, body, claims, notices, digest } = packet;
-        // A member is believed to be alive only where the datagram comes from its own address.
-        if from.at == sender && from.number < self.fleet.size {
+        let Packet { from, incarnation, body, claims, notices, notices_digest } = packet;
+        // A datagram shows that its sender is alive only if it comes from the sender's own address.
+        if from.address == sender && from.number < self.fleet.size {
             let claim = Claim { member: from, incarnation, state: State::Alive };
             self.apply_claim(now, claim, Source::Gossip, actions);
         }
-        let source = if body == Body::News { Source::Reply } else { Source::Gossip };
+        let source = if body == Body::View { Source::Reply } else { Source::Gossip };
         for claim in claims {
             self.apply_claim(now, claim, source, actions);
         }
@@ -36,14 +36,14 @@
         if self.left {
             return;
         }
-        self.sync_notices(now, sender, digest, actions);
+        self.sync_notices(now, sender, notices_digest, actions);
         self.answer(now, sender, body, actions);
     }
 
-    /// Reports once that another process has this one's name or number. A process at this one's own address is its
-    /// predecessor or successor, and no conflict.
+    /// Reports once that another process uses this one's name or number. A process at the same address is the
+    /// predecessor or successor in an upgrade, and no conflict.
     fn report_conflict(&mut self, other: Identity, actions: &mut Vec<Action>) {
-        if other.at != self.me.at && self.conflict.as_ref() != Some(&other) {
+        if other.address != self.local.address && self.conflict.as_ref() != Some(&other) {
             self.conflict = Some(other.clone());
             actions.push(Action::Conflict(other));
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Does what the message of a datagram asks for.
+    /// Handles the message of a datagram.
     fn answer(&mut self, now: Millis, sender: SocketAddr, body: Body, actions: &mut Vec<Action>) {
         match body {
             Body::Ping(seq) => self.send(sender, Body::Ack(seq), actions),
@@ -68,7 +68,7 @@
             Body::Nack(seq) => self.receive_nack(seq),
             Body::Join(digest) => self.answer_join(now, sender, digest, actions),
             Body::Compare(checksums) => self.answer_compare(now, sender, &checksums, actions),
-            Body::News => self.synced = true,
+            Body::View => self.synced = true,
             Body::Notices => {}
         }
     }
--- a/src/cluster/relay.rs
+++ b/src/cluster/relay.rs
@@ -1,37 +1,39 @@
-//! Probes on behalf of others: a ping is passed on to the target, and its answer back to who asked for it.
+//! Indirect probes on behalf of other members: a ping is sent to the target, and its answer forwarded to the
+//! requester.
 
 use super::packet::Body;
 use super::{Action, Cluster};
 use crate::interface::Millis;
 use std::net::SocketAddr;
 
-/// At most so many relayed probes are out at once; more are not passed on.
+/// The most relayed probes in flight; further ping requests are ignored.
 const MAX_RELAYS: usize = 256;
-/// Who asked is told after this part of the answer's time that there is no answer yet.
+/// The requester is notified that there is no answer after this fraction of the time for a direct answer.
 const NACK_FRACTION: f64 = 0.9;
-/// A relayed probe is forgotten after so many probe intervals.
+/// The lifetime of a relayed probe, in probe intervals.
 const LIFETIME_INTERVALS: f64 = 3.0;
 
 /// A probe on behalf of another member.
 #[derive(Debug, Clone)]
 pub(super) struct Relay {
-    /// Who asked for it.
+    /// The member that requested it.
     requester: SocketAddr,
-    /// The requester's sequence number.
+    /// The sequence number of the request.
     requester_seq: u32,
-    /// When the requester is told that there is no answer yet; infinite once it was told.
+    /// When the requester is notified that there is no answer, in milliseconds; infinite once it was.
     nack_at: Millis,
-    /// When the relay is forgotten.
+    /// When the relay is dropped, in milliseconds.
     expires_at: Millis,
 }
 
 impl Cluster {
-    /// When the next requester is to be told that there is no answer yet.
+    /// Iterates over the times at which requesters are to be notified that there is no answer, in
+    /// milliseconds.
     pub(super) fn nacks_due(&self) -> impl Iterator<Item = Millis> {
         self.relays.values().map(|relay| relay.nack_at)
     }
 
-    /// Probes a member for another one.
+    /// Probes a member on behalf of another one.
     pub(super) fn relay_ping(
         &mut self,
         now: Millis,
@@ -40,7 +42,7 @@
         target: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        let known = self.members.iter().any(|member| member.identity.at == target);
+        let known = self.members.iter().any(|member| member.identity.address == target);
         if !known || self.relays.len() >= MAX_RELAYS {
             return;
         }
@@ -51,14 +53,14 @@
         self.send(target, Body::Ping(seq), actions);
     }
 
-    /// Passes an answer on to who asked for the probe, if it was a relayed one.
+    /// Forwards an answer to the requester, if the probe was a relayed one.
     pub(super) fn relay_ack(&mut self, seq: u32, actions: &mut Vec<Action>) {
         if let Some(relay) = self.relays.remove(&seq) {
             self.send(relay.requester, Body::Ack(relay.requester_seq), actions);
         }
     }
 
-    /// Tells requesters whose targets have not answered in time that they were probed.
+    /// Notifies the requesters whose targets have not answered in time.
     pub(super) fn send_nacks(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let mut due = Vec::new();
         for relay in self.relays.values_mut().filter(|relay| relay.nack_at <= now) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Forgets relayed probes that are too old to be answered.
+    /// Drops relayed probes whose lifetime is over.
     pub(super) fn expire_relays(&mut self, now: Millis) {
         self.relays.retain(|_, relay| relay.expires_at > now);
     }
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: members compare checksums of what they know, and send all of it where these differ.
+//! Anti-entropy: members compare checksums of their views and notices, and send their content if these
+//! differ.
 
 use super::gossip::{CLAIM_OVERHEAD, PAYLOAD_ROOM};
 use super::packet::{Body, Claim, MAX_NAME};
@@ -6,31 +7,32 @@
 use crate::interface::Millis;
 use std::net::SocketAddr;
 
-/// The fleet's numbers fall into buckets of about this size, each with a checksum of its own ...
+/// The target number of ingress numbers in a bucket; each bucket of the view has its own checksum.
 const BUCKET_SIZE: u16 = 32;
-/// ... and into so many of them at most.
+/// The most buckets of a view.
 const MAX_BUCKETS: u16 = 64;
-/// The view is sent at most once in so many milliseconds.
+/// The least time between two transmissions of the view, in milliseconds.
 const VIEW_SYNC_INTERVAL: Millis = 200.0;
-/// All notices are sent at most once in so many milliseconds ...
+/// The least time between two transmissions of all notices, in milliseconds.
 const NOTICE_SYNC_INTERVAL: Millis = 400.0;
-/// ... in so many datagrams at most.
+/// The most datagrams in one transmission of all notices.
 const NOTICE_SYNC_DATAGRAMS: usize = 16;
-/// So many claims fit into one datagram, whatever their names.
+/// The number of claims that fit into one datagram, whatever the length of their names.
 const CLAIMS_PER_DATAGRAM: usize = PAYLOAD_ROOM / (MAX_NAME + CLAIM_OVERHEAD);
 
-/// What the checksums cover of a live member: its number, and when it started.
-type Live = (u16, u64);
+/// The part of a live member that the checksums cover: its number, and when it started in Unix milliseconds.
+type LiveMember = (u16, u64);
 
 impl Cluster {
-    fn live_with_self(&self) -> impl Iterator<Item = Live> {
-        let others = self.members.live().map(|member| (member.identity.number, member.identity.born));
-        others.chain([(self.me.number, self.me.born)])
+    /// Iterates over all live members, this instance included.
+    fn live_with_self(&self) -> impl Iterator<Item = LiveMember> {
+        let others = self.members.live().map(|member| (member.identity.number, member.identity.started_at));
+        others.chain([(self.local.number, self.local.started_at)])
     }
 
-    /// A checksum of who is live. Suspicions, which come and go, are left out.
-    fn digest(&self) -> u64 {
-        let mut live: Vec<Live> = self.live_with_self().collect();
+    /// Returns a checksum of the live members. It does not distinguish suspects, whose state changes often.
+    fn view_digest(&self) -> u64 {
+        let mut live: Vec<LiveMember> = self.live_with_self().collect();
         live.sort_unstable();
         let mut hasher = crc32fast::Hasher::new();
         for member in live {
@@ -39,7 +41,8 @@
         u64::from(hasher.finalize()) + 1
     }
 
-    /// A checksum of who is live for each bucket of numbers, the same in whatever order the members come.
+    /// Returns a checksum of the live members in each bucket of ingress numbers; it does not depend on their
+    /// order.
     pub(super) fn bucket_checksums(&self) -> Vec<u32> {
         let buckets = (self.fleet.size / BUCKET_SIZE).clamp(1, MAX_BUCKETS);
         let mut checksums = vec![0; usize::from(buckets)];
@@ -52,7 +55,7 @@
         checksums
     }
 
-    /// Answers a member that joins: with the whole view, unless it knows the same.
+    /// Answers a member that joins, with the full view unless its digest is the same.
     pub(super) fn answer_join(
         &mut self,
         now: Millis,
@@ -61,12 +64,12 @@
         actions: &mut Vec<Action>,
     ) {
         self.send(sender, Body::Ack(0), actions);
-        if digest != self.digest() && self.may_send_view(now) {
+        if digest != self.view_digest() && self.may_send_view(now) {
             self.send_view(sender, |_| true, actions);
         }
     }
 
-    /// Answers a member that compares views: with all members of the buckets that differ.
+    /// Answers a member that compares views, with all members in the buckets that differ.
     pub(super) fn answer_compare(
         &mut self,
         now: Millis,
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Whether the view was not sent a moment ago; if so, it counts as sent now.
+    /// Returns whether the view may be sent again after the last time, and if so notes that it is sent now.
     fn may_send_view(&mut self, now: Millis) -> bool {
         let due = now - self.view_synced_at >= VIEW_SYNC_INTERVAL;
         if due {
@@ -94,21 +97,21 @@
         due
     }
 
-    /// Sends what is known of all members whose numbers are included, in as many datagrams as it takes.
+    /// Sends the claims about all members whose numbers are `included`, in as many datagrams as needed.
     fn send_view(&mut self, to: SocketAddr, included: impl Fn(u16) -> bool, actions: &mut Vec<Action>) {
         let members = self.members.iter().filter(|member| included(member.identity.number));
         let claims: Vec<Claim> = members.map(|member| member.claim()).collect();
         if claims.is_empty() {
-            self.send(to, Body::News, actions);
+            self.send(to, Body::View, actions);
         }
         for chunk in claims.chunks(CLAIMS_PER_DATAGRAM) {
-            let mut packet = self.packet(Body::News);
+            let mut packet = self.packet(Body::View);
             packet.claims = chunk.to_vec();
-            self.push(to, &packet, actions);
+            self.send_packet(to, &packet, actions);
         }
     }
 
-    /// Sends all notices to a member that knows others than this instance; it answers in the same way.
+    /// Sends all notices to a member whose notices have another digest; that member does the same.
     pub(super) fn sync_notices(
         &mut self,
         now: Millis,
@@ -121,7 +124,8 @@
         }
         self.notices_synced_at = now;
         let mut batches = self.notices.batches();
-        // Prevents the same notices from being left out each time there are more than the datagrams hold.
+        // Starts at a random batch. Otherwise, with too many notices for one transmission, the same ones
+        // would be left out each time.
         let first = self.rng.usize(..=batches.len().saturating_sub(1));
         batches.rotate_left(first);
         if batches.is_empty() {
@@ -130,12 +134,13 @@
         for batch in batches.into_iter().take(NOTICE_SYNC_DATAGRAMS) {
             let mut packet = self.packet(Body::Notices);
             packet.notices = batch;
-            self.push(sender, &packet, actions);
+            self.send_packet(sender, &packet, actions);
         }
     }
 }
 
-fn update(hasher: &mut crc32fast::Hasher, (number, born): Live) {
+/// Adds a member to a checksum.
+fn update(hasher: &mut crc32fast::Hasher, (number, started_at): LiveMember) {
     hasher.update(&number.to_be_bytes());
-    hasher.update(&born.to_be_bytes());
+    hasher.update(&started_at.to_be_bytes());
 }
--- a/src/cluster/transport.rs
+++ b/src/cluster/transport.rs
@@ -1,5 +1,5 @@
-//! The UDP transport beneath [`Cluster`]: datagrams in and out, the time, and the file of operators' notices. It decides
-//! nothing itself.
+//! The UDP transport of [`Cluster`]: sends and receives its datagrams, drives its timers, and saves
+//! operators' notices to a file.
 
 use super::notices::{self, LocalNotice, Subject};
 use super::packet::{MAX_DATAGRAM, State};
@@ -18,58 +18,58 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
-/// The view of the fleet that the transport and the admin interface share.
+/// The membership state, shared by the transport and the admin interface.
 pub type SharedCluster = Rc<RefCell<Cluster>>;
 
-/// After so many milliseconds a socket that could not be bound is tried again: the process before may still have it.
+/// The time between two attempts to bind the socket, in milliseconds; the previous process may still have it.
 const BIND_RETRY: Millis = 100.0;
 
-/// What the rest of the instance has to know.
+/// An event for the rest of the instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterEvent {
-    /// Which numbers are live; none where that is not known.
-    Living(Option<Vec<bool>>),
-    /// A backend was disabled (true) or enabled at another ingress.
-    Server(String, bool),
+    /// Whether the ingress of each number is live; `None` if that is not known.
+    LiveIngresses(Option<Vec<bool>>),
+    /// The backend of this name was disabled (true) or enabled (false) at another ingress.
+    BackendDisabled(String, bool),
 }
 
 /// The membership protocol's connection to the other ingresses.
 #[derive(Debug)]
 pub struct Transport {
-    /// The view of the fleet.
+    /// The membership state.
     pub cluster: SharedCluster,
-    /// The address that datagrams are received at.
-    pub at: SocketAddr,
-    /// Of two processes at one address only the active one sends and receives.
+    /// The local address to receive datagrams at.
+    pub listen: SocketAddr,
+    /// The role of this process; of two processes at one address only the active one sends and receives.
     pub role: watch::Receiver<Role>,
-    /// The fleet is left when the program stops.
+    /// The phase of this process; it leaves the fleet when it stops.
     pub phase: watch::Receiver<Phase>,
     /// Notices that operators publish at this instance.
     pub local_notices: mpsc::UnboundedReceiver<LocalNotice>,
-    /// The drain of this instance, which operators may begin or end at any instance.
+    /// The drain of this instance, which operators can begin or end at any instance.
     pub drain: watch::Sender<Drain>,
-    /// The file that keeps operators' notices for the next process.
-    pub file: Option<PathBuf>,
+    /// The file that keeps operators' notices for the next process; `None` if they are not kept.
+    pub notices_file: Option<PathBuf>,
     /// The clock and the timers.
     pub deadlines: Deadlines,
-    /// Each change is logged in one line.
+    /// The logger for changes of members and notices.
     pub log: Logger,
 }
 
 impl Transport {
-    /// Sends and receives for as long as this process is active. Notifies of each change of the live members, and of
-    /// notices that were published at other instances.
+    /// Sends and receives while this process is active, until it stops. Calls `notify` for each change of the
+    /// live ingresses and for notices about backends from other instances.
     pub async fn run(mut self, mut notify: impl FnMut(ClusterEvent)) {
-        // A process becomes active again where the one that took over has died.
+        // This process becomes active again if the one that took over from it has died.
         while self.role.wait_for(|role| *role == Role::Active).await.is_ok() && !self.serve(&mut notify).await
         {
         }
     }
 
-    /// Does so until another process is active; returns true where this one stops.
+    /// Sends and receives until another process becomes active. Returns true if this process stops.
     async fn serve(&mut self, notify: &mut impl FnMut(ClusterEvent)) -> bool {
         let Some(socket) = self.bind().await else { return true };
-        let (mut buffer, mut last_living) = ([0; MAX_DATAGRAM + 1], None);
+        let (mut buffer, mut last_live) = ([0; MAX_DATAGRAM + 1], None);
         let (mut role, mut phase, mut drains) =
             (self.role.clone(), self.phase.clone(), self.drain.subscribe());
         let mut saved_digest = self.restore(notify);
@@ -102,31 +102,31 @@
             }
             self.carry_out(&socket, actions, notify).await;
             self.save(&mut saved_digest);
-            let living = self.cluster.borrow().living();
-            if last_living.as_ref() != Some(&living) {
-                last_living = Some(living.clone());
-                notify(ClusterEvent::Living(living));
+            let live = self.cluster.borrow().live_ingresses();
+            if last_live.as_ref() != Some(&live) {
+                last_live = Some(live.clone());
+                notify(ClusterEvent::LiveIngresses(live));
             }
         }
     }
 
-    /// Restores the notices of the file that the process before has left; returns their digest.
+    /// Restores the notices from the file of the previous process; returns their digest.
     fn restore(&mut self, notify: &mut impl FnMut(ClusterEvent)) -> u32 {
         let now = self.deadlines.clock().now();
-        let bytes = self.file.as_ref().and_then(|path| std::fs::read(path).ok());
+        let bytes = self.notices_file.as_ref().and_then(|path| std::fs::read(path).ok());
         let notices = bytes.map(|bytes| notices::decode(&bytes));
         if notices == Some(None) {
-            warn!(self.log, "a file of operators' words was passed over"; "path" => ?self.file);
+            warn!(self.log, "a file of operators' words was passed over"; "path" => ?self.notices_file);
         }
         let mut cluster = self.cluster.borrow_mut();
         cluster.restore(now, notices.flatten().unwrap_or_default(), Vec::new());
         for notice in cluster.notices().iter() {
-            if let Subject::Server(name) = &notice.subject {
-                notify(ClusterEvent::Server(name.clone(), notice.active));
+            if let Subject::Backend(name) = &notice.subject {
+                notify(ClusterEvent::BackendDisabled(name.clone(), notice.active));
             }
         }
-        let (me, digest) = (Subject::Ingress(cluster.me().name.clone()), cluster.notices().digest());
-        let drained = cluster.notices().is_active(&me);
+        let (local, digest) = (Subject::Ingress(cluster.local().name.clone()), cluster.notices().digest());
+        let drained = cluster.notices().is_active(&local);
         drop(cluster);
         if drained {
             self.drain
@@ -137,16 +137,16 @@
         digest
     }
 
-    /// Applies what an operator has said at this instance.
+    /// Applies a notice of an operator at this instance.
     fn apply_local(&self, notice: LocalNotice, actions: &mut Vec<Action>) {
         let now = self.deadlines.clock().now();
         let mut cluster = self.cluster.borrow_mut();
         match notice {
             LocalNotice::Published(subject, active) => {
-                let me = subject == Subject::Ingress(cluster.me().name.clone());
+                let is_local = subject == Subject::Ingress(cluster.local().name.clone());
                 cluster.publish(now, subject, active, actions);
                 drop(cluster);
-                if me {
+                if is_local {
                     self.set_drain(active);
                 }
             }
@@ -154,13 +154,13 @@
         }
     }
 
-    /// Publishes that this instance is drained, or no longer, unless the notices say so already.
+    /// Publishes that this instance is drained, or no longer drained, unless the notices have that already.
     fn publish_drain(&self, drained: bool, actions: &mut Vec<Action>) {
         let now = self.deadlines.clock().now();
         let mut cluster = self.cluster.borrow_mut();
-        let me = Subject::Ingress(cluster.me().name.clone());
-        if cluster.notices().is_active(&me) != drained {
-            cluster.publish(now, me, drained, actions);
+        let local = Subject::Ingress(cluster.local().name.clone());
+        if cluster.notices().is_active(&local) != drained {
+            cluster.publish(now, local, drained, actions);
         }
     }
 
@@ -175,26 +175,27 @@
         });
     }
 
-    /// Saves the notices for the next process, where they are others than those of this digest.
+    /// Saves the notices for the next process if their digest differs from `saved_digest`.
     fn save(&self, saved_digest: &mut u32) {
         let cluster = self.cluster.borrow();
         let digest = cluster.notices().digest();
-        let Some(path) = self.file.as_ref().filter(|_| digest != *saved_digest) else { return };
+        let Some(path) = self.notices_file.as_ref().filter(|_| digest != *saved_digest) else { return };
         *saved_digest = digest;
         if let Err(e) = files::replace(path, &notices::encode(cluster.notices())) {
             warn!(self.log, "operators' words could not be kept"; "error" => %e);
         }
     }
 
-    /// Binds the socket, however long that takes; none where this process stops first.
+    /// Binds the socket, retrying until it succeeds. Returns `None` if this process stops first.
     async fn bind(&mut self) -> Option<UdpSocket> {
         let mut logged = false;
         loop {
-            match UdpSocket::bind(self.at).await {
+            match UdpSocket::bind(self.listen).await {
                 Ok(socket) => return Some(socket),
                 Err(e) if !logged => {
                     logged = true;
-                    warn!(self.log, "no socket for the fleet yet"; "cluster.listen" => %self.at, "error" => %e);
+                    warn!(self.log, "no socket for the fleet yet";
+                        "cluster.listen" => %self.listen, "error" => %e);
                 }
                 Err(_) => {}
             }
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Carries out what the protocol asks for.
+    /// Executes actions of the protocol: sends datagrams, logs changes and calls `notify`.
     async fn carry_out(
         &self,
         socket: &UdpSocket,
@@ -217,29 +218,29 @@
                 Action::Send(to, bytes) => {
                     let _: io::Result<usize> = socket.send_to(&bytes, to).await;
                 }
-                Action::Changed(id, _, State::Suspect) => {
+                Action::StateChanged(id, _, State::Suspect) => {
                     debug!(self.log, "an ingress is suspected"; "name" => id.name, "number" => id.number);
                 }
-                Action::Changed(id, from, to) => {
+                Action::StateChanged(id, from, to) => {
                     let from = from.map_or("unknown", state_name);
                     info!(self.log, "an ingress is now"; "name" => id.name, "number" => id.number,
-                        "at" => %id.at, "state" => state_name(to), "before" => from);
+                        "at" => %id.address, "state" => state_name(to), "before" => from);
                 }
-                Action::NoticeChanged(Subject::Server(name), out) => {
+                Action::NoticeChanged(Subject::Backend(name), disabled) => {
                     info!(self.log, "said at another door: a real server is"; "id" => &name,
-                        "state" => if out { "out" } else { "back" });
-                    notify(ClusterEvent::Server(name, out));
+                        "state" => if disabled { "out" } else { "back" });
+                    notify(ClusterEvent::BackendDisabled(name, disabled));
                 }
                 Action::NoticeChanged(Subject::Ingress(name), drained) => {
                     info!(self.log, "said at another door: an ingress is"; "name" => &name,
                         "state" => if drained { "drained" } else { "drained no more" });
-                    if name == self.cluster.borrow().me().name {
+                    if name == self.cluster.borrow().local().name {
                         self.set_drain(drained);
                     }
                 }
                 Action::Conflict(id) => {
                     warn!(self.log, "another process has this one's name or number"; "name" => id.name,
-                        "number" => id.number, "at" => %id.at);
+                        "number" => id.number, "at" => %id.address);
                 }
                 Action::Stalled(gap) => {
                     warn!(self.log, "this process stood still"; "ms" => gap.round());
@@ -249,6 +250,7 @@
     }
 }
 
+/// Returns the drain of an instance that is drained by a notice; one that has begun already stays.
 fn announced(drain: Drain) -> Drain {
     if drain == Drain::Inactive { Drain::Announced } else { drain }
 }
--- a/src/cluster/view.rs
+++ b/src/cluster/view.rs
@@ -1,57 +1,61 @@
-//! The view of the fleet: who is a member, and how a claim changes that.
+//! The view of the fleet: which members are known, and how claims change them.
 
 use super::member_table::Member;
 use super::packet::{Claim, Identity, State};
 use super::{Action, Cluster};
 use crate::interface::Millis;
 
-/// Where a claim comes from.
+/// The source of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// A probe of this instance's own.
+    /// A probe by this instance.
     Local,
-    /// Gossip, which is passed on.
+    /// Gossip, which this instance passes on.
     Gossip,
-    /// A reply to this instance's request for a view: the others know it.
+    /// An answer to this instance's request for a view; the other members know these claims already.
     Reply,
 }
 
-/// How new the knowledge of a member is: a later start first, then a higher incarnation.
+/// The version of what is known of a member, ordered by its start, then by its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
     /// When the process started, in Unix milliseconds.
-    pub born: u64,
-    /// Its incarnation.
+    pub started_at: u64,
+    /// The member's incarnation.
     pub incarnation: u32,
 }
 
 impl Cluster {
-    /// Each other member that is known, its state, and since when it has been in that state.
+    /// Iterates over the other known members, each with its state and when it entered that state, in
+    /// milliseconds.
     pub fn members(&self) -> impl Iterator<Item = (&Identity, State, Millis)> {
         self.members.iter().map(|member| (&member.identity, member.state, member.since))
     }
 
-    /// The version of what is known of the member of this name.
+    /// Returns the version of what is known of the member of this name, or `None` if it is not known.
     pub fn version(&self, name: &str) -> Option<Version> {
-        let version =
-            |member: &Member| Version { born: member.identity.born, incarnation: member.incarnation };
+        let version = |member: &Member| Version {
+            started_at: member.identity.started_at,
+            incarnation: member.incarnation,
+        };
         self.members.get(name).map(version)
     }
 
-    /// Which numbers are live, this instance's own included. None while that is not known: before this instance has
-    /// joined, and after a stall until others have answered.
-    pub fn living(&self) -> Option<Vec<bool>> {
+    /// Returns whether the ingress of each number is live, this instance included. Returns `None` while the
+    /// view is not reliable: after the start and after a stall, as long as other members are known but too
+    /// few of them have answered.
+    pub fn live_ingresses(&self) -> Option<Vec<bool>> {
         if self.acks_needed > 0 && !self.members.is_empty() {
             return None;
         }
-        let mut living = vec![false; usize::from(self.fleet.size)];
+        let mut live = vec![false; usize::from(self.fleet.size)];
         let others = self.members.live().map(|member| member.identity.number);
-        for number in others.chain([self.me.number]) {
-            if let Some(lives) = living.get_mut(usize::from(number)) {
-                *lives = true;
+        for number in others.chain([self.local.number]) {
+            if let Some(is_live) = live.get_mut(usize::from(number)) {
+                *is_live = true;
             }
         }
-        Some(living)
+        Some(live)
     }
 
     /// Applies a claim to the view, unless something newer is known.
@@ -62,7 +66,7 @@
         source: Source,
         actions: &mut Vec<Action>,
     ) {
-        if claim.member.name == self.me.name {
+        if claim.member.name == self.local.name {
             self.answer_claim_about_self(&claim);
         } else if !self.is_acceptable(&claim) {
             self.counts.rejected += 1;
@@ -73,18 +77,21 @@
         }
     }
 
-    /// Refutes a claim that this process is suspect, dead or an earlier one than it is.
+    /// Handles a claim about this instance: refutes that it is not alive, or that a later process has its
+    /// name.
     fn answer_claim_about_self(&mut self, claim: &Claim) {
-        if self.left || claim.member.at != self.me.at {
+        if self.left || claim.member.address != self.local.address {
             return;
         }
-        if claim.member.born > self.me.born {
-            // The process before this one had a clock that ran ahead: this one is the later start all the same.
-            self.me.born = claim.member.born.saturating_add(1);
+        if claim.member.started_at > self.local.started_at {
+            // The clock of the previous process was ahead. This process still has to count as the later
+            // start.
+            self.local.started_at = claim.member.started_at.saturating_add(1);
             self.own_retransmits = self.retransmit_limit();
             return;
         }
-        let current = claim.member.born == self.me.born && claim.incarnation >= self.incarnation;
+        let current =
+            claim.member.started_at == self.local.started_at && claim.incarnation >= self.incarnation;
         if current && claim.state != State::Alive {
             self.incarnation = claim.incarnation.saturating_add(1);
             self.own_retransmits = self.retransmit_limit();
@@ -93,10 +100,10 @@
         }
     }
 
-    /// Whether the fleet has the member's number, and no other live member holds it.
+    /// Returns whether the claimed member's number is in the fleet and no other live member has it.
     fn is_acceptable(&self, claim: &Claim) -> bool {
         let number = claim.member.number;
-        if number >= self.fleet.size || number == self.me.number {
+        if number >= self.fleet.size || number == self.local.number {
             return false;
         }
         let held_by_other = self.members.holder_of(number).is_some_and(|name| name != claim.member.name);
@@ -107,7 +114,7 @@
         let retransmits = self.retransmits_of(&claim, source);
         let suspicion = (claim.state == State::Suspect).then(|| self.new_suspicion(now, source));
         let name = claim.member.name.clone();
-        actions.push(Action::Changed(claim.member.clone(), None, claim.state));
+        actions.push(Action::StateChanged(claim.member.clone(), None, claim.state));
         let place = self.rng.usize(..=self.probe_order.len());
         self.probe_order.insert(place, name.clone());
         self.members.add(now, claim, suspicion);
@@ -118,13 +125,14 @@
         let retransmits = self.retransmits_of(&claim, source);
         let suspicion = self.new_suspicion(now, source);
         let Some(member) = self.members.get_mut(&claim.member.name) else { return };
-        let same_process = member.identity.at == claim.member.at || member.identity.born == claim.member.born;
+        let same_process = member.identity.address == claim.member.address
+            || member.identity.started_at == claim.member.started_at;
         if member.state.is_live() && !same_process {
-            // Two processes run under one name: the one that is known keeps it.
+            // Two processes use one name; the known one keeps it.
             self.counts.rejected += 1;
             return;
         }
-        if !claim.overrides(member.identity.born, member.incarnation, member.state) {
+        if !claim.overrides(member.identity.started_at, member.incarnation, member.state) {
             let both_suspect = member.state == State::Suspect && claim.state == State::Suspect;
             if both_suspect && source == Source::Local {
                 let confirmed = member.suspicion.filter(|suspicion| suspicion.confirmed);
@@ -136,12 +144,12 @@
         let suspicion = (state == State::Suspect).then_some(suspicion);
         let before = self.members.update(now, claim, suspicion);
         if before != Some(state) {
-            actions.push(Action::Changed(identity.clone(), before, state));
+            actions.push(Action::StateChanged(identity.clone(), before, state));
         }
         self.members.set_retransmits(&identity.name, retransmits);
     }
 
-    /// How many datagrams pass a claim on: none where the others know it already.
+    /// Returns the number of datagrams that pass a claim on: none if the other members know it already.
     fn retransmits_of(&self, claim: &Claim, source: Source) -> u32 {
         if source == Source::Reply && claim.state == State::Alive { 0 } else { self.retransmit_limit() }
     }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -339,7 +339,7 @@
             Operation::Enable(name) => (self.maintenance.enable(&name)?, Some((name, false))),
         };
         if let (Some(out), Some((name, holds))) = (&self.outlets.said, said) {
-            let _ = out.send(LocalNotice::Published(Subject::Server(name), holds));
+            let _ = out.send(LocalNotice::Published(Subject::Backend(name), holds));
         }
         if let Some(change) = change {
             self.believe(change, ListKind::Changes);
--- a/src/node.rs
+++ b/src/node.rs
@@ -264,8 +264,8 @@
             let me = Identity {
                 name: instance.name.clone(),
                 number: site.settings.ingress.0,
-                at: fleet.advertise,
-                born: now as u64,
+                address: fleet.advertise,
+                started_at: now as u64,
             };
             let of = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
             let cluster =
@@ -273,23 +273,23 @@
             let cluster: SharedCluster = Rc::new(RefCell::new(cluster));
             let wire = Transport {
                 cluster: cluster.clone(),
-                at: fleet.listen,
+                listen: fleet.listen,
                 role: role.subscribe(),
                 phase: phase.subscribe(),
                 local_notices: words,
                 drain: drain.clone(),
-                file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
+                notices_file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
                 deadlines: deadlines.clone(),
                 log: log.clone(),
             };
             let (exchange, back) = (exchange.clone(), back.clone());
             spawn_local(wire.run(move |told| {
-                if let ClusterEvent::Living(living) = &told {
+                if let ClusterEvent::LiveIngresses(living) = &told {
                     back.heard(Heard::View(living.is_some()));
                 }
                 exchange.send(match told {
-                    ClusterEvent::Living(living) => EngineEvent::LiveIngresses(living),
-                    ClusterEvent::Server(name, out) => EngineEvent::DisabledElsewhere(name, out),
+                    ClusterEvent::LiveIngresses(living) => EngineEvent::LiveIngresses(living),
+                    ClusterEvent::BackendDisabled(name, out) => EngineEvent::DisabledElsewhere(name, out),
                 })
             }));
             let _ = said.send(LocalNotice::Restored(out.clone()));
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -14,7 +14,7 @@
 }
 
 fn identity(n: usize, born: u64) -> Identity {
-    Identity { name: format!("n{n}"), number: n as u16, at: at(n), born }
+    Identity { name: format!("n{n}"), number: n as u16, address: at(n), started_at: born }
 }
 
 struct Node {
@@ -91,7 +91,7 @@
                         self.way.push(Reverse(((due * 1000.0) as u64, self.sent, n, to, bytes)));
                     }
                 }
-                Action::Changed(id, _, state) => {
+                Action::StateChanged(id, _, state) => {
                     self.seen.push((self.now, n, usize::from(id.number), state));
                 }
                 Action::Conflict(_) => self.clashes += 1,
@@ -145,7 +145,7 @@
     }
 
     fn living(&self, n: usize) -> Option<Vec<usize>> {
-        let living = self.nodes[n].cluster.living()?;
+        let living = self.nodes[n].cluster.live_ingresses()?;
         Some((0..living.len()).filter(|i| living[*i]).collect())
     }
 
@@ -165,7 +165,7 @@
 }
 
 fn packet(from: Identity, claims: Vec<Claim>) -> Packet {
-    Packet { from, incarnation: 0, body: Body::News, claims, notices: Vec::new(), digest: 0 }
+    Packet { from, incarnation: 0, body: Body::View, claims, notices: Vec::new(), notices_digest: 0 }
 }
 
 fn start(n: usize, born: u64, count: usize, seed: u64, now: f64) -> Cluster {
@@ -327,7 +327,7 @@
     // Its old word, replayed, changes nothing.
     let old = Claim { member: identity(2, 1000), incarnation: 99, state: State::Dead };
     let forged = packet(identity(5, 1000), vec![old]);
-    let bytes = forged.write(fleet_key("test")).unwrap();
+    let bytes = forged.encode(fleet_key("test")).unwrap();
     net.nodes[0].cluster.receive(net.now, at(5), &bytes, &mut Vec::new());
     net.agree(&all(8));
 }
@@ -368,7 +368,7 @@
 
 #[test]
 fn what_is_said_at_one_door_reaches_all_in_time_and_ends_once_whoever_was_away() {
-    let (out, drained) = (Subject::Server("s-1".into()), Subject::Ingress("n3".into()));
+    let (out, drained) = (Subject::Backend("s-1".into()), Subject::Ingress("n3".into()));
     for (loss, within) in [(0.0, 1500.0), (0.2, 4000.0)] {
         let mut net = Net::new(40, 21);
         net.run(6000.0);
@@ -408,7 +408,7 @@
     let mut net = Net::new(5, 22);
     net.run(4000.0);
     for n in 0..1000 {
-        net.say(1, &Subject::Server(format!("server-{n}")), true);
+        net.say(1, &Subject::Backend(format!("server-{n}")), true);
     }
     net.run(30_000.0);
     let digest = net.nodes[1].cluster.notices().digest();
@@ -437,13 +437,14 @@
     let mut acts = Vec::new();
     let node = &mut net.nodes[0].cluster;
     let before = node.counts();
-    let other = packet(identity(1, 5), Vec::new()).write(fleet_key("another")).unwrap();
+    let other = packet(identity(1, 5), Vec::new()).encode(fleet_key("another")).unwrap();
     node.receive(5000.0, at(1), &other, &mut acts);
     node.receive(5000.0, at(1), b"garbage", &mut acts);
     for n in 0..10_000u32 {
-        let of = Identity { name: format!("m{n}"), number: (n % 60_000) as u16, at: at(1), born: 1 };
+        let of =
+            Identity { name: format!("m{n}"), number: (n % 60_000) as u16, address: at(1), started_at: 1 };
         let claim = Claim { member: of, incarnation: n, state: State::Alive };
-        let bytes = packet(identity(1, 1000), vec![claim]).write(fleet_key("test")).unwrap();
+        let bytes = packet(identity(1, 1000), vec![claim]).encode(fleet_key("test")).unwrap();
         node.receive(5000.0, at(1), &bytes, &mut acts);
     }
     let counts = node.counts();
@@ -452,13 +453,13 @@
     assert!(counts.rejected >= 9_000);
     // A second process with a name that is taken is said, and changes nothing.
     let mut taken = identity(0, 9999);
-    taken.at = at(50);
-    let bytes = packet(taken, Vec::new()).write(fleet_key("test")).unwrap();
+    taken.address = at(50);
+    let bytes = packet(taken, Vec::new()).encode(fleet_key("test")).unwrap();
     acts.clear();
     net.nodes[0].cluster.receive(5000.0, at(50), &bytes, &mut acts);
-    assert!(matches!(&acts[..], [Action::Conflict(id)] if id.at == at(50)), "{acts:?}");
+    assert!(matches!(&acts[..], [Action::Conflict(id)] if id.address == at(50)), "{acts:?}");
     net.nodes[1].cluster.receive(5000.0, at(50), &bytes, &mut acts);
-    let known = net.nodes[1].cluster.members().find(|(id, ..)| id.name == "n0").map(|(id, ..)| id.at);
+    let known = net.nodes[1].cluster.members().find(|(id, ..)| id.name == "n0").map(|(id, ..)| id.address);
     assert_eq!(known, Some(at(0)));
 }
 
--- a/tests/cluster_model.rs
+++ b/tests/cluster_model.rs
@@ -66,7 +66,8 @@
 }
 
 fn start(n: usize, now: f64) -> Cluster {
-    let id = Identity { name: format!("n{n}"), number: n as u16, at: at(n), born: 1000 + now as u64 };
+    let id =
+        Identity { name: format!("n{n}"), number: n as u16, address: at(n), started_at: 1000 + now as u64 };
     let seeds = (0..NODES).map(at).collect();
     Cluster::new(
         id,
@@ -79,7 +80,7 @@
 }
 
 fn subject() -> Subject {
-    Subject::Server("s1".into())
+    Subject::Backend("s1".into())
 }
 
 impl World {
@@ -147,13 +148,13 @@
     }
 
     fn tampered(&self, to: usize, bytes: Vec<u8>) -> Vec<u8> {
-        let Ok(mut packet) = Packet::read(&bytes, fleet_key("model")) else { return bytes };
+        let Ok(mut packet) = Packet::decode(&bytes, fleet_key("model")) else { return bytes };
         match self.variant {
             Variant::NoContradiction => packet.claims.retain(|claim| usize::from(claim.member.number) != to),
             Variant::NoEnds => packet.notices.retain(|notice| notice.active),
             Variant::Whole | Variant::NoRevival => {}
         }
-        packet.write(fleet_key("model")).unwrap_or(bytes)
+        packet.encode(fleet_key("model")).unwrap_or(bytes)
     }
 
     fn run(&mut self, until: f64, plan: &[(usize, Happens)]) {
@@ -219,7 +220,7 @@
         self.say(1, false);
         self.run(WELL, plan);
         self.run(END, &[]);
-        let seen = |node: &Option<Cluster>| node.as_ref().map(|node| node.living());
+        let seen = |node: &Option<Cluster>| node.as_ref().map(|node| node.live_ingresses());
         let whole = Some(Some(vec![true; NODES]));
         if self.broken.is_none() && self.nodes.iter().any(|node| seen(node) != whole) {
             let seen: Vec<_> = self.nodes.iter().map(seen).collect();
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -459,12 +459,12 @@
         let from = Identity {
             name: format!("n{of}"),
             number: u16::try_from(of).unwrap_or_default(),
-            at: self.relay.told[of],
-            born: now + by,
+            address: self.relay.told[of],
+            started_at: now + by,
         };
         let (claims, notices) = (Vec::new(), Vec::new());
-        let packet = Packet { from, incarnation: 0, body: Body::News, claims, notices, digest: 0 };
-        if let Some(bytes) = packet.write(fleet_key("trial")) {
+        let packet = Packet { from, incarnation: 0, body: Body::View, claims, notices, notices_digest: 0 };
+        if let Some(bytes) = packet.encode(fleet_key("trial")) {
             self.relay.forge(of, &bytes).await;
         }
     }
--- a/trials/src/scale/fleet.rs
+++ b/trials/src/scale/fleet.rs
@@ -82,7 +82,7 @@
 
 fn identity(number: usize) -> Identity {
     let name = format!("ingress-{number:04}");
-    Identity { name, number: number as u16, at: address(number), born: START as u64 }
+    Identity { name, number: number as u16, address: address(number), started_at: START as u64 }
 }
 
 fn clock(now: u64) -> f64 {
@@ -161,7 +161,7 @@
             }
             // The socket's loop asks for both after each datagram and each timer.
             let due = self.nodes[to].due();
-            drop(self.nodes[to].living());
+            drop(self.nodes[to].live_ingresses());
             self.micros += (thread_time() - before).as_secs_f64() * 1e6;
             // A microsecond later: a time in milliseconds is not exact to one.
             let due = ((due - START) * 1000.0).ceil() as u64 + 1;
@@ -178,8 +178,8 @@
         for action in actions {
             match action {
                 Action::Send(to, bytes) => self.send(by, number(to), bytes),
-                Action::Changed(_, _, State::Dead) => self.deaths += 1,
-                Action::NoticeChanged(Subject::Server(name), true) => {
+                Action::StateChanged(_, _, State::Dead) => self.deaths += 1,
+                Action::NoticeChanged(Subject::Backend(name), true) => {
                     if let Some((_, heard, last)) = self.notices.get_mut(&name) {
                         *heard += 1;
                         *last = self.now;
@@ -216,7 +216,7 @@
             let at = self.rng.usize(..self.nodes.len());
             self.notices.insert(name.clone(), (self.now, 1, self.now));
             let mut actions = Vec::new();
-            self.nodes[at].publish(clock(self.now), Subject::Server(name), true, &mut actions);
+            self.nodes[at].publish(clock(self.now), Subject::Backend(name), true, &mut actions);
             self.act(at, actions);
             let next = begun + (notice as u64 + 1) * 60 * SECOND / burst as u64;
             self.run_for(next - self.now);
@@ -245,12 +245,12 @@
             let packet = Packet {
                 from: identity(from),
                 incarnation: 0,
-                body: Body::News,
+                body: Body::View,
                 claims: claims.to_vec(),
                 notices: Vec::new(),
-                digest: 0,
+                notices_digest: 0,
             };
-            if let Some(bytes) = packet.write(fleet_key(NAME)) {
+            if let Some(bytes) = packet.encode(fleet_key(NAME)) {
                 node.receive(START, address(from), &bytes, &mut Vec::new());
             }
         }
