--- a/src/backends/membership/mod.rs
+++ b/src/backends/membership/mod.rs
@@ -131,6 +131,7 @@
     }
 }
 
+/// Creates a test observation of instance `n` at a local port.
 #[cfg(test)]
 pub(crate) fn observation(n: u64, state: BackendState, port: u16) -> Observation {
     use crate::interface::{BackendEntry, CellId, KindId, ZoneId};
--- a/src/cluster/packet.rs
+++ b/src/cluster/packet.rs
@@ -84,7 +84,7 @@
     Join(u64),
     /// Carries claims of the sender's view, in answer to `Join` or `Compare`, or when the sender leaves.
     View,
-    /// Carries notices, and expects no answer.
+    /// Carries only notices.
     Notices,
     /// Asks for the members in those buckets of the receiver's view whose checksums differ from these.
     Compare(Vec<u32>),
@@ -132,8 +132,8 @@
 }
 
 impl Packet {
-    /// Encodes the datagram; returns `None` if it is too long.
-    pub fn encode(&self, fleet: u64) -> Option<Vec<u8>> {
+    /// Encodes the datagram for the fleet of this key; returns `None` if it is too long.
+    pub fn encode(&self, fleet_key: u64) -> Option<Vec<u8>> {
         let mut body = postcard::to_allocvec(self).ok()?;
         let version_1_body = !matches!(self.body, Body::Notices | Body::Compare(_));
         let plain = self.notices_digest == 0 && self.notices.is_empty() && version_1_body;
@@ -142,17 +142,17 @@
         }
         let mut bytes = Vec::with_capacity(HEADER + body.len());
         bytes.extend_from_slice(if plain { &MAGIC } else { &MAGIC_WITH_NOTICES });
-        bytes.extend_from_slice(&fleet.to_be_bytes());
+        bytes.extend_from_slice(&fleet_key.to_be_bytes());
         bytes.extend_from_slice(&crc32fast::hash(&body).to_be_bytes());
         bytes.extend_from_slice(&body);
         (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
     }
 
-    /// Decodes a datagram.
+    /// Decodes a datagram of the fleet of this key.
     ///
     /// # Errors
     /// Returns [`PacketError`] if the bytes are not a complete datagram of this fleet.
-    pub fn decode(bytes: &[u8], fleet: u64) -> Result<Self, PacketError> {
+    pub fn decode(bytes: &[u8], fleet_key: u64) -> Result<Self, PacketError> {
         let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(PacketError::Malformed)?;
         let (key, rest) = rest.split_first_chunk::<8>().ok_or(PacketError::Malformed)?;
         let (sum, body) = rest.split_first_chunk::<4>().ok_or(PacketError::Malformed)?;
@@ -163,7 +163,7 @@
         {
             return Err(PacketError::Malformed);
         }
-        if u64::from_be_bytes(*key) != fleet {
+        if u64::from_be_bytes(*key) != fleet_key {
             return Err(PacketError::ForeignFleet);
         }
         let (mut packet, mut rest) =
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -59,7 +59,7 @@
     let mut text = String::new();
     let count = |state| cluster.members().filter(|(_, s, _)| *s == state).count();
     let counts = cluster.counts();
-    for (name, value) in [
+    for (name, n) in [
         ("alive", count(State::Alive) + 1),
         ("suspect", count(State::Suspect)),
         ("dead", count(State::Dead)),
@@ -67,9 +67,9 @@
         ("notices", cluster.notices().iter().filter(|notice| notice.active).count()),
         ("asking", usize::from(cluster.live_ingresses().is_none())),
     ] {
-        let _ = writeln!(text, "svc_cluster_{name} {value}");
+        let _ = writeln!(text, "svc_cluster_{name} {n}");
     }
-    for (name, value) in [
+    for (name, n) in [
         ("sent", counts.sent),
         ("heard", counts.received),
         ("unreadable", counts.malformed),
@@ -77,7 +77,7 @@
         ("refused", counts.rejected + cluster.notices().rejected()),
         ("contradicted", counts.refuted),
     ] {
-        let _ = writeln!(text, "svc_cluster_{name}_total {value}");
+        let _ = writeln!(text, "svc_cluster_{name}_total {n}");
     }
     text
 }
