--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,7 +1,7 @@
 //! The server of the admin interface.
 
 use super::command::{Command, CommandError};
-use crate::backends::maintenance::write_bans;
+use crate::backends::maintenance::encode_disabled;
 use crate::cluster::notices::{LocalNotice, MAX_SUBJECT, Subject};
 use crate::cluster::transport::SharedCluster;
 use crate::cluster::{Cluster, report};
@@ -251,7 +251,7 @@
 
     fn save_disabled(&self, disabled: &[String]) {
         let Some(path) = &self.server.disabled_file else { return };
-        if let Err(e) = files::replace(path, write_bans(disabled).as_bytes()) {
+        if let Err(e) = files::replace(path, encode_disabled(disabled).as_bytes()) {
             warn!(self.server.log, "bans could not be kept"; "error" => %e);
         }
     }
@@ -259,7 +259,7 @@
 
 /// Returns whether an ingress of this name is a member, or is drained by a notice.
 fn is_known(cluster: &Cluster, name: &str) -> bool {
-    cluster.me().name == name
+    cluster.local().name == name
         || cluster.members().any(|(identity, ..)| identity.name == name)
         || cluster.notices().is_active(&Subject::Ingress(name.to_owned()))
 }
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -3,9 +3,9 @@
 use super::agent::{Counts, Line, Refusal};
 use super::book::ServiceBook;
 use super::{query, read};
-use crate::backends::entries::{BackendList, Places};
-use crate::backends::membership::asking::{AgentRotation, Cursor, QueryLimiter};
+use crate::backends::entries::{BackendList, TopologyNames};
 use crate::backends::membership::merged_list::Slot;
+use crate::backends::membership::query_schedule::{AgentRotation, Cursor, QueryLimiter};
 use crate::config::{Consul, Service};
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
@@ -29,7 +29,7 @@
     pub(super) consul: Arc<Consul>,
     pub(super) service: Service,
     pub(super) slot: Slot,
-    pub(super) places: Places,
+    pub(super) places: TopologyNames,
     pub(super) instances: u16,
     pub(super) deadlines: Deadlines,
     pub(super) seed: u64,
@@ -112,7 +112,7 @@
                         pacing.succeeded();
                         let mut book = self.book.borrow_mut();
                         let Some(known) = book.services.get_mut(&self.slot) else { return };
-                        let gone = known.members.catalogue(self.now(), round, &held);
+                        let gone = known.members.apply_catalogue(self.now(), round, &held);
                         let stay = known.members.len();
                         if !gone.is_empty() {
                             info!(self.log, "a mass withdrawal is confirmed by the catalogue"; "service" => &self.service.name, "gone" => gone.len(), "stay" => stay);
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -11,7 +11,7 @@
 };
 use crate::interface::*;
 use crate::maintenance::Maintenance;
-use crate::membership::traffic::Witness;
+use crate::membership::connection_failures::FailureMonitor;
 use crate::state::Limiter;
 use crate::subset::Subset;
 use slog::{Logger, debug, info, warn};
@@ -49,7 +49,7 @@
     /// there is no membership of a fleet.
     pub local_notices: Option<mpsc::UnboundedSender<LocalNotice>>,
     /// Observes how attempts end, for the state of backends by Consul; `None` if Consul is not used.
-    pub witness: Option<Rc<Witness>>,
+    pub witness: Option<Rc<FailureMonitor>>,
 }
 
 /// Limits of the engine.
@@ -288,20 +288,21 @@
                 }
             }
             EngineEvent::LiveIngresses(live) => {
-                let change = self.subset.as_mut().and_then(|subset| subset.living(live.as_deref()));
+                let change =
+                    self.subset.as_mut().and_then(|subset| subset.set_live_ingresses(live.as_deref()));
                 self.limiter.set_live_ingresses(live);
                 if let Some(change) = change {
                     self.publish_list(change, ListKind::Changes);
                 }
             }
             EngineEvent::DisabledElsewhere(name, disabled) => {
-                if let Some(change) = self.maintenance.ordered(&name, disabled) {
+                if let Some(change) = self.maintenance.apply_notice(&name, disabled) {
                     self.apply_change(change, ListKind::Changes);
                 }
             }
             EngineEvent::HandOver(reply) => {
                 self.retired = true;
-                let (list, disabled) = (self.maintenance.told(), self.maintenance.bans());
+                let (list, disabled) = (self.maintenance.discovered_list(), self.maintenance.disabled());
                 let _ = reply.send(EngineState { limiter: self.limiter.hand_over(), disabled, list });
             }
             EngineEvent::Resume => {
@@ -330,7 +331,7 @@
     /// Continues from the state of another process. If the limiter's state cannot be read, this process
     /// starts afresh, as after a restart.
     fn inherit(&mut self, state: EngineState) {
-        self.maintenance.ban_only(state.disabled);
+        self.maintenance.replace_disabled(state.disabled);
         match self.limiter.inherit(&state.limiter) {
             Ok(in_flight) => {
                 self.predecessor_attempts = in_flight
@@ -342,11 +343,11 @@
             Err(why) => warn!(self.log, "what the old process knew was passed over"; "why" => why),
         }
         if !self.list_received && !state.list.entries.is_empty() {
-            self.maintenance.listed(state.list);
+            self.maintenance.apply_list(state.list);
         }
-        let mut list = self.maintenance.told();
+        let mut list = self.maintenance.discovered_list();
         if !list.entries.is_empty() {
-            list = self.maintenance.listed(list);
+            list = self.maintenance.apply_list(list);
             self.apply_change(list, ListKind::Full);
         }
     }
@@ -367,24 +368,27 @@
             Operation::Enable(name) => (self.maintenance.enable(&name)?, Some((name, false))),
         };
         if let (Some(notices), Some((name, disabled))) = (&self.outputs.local_notices, notice) {
-            let _ = notices.send(LocalNotice::Published(Subject::Server(name), disabled));
+            let _ = notices.send(LocalNotice::Published(Subject::Backend(name), disabled));
         }
         if let Some(change) = change {
             self.apply_change(change, ListKind::Changes);
         }
-        Ok(BackendStatus { counts: self.limiter.backend_counts(self.now), disabled: self.maintenance.bans() })
+        Ok(BackendStatus {
+            counts: self.limiter.backend_counts(self.now),
+            disabled: self.maintenance.disabled(),
+        })
     }
 
     /// Applies a list from discovery, without the backends that operators have disabled.
     fn apply_list(&mut self, list: BackendList, kind: ListKind) {
-        let list = self.maintenance.listed(list);
+        let list = self.maintenance.apply_list(list);
         self.apply_change(list, kind);
     }
 
     /// Restricts a list, or changes to it, to this ingress's subset and publishes the result.
     fn apply_change(&mut self, list: BackendList, kind: ListKind) {
         let list = match &mut self.subset {
-            Some(subset) => subset.listed(self.now, list),
+            Some(subset) => subset.apply_list(self.now, list),
             None => list,
         };
         self.publish_list(list, kind);
@@ -509,7 +513,7 @@
             _ => {}
         }
         if let Some(witness) = &self.outputs.witness {
-            witness.ended(ended.backend, outcome);
+            witness.record(ended.backend, outcome);
         }
         let closed = self.requests.get(&id).is_none_or(|request| request.client.is_none());
         let elapsed = ended.answered_at.unwrap_or(self.now) - ended.sent_at;
--- a/src/node.rs
+++ b/src/node.rs
@@ -19,8 +19,8 @@
 use crate::fronts::ext_authz::{Check, Front};
 use crate::fronts::platform;
 use crate::interface::{AttemptEnd, Millis};
-use crate::maintenance::{Maintenance, read_bans};
-use crate::membership::traffic::Witness;
+use crate::maintenance::{Maintenance, decode_disabled};
+use crate::membership::connection_failures::FailureMonitor;
 use crate::net::budget::{MemoryBudget, PredecessorConnections};
 use crate::net::client_side::{Answer, ClientSide, Links, Question};
 use crate::net::counter::Counter;
@@ -138,7 +138,7 @@
 /// read is ignored.
 fn load_disabled(path: &Path, log: &Logger) -> Vec<String> {
     match std::fs::read(path) {
-        Ok(bytes) => match std::str::from_utf8(&bytes).ok().and_then(read_bans) {
+        Ok(bytes) => match std::str::from_utf8(&bytes).ok().and_then(decode_disabled) {
             Some(disabled) => disabled,
             None => {
                 warn!(log, "a file of bans was passed over"; "path" => %path.display());
@@ -216,7 +216,7 @@
         instance: &Instance,
         ways: &watch::Receiver<Ways>,
         known: Option<BackendList>,
-        (max_requests, witness): (usize, Option<Rc<Witness>>),
+        (max_requests, witness): (usize, Option<Rc<FailureMonitor>>),
         (peers, role): (Option<UdpSocket>, Role),
         log: &Logger,
     ) -> io::Result<Self> {
@@ -274,8 +274,8 @@
             let me = Identity {
                 name: instance.name.clone(),
                 number: site.settings.ingress.0,
-                at: fleet.advertise,
-                born: now as u64,
+                address: fleet.advertise,
+                started_at: now as u64,
             };
             let fleet_id = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
             let cluster =
@@ -283,23 +283,25 @@
             let cluster: SharedCluster = Rc::new(RefCell::new(cluster));
             let transport = Transport {
                 cluster: cluster.clone(),
-                at: fleet.listen,
+                listen: fleet.listen,
                 role: role.subscribe(),
                 phase: phase.subscribe(),
                 local_notices: notices_receiver,
                 drain: drain.clone(),
-                file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
+                notices_file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
                 deadlines: deadlines.clone(),
                 log: log.clone(),
             };
             let (exchange, recovery) = (exchange.clone(), recovery.clone());
             spawn_local(transport.run(move |event| {
-                if let ClusterEvent::Living(live) = &event {
+                if let ClusterEvent::LiveIngresses(live) = &event {
                     recovery.record(RecoveryEvent::FleetView(live.is_some()));
                 }
                 exchange.send(match event {
-                    ClusterEvent::Living(live) => EngineEvent::LiveIngresses(live),
-                    ClusterEvent::Server(name, disabled) => EngineEvent::DisabledElsewhere(name, disabled),
+                    ClusterEvent::LiveIngresses(live) => EngineEvent::LiveIngresses(live),
+                    ClusterEvent::BackendDisabled(name, disabled) => {
+                        EngineEvent::DisabledElsewhere(name, disabled)
+                    }
                 })
             }));
             let _ = local_notices.send(LocalNotice::Restored(disabled.clone()));
@@ -312,7 +314,7 @@
             counter_timeout: site.settings.counter_timeout,
             retry_after: site.max_retry_after,
         };
-        let maintenance = Maintenance::with(disabled);
+        let maintenance = Maintenance::with_disabled(disabled);
         let subset =
             instance.subset.map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
         let engine =
@@ -391,7 +393,7 @@
         instance: &Instance,
         consul: Arc<Consul>,
         ways: &watch::Receiver<Ways>,
-        witness: Rc<Witness>,
+        witness: Rc<FailureMonitor>,
         log: &Logger,
     ) {
         let watch = Watch {
@@ -481,7 +483,7 @@
     let outgoing_peers = peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?;
     let role = if link.is_some() { Role::Standby } else { Role::Active };
     let peers = peers.map(UdpSocket::from_std).transpose()?;
-    let witness = matches!(source, Source::Consul(_)).then(Rc::<Witness>::default);
+    let witness = matches!(source, Source::Consul(_)).then(Rc::<FailureMonitor>::default);
     let engine_options = (clients, witness.clone());
     let mut core =
         Core::<Question, Answer>::start(&instance, &ways, known, engine_options, (peers, role), &log).await?;
@@ -592,7 +594,7 @@
     let peers = peers.map(|at| bind_peers(&instance, at)).transpose()?;
     let peers = peers.map(UdpSocket::from_std).transpose()?;
     let peers_and_role = (peers, Role::Active);
-    let witness = Rc::<Witness>::default();
+    let witness = Rc::<FailureMonitor>::default();
     let engine_options = (max_checks, Some(witness.clone()));
     let mut core =
         Core::<Check, Bytes>::start(&instance, &ways, None, engine_options, peers_and_role, &log).await?;
--- a/trials/src/rig.rs
+++ b/trials/src/rig.rs
@@ -531,12 +531,12 @@
         let from = Identity {
             name: format!("n{ingress}"),
             number: u16::try_from(ingress).unwrap_or_default(),
-            at: self.membership_relay.advertised[ingress],
-            born: now + ahead,
+            address: self.membership_relay.advertised[ingress],
+            started_at: now + ahead,
         };
         let (claims, notices) = (Vec::new(), Vec::new());
-        let packet = Packet { from, incarnation: 0, body: Body::News, claims, notices, digest: 0 };
-        if let Some(bytes) = packet.write(fleet_key("trial")) {
+        let packet = Packet { from, incarnation: 0, body: Body::View, claims, notices, notices_digest: 0 };
+        if let Some(bytes) = packet.encode(fleet_key("trial")) {
             self.membership_relay.send_forged(ingress, &bytes).await;
         }
     }
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -3,7 +3,7 @@
 
 use serde_json::json;
 use std::fmt::Write;
-use weldhub::entries::{BackendList, Places};
+use weldhub::entries::{BackendList, TopologyNames};
 use weldhub::interface::{
     Class, ClassId, ColdStart, CustomerId, DedupScope, IngressId, Plan, PlanId, Request, RequestId,
     RetrySafety, Settings, ZoneId,
@@ -62,9 +62,9 @@
 }
 
 /// Returns the names of the installation's zones and kinds of machine.
-pub fn places() -> Places {
+pub fn places() -> TopologyNames {
     let zones = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
-    Places { zones, kinds: vec!["gen-a".into(), "gen-b".into()] }
+    TopologyNames { zones, kinds: vec!["gen-a".into(), "gen-b".into()] }
 }
 
 /// Returns the discovery entry of one backend.
--- a/trials/src/scale/fleet.rs
+++ b/trials/src/scale/fleet.rs
@@ -122,7 +122,7 @@
 
 fn identity(ingress: usize) -> Identity {
     let name = format!("ingress-{ingress:04}");
-    Identity { name, number: ingress as u16, at: address(ingress), born: START_MILLIS as u64 }
+    Identity { name, number: ingress as u16, address: address(ingress), started_at: START_MILLIS as u64 }
 }
 
 /// Converts simulated time to the time of the ingresses' clock, in milliseconds.
@@ -209,7 +209,7 @@
             // The program's transport makes both of these calls after each datagram and each timer, so they
             // are part of the measured CPU time.
             let due_millis = self.ingresses[ingress].due();
-            drop(self.ingresses[ingress].living());
+            drop(self.ingresses[ingress].live_ingresses());
             self.cpu_micros += (thread_cpu_time() - cpu_before).as_secs_f64() * 1e6;
             // A clock time in milliseconds is not exact to the microsecond; the one added keeps the timer
             // from expiring early.
@@ -228,8 +228,8 @@
         for action in actions {
             match action {
                 Action::Send(to, bytes) => self.send(ingress, ingress_at(to), bytes),
-                Action::Changed(_, _, State::Dead) => self.false_deaths += 1,
-                Action::NoticeChanged(Subject::Server(name), true) => {
+                Action::StateChanged(_, _, State::Dead) => self.false_deaths += 1,
+                Action::NoticeChanged(Subject::Backend(name), true) => {
                     if let Some(notice) = self.notices.get_mut(&name) {
                         notice.ingresses += 1;
                         notice.last_received_micros = self.now_micros;
@@ -273,7 +273,7 @@
             self.notices.insert(name.clone(), progress);
             let mut actions = Vec::new();
             let now_millis = clock_millis(self.now_micros);
-            self.ingresses[ingress].publish(now_millis, Subject::Server(name), true, &mut actions);
+            self.ingresses[ingress].publish(now_millis, Subject::Backend(name), true, &mut actions);
             self.perform(ingress, actions);
             let next_micros =
                 started_micros + (notice as u64 + 1) * NOTICE_SECONDS * MICROS_PER_SECOND / count as u64;
@@ -308,12 +308,12 @@
             let packet = Packet {
                 from: identity(from),
                 incarnation: 0,
-                body: Body::News,
+                body: Body::View,
                 claims: claims.to_vec(),
                 notices: Vec::new(),
-                digest: 0,
+                notices_digest: 0,
             };
-            if let Some(bytes) = packet.write(fleet_key(FLEET_NAME)) {
+            if let Some(bytes) = packet.encode(fleet_key(FLEET_NAME)) {
                 ingress.receive(START_MILLIS, address(from), &bytes, &mut Vec::new());
             }
         }
--- a/trials/src/scale/pipeline.rs
+++ b/trials/src/scale/pipeline.rs
@@ -53,9 +53,9 @@
     pub fn apply_list(&mut self, now: Millis, list: BackendList) -> HeapGrowth {
         let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
         let (list, above) = measure(|| {
-            let list = self.maintenance.listed(list);
+            let list = self.maintenance.apply_list(list);
             match &mut self.subset {
-                Some(subset) => subset.listed(now, list),
+                Some(subset) => subset.apply_list(now, list),
                 None => list,
             }
         });
--- a/trials/src/scale/subsets.rs
+++ b/trials/src/scale/subsets.rs
@@ -63,7 +63,7 @@
 /// Returns the subset that one ingress of a fleet computes from a full list.
 fn new_subset(ingress: usize, ingresses: usize, subset_size: usize, list: &BackendList) -> Subset {
     let mut subset = Subset::new(IngressId(ingress as u16), ingresses as u16, subset_size);
-    subset.listed(0.0, list.clone());
+    subset.apply_list(0.0, list.clone());
     subset
 }
 
@@ -77,18 +77,19 @@
     let survivors: Vec<bool> = (0..ingresses).map(|ingress| ingress % ZONES != 0).collect();
     for ingress in 0..ingresses {
         let mut subset = new_subset(ingress, ingresses, subset_size, list);
-        let held: BTreeSet<BackendId> = subset.held().collect();
+        let held: BTreeSet<BackendId> = subset.ready_backends().collect();
         subsets.sizes.push(held.len());
         for id in &held {
             *subsets.holders.entry(*id).or_default() += 1;
             *subsets.load.entry(*id).or_default() += 1.0 / held.len() as f64;
         }
         if survivors[ingress] {
-            subset.living(Some(&survivors));
-            subsets.moved_by_zone += subset.held().filter(|id| !held.contains(id)).count();
-            subset.living(None);
+            subset.set_live_ingresses(Some(&survivors));
+            subsets.moved_by_zone += subset.ready_backends().filter(|id| !held.contains(id)).count();
+            subset.set_live_ingresses(None);
         }
-        subsets.moved_by_backend += usize::from(!subset.listed(1.0, withdrawal.clone()).entries.is_empty());
+        subsets.moved_by_backend +=
+            usize::from(!subset.apply_list(1.0, withdrawal.clone()).entries.is_empty());
     }
     subsets
 }
