--- a/src/fronts/ext_authz/authorisers.rs
+++ b/src/fronts/ext_authz/authorisers.rs
@@ -7,8 +7,8 @@
 use crate::deadlines::Deadlines;
 use crate::exchange::{ClientSideCommand, Exchange};
 use crate::interface::*;
+use crate::net::attempts::{AttemptResult, Attempts, Job, Stage};
 use crate::net::http::BODY;
-use crate::net::schedulings::{Ending, Job, Schedulings, Stage};
 use crate::net::stream::connect;
 use crate::stats::Stats;
 use bytes::Bytes;
@@ -49,7 +49,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    schedulings: Schedulings<Check, Bytes, Link>,
+    attempts: Attempts<Check, Bytes, Link>,
     deadlines: Deadlines,
     site: Site,
     stats: Arc<Stats>,
@@ -69,7 +69,7 @@
         stats: Arc<Stats>,
         log: Logger,
     ) -> Self {
-        Self(Rc::new(Inner { schedulings: Schedulings::new(exchange), deadlines, site, stats, log }))
+        Self(Rc::new(Inner { attempts: Attempts::new(exchange), deadlines, site, stats, log }))
     }
 
     /// Carries out orders until there are no more.
@@ -78,18 +78,18 @@
             let side = self.0.clone();
             spawn_local(async move {
                 let id = job.id;
-                let given_up = &mut job.given_up;
+                let cancelled = &mut job.cancelled;
                 tokio::select! {
                     biased;
                     // What is given up is dropped, which resets its stream.
-                    _ = given_up => {}
-                    ending = side.carry(server, &job.question, (job.wait, job.by), &job.stage) => {
-                        side.schedulings.ended(id, ending);
+                    _ = cancelled => {}
+                    ending = side.carry(server, &job.question, (job.timeout, job.send_by), &job.stage) => {
+                        side.attempts.finish(id, ending);
                     }
                 }
             });
         };
-        self.0.schedulings.run(orders, start).await;
+        self.0.attempts.run(orders, start).await;
     }
 }
 
@@ -109,20 +109,21 @@
         check: &Check,
         (wait, by): (Millis, Option<Millis>),
         stage: &Cell<Stage>,
-    ) -> Ending<Bytes> {
-        let pool = self.schedulings.pools.borrow().get(&server).map(|pool| (pool.at, pool.kept.clone()));
-        let Some((at, link)) = pool else { return Ending::badly(Outcome::ConnectFailed) };
+    ) -> AttemptResult<Bytes> {
+        let pool =
+            self.attempts.pools.borrow().get(&server).map(|pool| (pool.address, pool.connections.clone()));
+        let Some((at, link)) = pool else { return AttemptResult::failed(Outcome::ConnectFailed) };
         if link.out.get() >= STREAMS {
-            return Ending::badly(Outcome::Rejected);
+            return AttemptResult::failed(Outcome::Rejected);
         }
         link.out.set(link.out.get() + 1);
         let _out = Out(link.out.clone());
         let Some(sender) = self.open(&link, at).await else {
-            return Ending::badly(Outcome::ConnectFailed);
+            return AttemptResult::failed(Outcome::ConnectFailed);
         };
         // Prevents a repeat that waited for its connection from running too late.
         if by.is_some_and(|by| by <= self.deadlines.clock().now()) {
-            return Ending::badly(Outcome::ConnectFailed);
+            return AttemptResult::failed(Outcome::ConnectFailed);
         }
         let mut request = tonic::Request::new(check.message.clone());
         *request.metadata_mut() = check.metadata.clone();
@@ -132,11 +133,15 @@
         self.stats.written();
         match call(sender, at, request).await {
             // Garbage is no verdict.
-            Ok(answer) if CheckResponse::decode(answer.clone()).is_err() => Ending::badly(Outcome::Error),
-            Ok(answer) => Ending { outcome: Outcome::Served, load: Load::default(), answer: Some(answer) },
+            Ok(answer) if CheckResponse::decode(answer.clone()).is_err() => {
+                AttemptResult::failed(Outcome::Error)
+            }
+            Ok(answer) => {
+                AttemptResult { outcome: Outcome::Served, load: Load::default(), answer: Some(answer) }
+            }
             Err((outcome, status)) => {
                 debug!(self.log, "a check failed"; "authoriser" => %at, "status" => %status);
-                Ending::badly(outcome)
+                AttemptResult::failed(outcome)
             }
         }
     }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -1,10 +1,10 @@
 //! The client side: carries schedulings to real servers over pools of connections, one at a time on each, and
 //! reports how each ended, once. Nothing is ever sent a second time here.
 
+use super::attempts::{AttemptId, AttemptResult, Attempts, Job, Pool, Stage};
 use super::budget::{Budget, Elsewhere};
 use super::http::{BODY, Bad, Body, Head, Kind, MESSAGE, peek_head};
 use super::pieces::{self, Once, PIECE, Piece, Pieces};
-use super::schedulings::{Ending, Id, Job, Pool, Schedulings, Stage};
 use super::server_side::Role;
 use super::stream::{connect, read_more};
 use crate::config::Site;
@@ -93,7 +93,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    schedulings: Schedulings<Question, Answer, Idle>,
+    attempts: Attempts<Question, Answer, Idle>,
     links: Links,
     most: usize,
     budget: Budget,
@@ -118,8 +118,8 @@
         links: Links,
         log: Logger,
     ) -> Self {
-        let schedulings = Schedulings::new(exchange);
-        Self(Rc::new(Inner { schedulings, links, most, budget, deadlines, site, stats, log }))
+        let attempts = Attempts::new(exchange);
+        Self(Rc::new(Inner { attempts, links, most, budget, deadlines, site, stats, log }))
     }
 
     /// Carries out orders until there are no more.
@@ -134,7 +134,7 @@
             }
             std::future::pending().await
         };
-        let orders = self.0.schedulings.run(orders, |server, job| Inner::start(&self.0, server, job));
+        let orders = self.0.attempts.run(orders, |server, job| Inner::start(&self.0, server, job));
         tokio::select! {
             () = orders => {}
             () = adopting => {}
@@ -144,33 +144,33 @@
 
 impl Inner {
     fn start(this: &Rc<Self>, server: BackendId, mut job: Work) {
-        let mut pools = this.schedulings.pools.borrow_mut();
+        let mut pools = this.attempts.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else {
-            return this.schedulings.ended(job.id, Ending::badly(Outcome::ConnectFailed));
+            return this.attempts.finish(job.id, AttemptResult::failed(Outcome::ConnectFailed));
         };
         // The one that was used last of those that have rested: others grow old and close.
         let rested = this.deadlines.clock().now() - REST;
-        while let Some(i) = pool.kept.iter().rposition(|idle| idle.since <= rested) {
+        while let Some(i) = pool.connections.iter().rposition(|idle| idle.since <= rested) {
             // One that has just ended gives the job back, unwritten.
-            match pool.kept.remove(i).next.send(job) {
+            match pool.connections.remove(i).next.send(job) {
                 Ok(()) => return,
                 Err(back) => job = back,
             }
         }
-        let at = pool.at;
+        let at = pool.address;
         // What another process still holds counts here, too, but must not take all.
         let most = this.most - this.links.elsewhere.get().min(this.most * 3 / 4);
         if this.links.open.get() >= most && !evict(&mut pools) {
             debug!(this.log, "no descriptor for a connection to a real server"; "real_server" => %at);
             // Prevents a real server from being taken for unreachable, or full, for want of room here.
-            return this.schedulings.ended(job.id, Ending::badly(Outcome::NotSent));
+            return this.attempts.finish(job.id, AttemptResult::failed(Outcome::NotSent));
         }
         spawn_local(connection(Open::new(this), server, at, job));
     }
 
     /// Keeps an idle connection that another process had.
     fn adopt(this: &Rc<Self>, server: BackendId, stream: TcpStream) {
-        let at = this.schedulings.pools.borrow().get(&server).map(|pool| pool.at);
+        let at = this.attempts.pools.borrow().get(&server).map(|pool| pool.address);
         if let Some(at) = at.filter(|at| stream.peer_addr().is_ok_and(|peer| peer == *at))
             && let Some(next) = this.park(server, at, this.deadlines.clock().now())
         {
@@ -180,20 +180,23 @@
 
     /// Puts a connection by that has been idle since then; none where its real server is not to have any.
     fn park(&self, server: BackendId, at: SocketAddr, since: Millis) -> Option<oneshot::Receiver<Work>> {
-        let mut pools = self.schedulings.pools.borrow_mut();
-        let pool = pools.get_mut(&server).filter(|pool| pool.at == at)?;
+        let mut pools = self.attempts.pools.borrow_mut();
+        let pool = pools.get_mut(&server).filter(|pool| pool.address == at)?;
         let (next, coming) = oneshot::channel();
-        pool.kept.retain(|idle| !idle.next.is_closed());
-        let place = pool.kept.partition_point(|idle| idle.since <= since);
-        pool.kept.insert(place, Resting { since, next });
+        pool.connections.retain(|idle| !idle.next.is_closed());
+        let place = pool.connections.partition_point(|idle| idle.since <= since);
+        pool.connections.insert(place, Resting { since, next });
         Some(coming)
     }
 }
 
 /// Closes the oldest idle connection of the pool that has most; false where none is idle.
 fn evict(pools: &mut BTreeMap<BackendId, Pool<Idle>>) -> bool {
-    let most = pools.values_mut().max_by_key(|pool| pool.kept.len()).filter(|pool| !pool.kept.is_empty());
-    most.map(|pool| pool.kept.remove(0)).is_some()
+    let most = pools
+        .values_mut()
+        .max_by_key(|pool| pool.connections.len())
+        .filter(|pool| !pool.connections.is_empty());
+    most.map(|pool| pool.connections.remove(0)).is_some()
 }
 
 /// An open connection's share in the count.
@@ -214,7 +217,7 @@
 
 /// A job as a connection carries it.
 struct Carried<'a> {
-    id: Id,
+    id: AttemptId,
     question: &'a Question,
     wait: Millis,
     by: Option<Millis>,
@@ -222,10 +225,10 @@
 }
 
 /// How a job went on a connection, and whether that can carry another.
-type Went = (Ending<Answer>, bool);
+type Went = (AttemptResult<Answer>, bool);
 
 fn badly(outcome: Outcome) -> Went {
-    (Ending::badly(outcome), false)
+    (AttemptResult::failed(outcome), false)
 }
 
 /// What follows on a connection.
@@ -247,12 +250,12 @@
     let within = within.min(side.site.connect_timeout);
     let connected = tokio::select! {
         biased;
-        _ = &mut job.given_up => return,
+        _ = &mut job.cancelled => return,
         connected = side.deadlines.within(within, connect(at)) => connected,
     };
     match connected {
         Some(Ok(stream)) => life(open, (server, at), stream, Then::Carry(job)).await,
-        _ => side.schedulings.ended(job.id, Ending::badly(Outcome::ConnectFailed)),
+        _ => side.attempts.finish(job.id, AttemptResult::failed(Outcome::ConnectFailed)),
     }
 }
 
@@ -263,16 +266,16 @@
     loop {
         then = match then {
             Then::Carry(mut job) => {
-                let Job { id, ref question, wait, by, ref stage, .. } = job;
+                let Job { id, ref question, timeout: wait, send_by: by, ref stage, .. } = job;
                 let carried = Carried { id, question, wait, by, stage };
                 let (ending, reusable) = tokio::select! {
                     biased;
-                    _ = &mut job.given_up => return,
+                    _ = &mut job.cancelled => return,
                     went = side.carry(&mut stream, &mut buffer, at, &carried) => went,
                 };
                 let now = side.deadlines.clock().now();
                 let next = if reusable { side.park(server, at, now) } else { None };
-                side.schedulings.ended(job.id, ending);
+                side.attempts.finish(job.id, ending);
                 next.map_or(Then::End, Then::Wait)
             }
             Then::Wait(next) => wait(&side, server, &mut stream, &mut buffer, next).await,
@@ -414,7 +417,13 @@
     }
 
     /// Reads an answer: a short one whole, of a long one the first pieces go on while the others come.
-    async fn hear(&self, stream: &mut TcpStream, buffer: &mut BytesMut, id: Id, question: &Question) -> Went {
+    async fn hear(
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut BytesMut,
+        id: AttemptId,
+        question: &Question,
+    ) -> Went {
         let (mut held, mut ahead) = (self.budget.hold(), 0);
         let head = loop {
             match peek_head(buffer, Kind::Response) {
@@ -487,7 +496,7 @@
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        id: Id,
+        id: AttemptId,
         head: &Head,
         (mut body, first): (Body, Bytes),
     ) -> Went {
@@ -495,10 +504,10 @@
         let load = load(head, &self.site.load_names);
         let answer =
             Answer { body: first, content_type: kind(head), length: head.length(), rest: Some(rest) };
-        if !self.schedulings.began(id, answer) {
+        if !self.attempts.answer_started(id, answer) {
             return badly(Outcome::Cancelled);
         }
-        let end = |outcome| Ending { outcome, load, answer: None };
+        let end = |outcome| AttemptResult { outcome, load, answer: None };
         loop {
             match body.take(buffer, PIECE) {
                 Ok(Some(data)) => {
@@ -565,7 +574,7 @@
     let known = matches!(head.status(), 200 | 500 | 503 | 504);
     let reusable = !head.close && nothing_left && known;
     let answer = Answer { body, content_type: kind(head), length: head.length(), rest: None };
-    (Ending { outcome, load, answer: (outcome == Outcome::Served).then_some(answer) }, reusable)
+    (AttemptResult { outcome, load, answer: (outcome == Outcome::Served).then_some(answer) }, reusable)
 }
 
 /// The load report that an answer carries, as far as it can be read.
--- a/tests/schedulings.rs
+++ b/tests/schedulings.rs
@@ -8,7 +8,7 @@
 use weldhub::entries::{BackendList, backend_id};
 use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
-use weldhub::net::schedulings::{Job, Schedulings, Stage};
+use weldhub::net::attempts::{Attempts, Job, Stage};
 
 fn list(state: BackendState) -> BackendList {
     let mut list = one_ready("s1", "127.0.0.1:1".parse().unwrap());
@@ -19,7 +19,7 @@
 /// Starts a scheduling that has come to this stage, then does what `then` orders.
 async fn outcome(stage: Stage, then: ClientSideCommand<()>) -> (Option<Outcome>, bool) {
     let (exchange, mut news) = Exchange::<(), ()>::new();
-    let schedulings = Schedulings::<(), (), ()>::new(exchange);
+    let attempts = Attempts::<(), (), ()>::new(exchange);
     let (orders, ordered) = mpsc::unbounded_channel();
     let start = ClientSideCommand::Start {
         request: RequestId(1),
@@ -40,20 +40,20 @@
         started.stage.set(stage);
         job.set(Some(started));
     };
-    schedulings.run(ordered, take).await;
-    let given_up = job.into_inner().unwrap().given_up.try_recv();
+    attempts.run(ordered, take).await;
+    let cancelled = job.into_inner().unwrap().cancelled.try_recv();
     let first = match news.try_recv() {
         Ok(EngineEvent::AttemptEnded(report)) => Some(report.outcome),
         _ => None,
     };
     assert!(news.try_recv().is_err(), "one end each");
-    (first, given_up == Err(oneshot::error::TryRecvError::Closed))
+    (first, cancelled == Err(oneshot::error::TryRecvError::Closed))
 }
 
 #[tokio::test]
 async fn nothing_that_waits_starts_on_a_drained_real_server_and_what_was_written_goes_on() {
     let drain = || ClientSideCommand::BackendList(list(BackendState::Draining));
-    assert_eq!(outcome(Stage::Waiting, drain()).await, (Some(Outcome::ConnectFailed), true));
+    assert_eq!(outcome(Stage::Connecting, drain()).await, (Some(Outcome::ConnectFailed), true));
     // The last order cancels it: the drain had left it alone.
     assert_eq!(outcome(Stage::Written, drain()).await, (Some(Outcome::Cancelled), true));
 }
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn what_was_not_written_whole_has_never_run() {
     let time_out = || ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(0), Outcome::TimedOut);
-    assert_eq!(outcome(Stage::Waiting, time_out()).await.0, Some(Outcome::ConnectFailed));
+    assert_eq!(outcome(Stage::Connecting, time_out()).await.0, Some(Outcome::ConnectFailed));
     assert_eq!(outcome(Stage::Writing, time_out()).await.0, Some(Outcome::ConnectFailed));
     assert_eq!(outcome(Stage::Written, time_out()).await.0, Some(Outcome::TimedOut));
 }
