--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -99,7 +99,7 @@
     let id = passed.slice(at);
     Ok(ParsedRequest::Request(
         terms,
-        Question { head: passed, body, bodiless, length: head.length(), rest: None },
+        Question { head: passed, body, expects_no_body: bodiless, content_length: head.length(), rest: None },
         id,
     ))
 }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -1,5 +1,5 @@
-//! The client side: carries schedulings to real servers over pools of connections, one at a time on each, and
-//! reports how each ended, once. Nothing is ever sent a second time here.
+//! The client side of the platform's front: sends attempts to backends over pools of HTTP/1.1 connections, one at a
+//! time on each connection, and reports the end of every attempt exactly once. It never retries.
 
 use super::attempts::{AttemptId, AttemptResult, Attempts, Job, Pool, Stage};
 use super::budget::{Budget, Elsewhere};
@@ -27,75 +27,76 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
-/// An idle connection is closed after this part of the time after which a real server may close it.
-const IDLE_PART: f64 = 0.8;
-/// A connection carries nothing for so long after an answer. Prevents a second answer, which some real servers give
-/// milliseconds later (4 at the most were seen), from being taken for that of the next flow: nothing tells whose it is.
-const REST: Millis = 20.0;
-/// An answer whose length is not told is taken whole if it comes within this, or else passes on as it comes.
-const PATIENCE: Millis = 150.0;
-/// An answer that passes on and brings nothing for so long has broken off.
-const SILENT: Millis = 15_000.0;
-
-/// What is asked of a real server: the head up to its last fields, and the body.
+/// An idle connection closes after this fraction of [`Site::conn_idle`], the time after which a backend may close it.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// How long a connection rests after an answer before it is used again, in milliseconds. Some backends send a second
+/// answer up to 4 ms after the first; nothing tells which request it belongs to, so without the rest it would be
+/// taken for the answer to the next one.
+const MIN_REST: Millis = 20.0;
+/// How long an answer of unknown length is collected, in milliseconds, before it is passed on as it comes.
+const UNKNOWN_LENGTH_WAIT: Millis = 150.0;
+/// An answer that is passed on as it comes counts as broken off after this many milliseconds without data.
+const STREAM_READ_TIMEOUT: Millis = 15_000.0;
+
+/// A request as it is sent to a backend.
 #[derive(Debug, Clone)]
 pub struct Question {
-    /// Request line and the fields that pass on, each line with its end.
+    /// The request line and the header fields that are passed on, each line with its end. `Host`,
+    /// `Request-Timeout-Ms` and the empty line are added for each attempt.
     pub head: Bytes,
-    /// The body, or what has come of it.
+    /// The body, or the part of it that has been received.
     pub body: Bytes,
-    /// The answer has no body, whatever its head says: it is to HEAD.
-    pub bodiless: bool,
-    /// How long the body is; where that is not told ahead, its rest goes on in chunks.
-    pub length: Option<usize>,
-    /// What is still to come of the body.
+    /// The request is a `HEAD`: the answer has no body, whatever its header says.
+    pub expects_no_body: bool,
+    /// The length of the body in bytes. `None` if it is not known ahead; `rest` is then sent in chunks.
+    pub content_length: Option<usize>,
+    /// The part of the body that is still to come. `None` if `body` is complete.
     pub rest: Option<Once>,
 }
 
-/// A real server's answer.
+/// The answer of a backend.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its body, as it came, or the first of it.
+    /// The body without its framing, or the first part of it.
     pub body: Bytes,
-    /// What the body is.
+    /// The value of `Content-Type`.
     pub content_type: Option<Bytes>,
-    /// How long the body is, where that is told.
-    pub length: Option<usize>,
-    /// What is still to come of the body.
+    /// The length of the body in bytes. `None` if the backend does not announce it.
+    pub content_length: Option<usize>,
+    /// The part of the body that is still to come. `None` if `body` is complete.
     pub rest: Option<Pieces>,
 }
 
-type Flows = Exchange<Question, Answer>;
-type Work = Job<Question>;
-/// The idle connections, the longest idle first.
-type Idle = Vec<Resting>;
+type BackendJob = Job<Question>;
+/// The idle connections to a backend, the longest idle first.
+type IdleConnections = Vec<IdleConnection>;
 
 /// An idle connection.
 #[derive(Debug)]
-struct Resting {
-    since: Millis,
-    /// The way to it; once this is dropped, the connection is closed.
-    next: oneshot::Sender<Work>,
+struct IdleConnection {
+    idle_since: Millis,
+    /// Gives the connection its next job. The connection closes when this is dropped.
+    next_job: oneshot::Sender<BackendJob>,
 }
 
-/// What passes between processes at one address.
+/// What the client side shares with another process at the same address during an upgrade.
 #[derive(Debug)]
-pub struct Links {
-    /// Whether this process decides.
+pub struct UpgradeLinks {
+    /// The role of this process.
     pub role: watch::Receiver<Role>,
-    /// Where idle connections go that another process is to have.
-    pub passing: mpsc::UnboundedSender<(BackendId, TcpStream)>,
-    /// What another process has still open.
-    pub elsewhere: Elsewhere,
-    /// What is open here.
-    pub open: Rc<Cell<usize>>,
+    /// Takes the idle connections that are handed over to the other process.
+    pub idle_connections: mpsc::UnboundedSender<(BackendId, TcpStream)>,
+    /// The number of connections to backends that the other process still has open.
+    pub open_elsewhere: Elsewhere,
+    /// The number of connections to backends that this process has open.
+    pub open_connections: Rc<Cell<usize>>,
 }
 
 #[derive(Debug)]
 struct Inner {
-    attempts: Attempts<Question, Answer, Idle>,
-    links: Links,
-    most: usize,
+    attempts: Attempts<Question, Answer, IdleConnections>,
+    links: UpgradeLinks,
+    max_connections: usize,
     budget: Budget,
     deadlines: Deadlines,
     site: Site,
@@ -108,275 +109,296 @@
 pub struct ClientSide(Rc<Inner>);
 
 impl ClientSide {
-    /// A client side that opens this many connections at the most, whose answers fit a budget.
+    /// Creates a client side that opens up to `max_connections` connections in all. `budget` bounds the memory that
+    /// buffered answers take.
     pub fn new(
-        exchange: Flows,
+        exchange: Exchange<Question, Answer>,
         deadlines: Deadlines,
         site: Site,
-        (most, budget): (usize, Budget),
+        (max_connections, budget): (usize, Budget),
         stats: Arc<Stats>,
-        links: Links,
+        links: UpgradeLinks,
         log: Logger,
     ) -> Self {
         let attempts = Attempts::new(exchange);
-        Self(Rc::new(Inner { attempts, links, most, budget, deadlines, site, stats, log }))
+        Self(Rc::new(Inner { attempts, links, max_connections, budget, deadlines, site, stats, log }))
     }
 
-    /// Carries out orders until there are no more.
+    /// Executes commands until their channel closes. `inherited` brings idle connections from the process before
+    /// this one.
     pub async fn run(
         self,
-        orders: mpsc::UnboundedReceiver<ClientSideCommand<Question>>,
-        mut passed: mpsc::UnboundedReceiver<(BackendId, TcpStream)>,
+        commands: mpsc::UnboundedReceiver<ClientSideCommand<Question>>,
+        mut inherited: mpsc::UnboundedReceiver<(BackendId, TcpStream)>,
     ) {
         let adopting = async {
-            while let Some((server, stream)) = passed.recv().await {
-                Inner::adopt(&self.0, server, stream);
+            while let Some((backend, stream)) = inherited.recv().await {
+                Inner::adopt(&self.0, backend, stream);
             }
             std::future::pending().await
         };
-        let orders = self.0.attempts.run(orders, |server, job| Inner::start(&self.0, server, job));
+        let executing = self.0.attempts.run(commands, |backend, job| Inner::start(&self.0, backend, job));
         tokio::select! {
-            () = orders => {}
+            () = executing => {}
             () = adopting => {}
         }
     }
 }
 
 impl Inner {
-    fn start(this: &Rc<Self>, server: BackendId, mut job: Work) {
+    /// Starts a job on an idle connection to the backend, or on a new one.
+    fn start(this: &Rc<Self>, backend: BackendId, mut job: BackendJob) {
         let mut pools = this.attempts.pools.borrow_mut();
-        let Some(pool) = pools.get_mut(&server) else {
+        let Some(pool) = pools.get_mut(&backend) else {
             return this.attempts.finish(job.id, AttemptResult::failed(Outcome::ConnectFailed));
         };
-        // The one that was used last of those that have rested: others grow old and close.
-        let rested = this.deadlines.clock().now() - REST;
-        while let Some(i) = pool.connections.iter().rposition(|idle| idle.since <= rested) {
-            // One that has just ended gives the job back, unwritten.
-            match pool.connections.remove(i).next.send(job) {
+        // Prefers the connection that was used last, so that those beyond the need grow old and close.
+        let idle_before = this.deadlines.clock().now() - MIN_REST;
+        while let Some(i) = pool.connections.iter().rposition(|idle| idle.idle_since <= idle_before) {
+            // A connection that has just closed gives the job back, unwritten.
+            match pool.connections.remove(i).next_job.send(job) {
                 Ok(()) => return,
-                Err(back) => job = back,
+                Err(returned) => job = returned,
             }
         }
-        let at = pool.address;
-        // What another process still holds counts here, too, but must not take all.
-        let most = this.most - this.links.elsewhere.get().min(this.most * 3 / 4);
-        if this.links.open.get() >= most && !evict(&mut pools) {
-            debug!(this.log, "no descriptor for a connection to a real server"; "real_server" => %at);
-            // Prevents a real server from being taken for unreachable, or full, for want of room here.
+        let address = pool.address;
+        // Connections of the other process count against the limit, but for no more than three quarters of it.
+        let max_connections =
+            this.max_connections - this.links.open_elsewhere.get().min(this.max_connections * 3 / 4);
+        if this.links.open_connections.get() >= max_connections && !evict(&mut pools) {
+            debug!(this.log, "no descriptor for a connection to a real server"; "real_server" => %address);
+            // Prevents the backend from being taken for unreachable or full when the limit here is the reason.
             return this.attempts.finish(job.id, AttemptResult::failed(Outcome::NotSent));
         }
-        spawn_local(connection(Open::new(this), server, at, job));
+        spawn_local(open_connection(OpenConnection::new(this), backend, address, job));
     }
 
-    /// Keeps an idle connection that another process had.
-    fn adopt(this: &Rc<Self>, server: BackendId, stream: TcpStream) {
-        let at = this.attempts.pools.borrow().get(&server).map(|pool| pool.address);
-        if let Some(at) = at.filter(|at| stream.peer_addr().is_ok_and(|peer| peer == *at))
-            && let Some(next) = this.park(server, at, this.deadlines.clock().now())
+    /// Takes an idle connection over from another process. Closes it if the backend is not ready at that address.
+    fn adopt(this: &Rc<Self>, backend: BackendId, stream: TcpStream) {
+        let address = this.attempts.pools.borrow().get(&backend).map(|pool| pool.address);
+        if let Some(address) = address.filter(|at| stream.peer_addr().is_ok_and(|peer| peer == *at))
+            && let Some(next_job) = this.park(backend, address, this.deadlines.clock().now())
         {
-            spawn_local(life(Open::new(this), (server, at), stream, Then::Wait(next)));
+            let open = OpenConnection::new(this);
+            spawn_local(run_connection(open, backend, address, stream, NextStep::Wait(next_job)));
         }
     }
 
-    /// Puts a connection by that has been idle since then; none where its real server is not to have any.
-    fn park(&self, server: BackendId, at: SocketAddr, since: Millis) -> Option<oneshot::Receiver<Work>> {
+    /// Puts a connection that has been idle since `idle_since` into the pool of its backend. Returns the channel that
+    /// brings its next job, or `None` if the backend is no longer ready at that address.
+    fn park(
+        &self,
+        backend: BackendId,
+        address: SocketAddr,
+        idle_since: Millis,
+    ) -> Option<oneshot::Receiver<BackendJob>> {
         let mut pools = self.attempts.pools.borrow_mut();
-        let pool = pools.get_mut(&server).filter(|pool| pool.address == at)?;
-        let (next, coming) = oneshot::channel();
-        pool.connections.retain(|idle| !idle.next.is_closed());
-        let place = pool.connections.partition_point(|idle| idle.since <= since);
-        pool.connections.insert(place, Resting { since, next });
-        Some(coming)
+        let pool = pools.get_mut(&backend).filter(|pool| pool.address == address)?;
+        let (next_job, coming_job) = oneshot::channel();
+        pool.connections.retain(|idle| !idle.next_job.is_closed());
+        let position = pool.connections.partition_point(|idle| idle.idle_since <= idle_since);
+        pool.connections.insert(position, IdleConnection { idle_since, next_job });
+        Some(coming_job)
     }
 }
 
-/// Closes the oldest idle connection of the pool that has most; false where none is idle.
-fn evict(pools: &mut BTreeMap<BackendId, Pool<Idle>>) -> bool {
-    let most = pools
+/// Closes the longest idle connection of the pool with the most idle connections. Returns `false` if no connection
+/// is idle.
+fn evict(pools: &mut BTreeMap<BackendId, Pool<IdleConnections>>) -> bool {
+    let largest = pools
         .values_mut()
         .max_by_key(|pool| pool.connections.len())
         .filter(|pool| !pool.connections.is_empty());
-    most.map(|pool| pool.connections.remove(0)).is_some()
+    largest.map(|pool| pool.connections.remove(0)).is_some()
 }
 
-/// An open connection's share in the count.
-struct Open(Rc<Inner>);
+/// Counts an open connection until it is dropped.
+struct OpenConnection(Rc<Inner>);
 
-impl Open {
+impl OpenConnection {
     fn new(side: &Rc<Inner>) -> Self {
-        side.links.open.set(side.links.open.get() + 1);
+        side.links.open_connections.set(side.links.open_connections.get() + 1);
         Self(side.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.links.open.set(self.0.links.open.get() - 1);
+        self.0.links.open_connections.set(self.0.links.open_connections.get() - 1);
     }
 }
 
-/// A job as a connection carries it.
-struct Carried<'a> {
+/// The parts of a job that carrying it needs, apart from its cancellation.
+struct CarriedJob<'a> {
     id: AttemptId,
     question: &'a Question,
-    wait: Millis,
-    by: Option<Millis>,
+    timeout: Millis,
+    send_by: Option<Millis>,
     stage: &'a Cell<Stage>,
 }
 
-/// How a job went on a connection, and whether that can carry another.
-type Went = (AttemptResult<Answer>, bool);
+/// The result of an attempt, and whether its connection can be used again.
+type CarryResult = (AttemptResult<Answer>, bool);
 
-fn badly(outcome: Outcome) -> Went {
+fn failed(outcome: Outcome) -> CarryResult {
     (AttemptResult::failed(outcome), false)
 }
 
-/// What follows on a connection.
-enum Then {
+/// What a connection does next.
+enum NextStep {
     /// It carries a job.
-    Carry(Work),
-    /// It waits for the next one.
-    Wait(oneshot::Receiver<Work>),
-    /// Another process is to have it.
-    Pass,
-    /// It ends.
-    End,
+    Carry(BackendJob),
+    /// It waits for the next job.
+    Wait(oneshot::Receiver<BackendJob>),
+    /// It is handed over to another process.
+    HandOver,
+    /// It closes.
+    Close,
 }
 
-/// Opens a connection for its first job.
-async fn connection(open: Open, server: BackendId, at: SocketAddr, mut job: Work) {
+/// Opens a connection for its first job, and runs it.
+async fn open_connection(open: OpenConnection, backend: BackendId, address: SocketAddr, mut job: BackendJob) {
     let side = open.0.clone();
-    let within = job.time_left(&side.deadlines.clock()).unwrap_or(f64::INFINITY);
-    let within = within.min(side.site.connect_timeout);
+    let timeout = job.time_left(&side.deadlines.clock()).unwrap_or(f64::INFINITY);
+    let timeout = timeout.min(side.site.connect_timeout);
     let connected = tokio::select! {
         biased;
         _ = &mut job.cancelled => return,
-        connected = side.deadlines.within(within, connect(at)) => connected,
+        connected = side.deadlines.within(timeout, connect(address)) => connected,
     };
     match connected {
-        Some(Ok(stream)) => life(open, (server, at), stream, Then::Carry(job)).await,
+        Some(Ok(stream)) => run_connection(open, backend, address, stream, NextStep::Carry(job)).await,
         _ => side.attempts.finish(job.id, AttemptResult::failed(Outcome::ConnectFailed)),
     }
 }
 
-/// A connection's life: jobs, and the time between them.
-async fn life(open: Open, (server, at): (BackendId, SocketAddr), mut stream: TcpStream, mut then: Then) {
+/// Runs a connection, from job to job, until it closes or is handed over.
+async fn run_connection(
+    open: OpenConnection,
+    backend: BackendId,
+    address: SocketAddr,
+    mut stream: TcpStream,
+    mut next_step: NextStep,
+) {
     let side = open.0.clone();
     let mut buffer = BytesMut::new();
     loop {
-        then = match then {
-            Then::Carry(mut job) => {
-                let Job { id, ref question, timeout: wait, send_by: by, ref stage, .. } = job;
-                let carried = Carried { id, question, wait, by, stage };
-                let (ending, reusable) = tokio::select! {
+        next_step = match next_step {
+            NextStep::Carry(mut job) => {
+                let Job { id, ref question, timeout, send_by, ref stage, .. } = job;
+                let carried = CarriedJob { id, question, timeout, send_by, stage };
+                let (result, reusable) = tokio::select! {
                     biased;
                     _ = &mut job.cancelled => return,
-                    went = side.carry(&mut stream, &mut buffer, at, &carried) => went,
+                    carried = side.carry(&mut stream, &mut buffer, address, &carried) => carried,
                 };
                 let now = side.deadlines.clock().now();
-                let next = if reusable { side.park(server, at, now) } else { None };
-                side.attempts.finish(job.id, ending);
-                next.map_or(Then::End, Then::Wait)
+                let next_job = if reusable { side.park(backend, address, now) } else { None };
+                side.attempts.finish(job.id, result);
+                next_job.map_or(NextStep::Close, NextStep::Wait)
+            }
+            NextStep::Wait(next_job) => {
+                wait_for_job(&side, backend, &mut stream, &mut buffer, next_job).await
             }
-            Then::Wait(next) => wait(&side, server, &mut stream, &mut buffer, next).await,
-            Then::Pass => return drop(side.links.passing.send((server, stream))),
-            Then::End => return,
+            NextStep::HandOver => return drop(side.links.idle_connections.send((backend, stream))),
+            NextStep::Close => return,
         };
     }
 }
 
-/// Waits on an idle connection for the next job that it is to carry.
-async fn wait(
+/// Waits on an idle connection for its next job.
+async fn wait_for_job(
     side: &Rc<Inner>,
-    server: BackendId,
+    backend: BackendId,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
-    mut next: oneshot::Receiver<Work>,
-) -> Then {
+    mut next_job: oneshot::Receiver<BackendJob>,
+) -> NextStep {
     let mut role = side.links.role.clone();
-    let then = tokio::select! {
+    let next_step = tokio::select! {
         biased;
-        // The real server closes it, or says what nobody asked.
-        _ = read_more(stream, buffer) => Then::End,
-        coming = &mut next => return match coming {
-            Ok(coming) if quiet(stream) => Then::Carry(coming),
-            // Prevents what came behind the last answer from being taken for the next flow's.
-            Ok(coming) => {
-                Inner::start(side, server, coming);
-                Then::End
+        // The backend closes the connection, or sends data that no request asked for.
+        _ = read_more(stream, buffer) => NextStep::Close,
+        job = &mut next_job => return match job {
+            Ok(job) if nothing_received(stream) => NextStep::Carry(job),
+            // Prevents data behind the last answer from being taken for the answer to this request.
+            Ok(job) => {
+                Inner::start(side, backend, job);
+                NextStep::Close
             }
-            Err(_) => Then::End,
+            Err(_) => NextStep::Close,
         },
-        Ok(_) = role.wait_for(|role| *role == Role::Retiring) => Then::Pass,
-        () = side.deadlines.sleep(side.site.conn_idle * IDLE_PART) => Then::End,
+        Ok(_) = role.wait_for(|role| *role == Role::Retiring) => NextStep::HandOver,
+        () = side.deadlines.sleep(side.site.conn_idle * IDLE_TIMEOUT_FRACTION) => NextStep::Close,
     };
-    // A job that was handed over as the connection ended: nothing of it was written.
-    next.close();
-    if let Ok(job) = next.try_recv() {
-        Inner::start(side, server, job);
+    // A job may have been given to the connection in the moment that it closed. Nothing of it has been written, so
+    // it starts on another connection.
+    next_job.close();
+    if let Ok(job) = next_job.try_recv() {
+        Inner::start(side, backend, job);
     }
-    then
+    next_step
 }
 
-/// Whether nothing has come on an idle connection, asked of the system itself: the runtime may not have seen yet
-/// what came since it last waited.
-fn quiet(stream: &TcpStream) -> bool {
+/// Returns whether the receive buffer of an idle connection is empty. Asks the operating system, because the runtime
+/// may not have seen what arrived since it last polled.
+fn nothing_received(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
 }
 
 impl Inner {
-    /// Writes a question and reads its answer.
+    /// Sends a request and reads its answer.
     async fn carry(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        at: SocketAddr,
-        job: &Carried<'_>,
-    ) -> Went {
-        let mut early = false;
-        match self.ask(stream, buffer, at, job).await {
-            Ok(Asked::Whole) => {}
-            Ok(Asked::Early) => early = true,
-            Err(outcome) => return badly(outcome),
+        address: SocketAddr,
+        job: &CarriedJob<'_>,
+    ) -> CarryResult {
+        let mut answered_early = false;
+        match self.write_request(stream, buffer, address, job).await {
+            Ok(WriteProgress::Complete) => {}
+            Ok(WriteProgress::AnsweredEarly) => answered_early = true,
+            Err(outcome) => return failed(outcome),
         }
-        let (ending, reusable) = self.hear(stream, buffer, job.id, job.question).await;
-        if early && ending.outcome == Outcome::Served {
-            // Nobody can have made it for a request that had not come.
-            return badly(Outcome::Error);
+        let (result, reusable) = self.read_answer(stream, buffer, job.id, job.question).await;
+        if answered_early && result.outcome == Outcome::Served {
+            // A success cannot be the answer to a request that had not arrived completely.
+            return failed(Outcome::Error);
         }
-        (ending, reusable && !early)
+        (result, reusable && !answered_early)
     }
 
-    /// Writes a question, to its last byte unless it is answered before.
-    async fn ask(
+    /// Writes a request to its last byte, unless the backend answers before.
+    async fn write_request(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-        at: SocketAddr,
-        Carried { question, wait, by, stage, .. }: &Carried<'_>,
-    ) -> Result<Asked, Outcome> {
+        address: SocketAddr,
+        CarriedJob { question, timeout, send_by, stage, .. }: &CarriedJob<'_>,
+    ) -> Result<WriteProgress, Outcome> {
         let rest = match &question.rest {
-            // What has gone once is not kept.
+            // A body that is passed on as it comes is not kept, so it cannot be sent twice.
             Some(once) => Some(once.take().ok_or(Outcome::NotSent)?),
             None => None,
         };
-        let wait = wait.max(1.0) as u64;
-        let fields = format!("Host: {at}\r\nRequest-Timeout-Ms: {wait}\r\n\r\n");
-        let chunked = rest.is_some() && question.length.is_none();
+        let timeout = timeout.max(1.0) as u64;
+        let fields = format!("Host: {address}\r\nRequest-Timeout-Ms: {timeout}\r\n\r\n");
+        let chunked = rest.is_some() && question.content_length.is_none();
         let mut bytes =
             BytesMut::with_capacity(question.head.len() + fields.len() + question.body.len() + 16);
         bytes.extend_from_slice(&question.head);
         bytes.extend_from_slice(fields.as_bytes());
-        frame(&mut bytes, &question.body, chunked);
-        // Prevents a repeat that waited for its connection, or for the real server to read, from running too late.
-        let left = by.map(|by| by - self.deadlines.clock().now());
-        if left.is_some_and(|left| left <= 0.0) {
+        append_body(&mut bytes, &question.body, chunked);
+        // Prevents a retry from running too late after a wait for its connection, or for the backend to read.
+        let time_left = send_by.map(|send_by| send_by - self.deadlines.clock().now());
+        if time_left.is_some_and(|time_left| time_left <= 0.0) {
             return Err(Outcome::ConnectFailed);
         }
         stage.set(Stage::Writing);
-        let written = match left {
-            Some(left) => self.deadlines.within(left, stream.write_all(&bytes)).await,
+        let written = match time_left {
+            Some(time_left) => self.deadlines.within(time_left, stream.write_all(&bytes)).await,
             None => Some(stream.write_all(&bytes).await),
         };
         drop(bytes);
@@ -384,28 +406,29 @@
             return Err(Outcome::ConnectFailed);
         }
         if let Some(mut rest) = rest {
-            let mut missing = question.length.map(|length| length.saturating_sub(question.body.len()));
-            // With its last byte written it may run, whether or not its client has said yet that it is the last.
+            let mut missing =
+                question.content_length.map(|length| length.saturating_sub(question.body.len()));
+            // The request may run once its last byte is written, even before `Piece::End` marks that byte as the last.
             while missing != Some(0) {
                 let piece = tokio::select! {
                     biased;
                     piece = rest.recv() => piece,
                     more = read_more(stream, buffer) => match more {
-                        Ok(true) => return Ok(Asked::Early),
+                        Ok(true) => return Ok(WriteProgress::AnsweredEarly),
                         _ => return Err(Outcome::ConnectFailed),
                     },
                 };
                 let mut bytes = BytesMut::new();
                 match &piece {
                     Some(Piece::Data(data)) => {
-                        frame(&mut bytes, data, chunked);
+                        append_body(&mut bytes, data, chunked);
                         missing = missing.map(|missing| missing.saturating_sub(data.len()));
                     }
                     Some(Piece::End) => {
                         bytes.extend_from_slice(if chunked { b"0\r\n\r\n" } else { b"" });
                         missing = Some(0);
                     }
-                    // Its client has broken off.
+                    // The client broke its request off.
                     None => return Err(Outcome::ConnectFailed),
                 }
                 stream.write_all(&bytes).await.map_err(|_| Outcome::ConnectFailed)?;
@@ -413,45 +436,45 @@
         }
         stage.set(Stage::Written);
         self.stats.written();
-        Ok(Asked::Whole)
+        Ok(WriteProgress::Complete)
     }
 
-    /// Reads an answer: a short one whole, of a long one the first pieces go on while the others come.
-    async fn hear(
+    /// Reads an answer: a short one completely, while a long one is passed on as it comes.
+    async fn read_answer(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         id: AttemptId,
         question: &Question,
-    ) -> Went {
-        let (mut held, mut ahead) = (self.budget.hold(), 0);
+    ) -> CarryResult {
+        let (mut held, mut interim_bytes) = (self.budget.hold(), 0);
         let head = loop {
             match peek_head(buffer, Kind::Response) {
-                // What a server says ahead of its answer is no answer; 101 would leave HTTP, which nobody asked for.
+                // Interim responses are skipped. 101 is not one of them: no request asks for a change of protocol.
                 Ok(Some((head, length))) if matches!(head.status(), 100 | 102..200) => {
                     drop(buffer.split_to(length));
-                    ahead += length;
+                    interim_bytes += length;
                     continue;
                 }
                 Ok(Some((head, length))) => {
                     drop(buffer.split_to(length));
                     break head;
                 }
-                // Prevents what goes on for ever ahead of an answer from taking time or memory.
-                Ok(None) if ahead <= MESSAGE => {}
-                // Garbage: it may have run.
+                // Prevents an endless series of interim responses from taking time and memory.
+                Ok(None) if interim_bytes <= MESSAGE => {}
+                // The answer cannot be read: the request may have run.
                 Ok(None) | Err(Bad::Malformed | Bad::BodyTooLarge | Bad::HeadTooLarge) => {
-                    return badly(Outcome::Error);
+                    return failed(Outcome::Error);
                 }
             }
             match read_more(stream, buffer).await {
                 Ok(true) => {}
-                _ => return badly(Outcome::Reset),
+                _ => return failed(Outcome::Reset),
             }
         };
-        let mut body = if question.bodiless { Body::none() } else { Body::of(&head) };
+        let mut body = if question.expects_no_body { Body::none() } else { Body::of(&head) };
         let (mut taken, long) = (BytesMut::new(), head.length().is_some_and(|length| length > BODY));
-        let mut patience = std::pin::pin!(self.deadlines.sleep(PATIENCE));
+        let mut length_wait = std::pin::pin!(self.deadlines.sleep(UNKNOWN_LENGTH_WAIT));
         let mut waited = false;
         loop {
             match body.take(buffer, BODY) {
@@ -462,23 +485,23 @@
                     }
                 }
                 Ok(None) if body.done() => {
-                    return judge(&head, taken.freeze(), buffer.is_empty(), &self.site);
+                    return evaluate_answer(&head, taken.freeze(), buffer.is_empty(), &self.site);
                 }
                 Ok(None) => {}
-                Err(_) => return badly(Outcome::Error),
+                Err(_) => return failed(Outcome::Error),
             }
-            let some = !taken.is_empty() && (long || taken.len() > BODY || waited && head.length().is_none());
-            if some || !held.grow(taken.len() + buffer.len()) {
+            let streams =
+                !taken.is_empty() && (long || taken.len() > BODY || waited && head.length().is_none());
+            if streams || !held.grow(taken.len() + buffer.len()) {
                 if head.status() != 200 {
-                    return badly(Outcome::Error);
+                    return failed(Outcome::Error);
                 }
                 drop(held);
-                let went = (body, taken.freeze());
-                return self.pass_on(stream, buffer, id, &head, went).await;
+                return self.stream_answer(stream, buffer, id, &head, body, taken.freeze()).await;
             }
             let more = tokio::select! {
                 more = read_more(stream, buffer) => more,
-                () = &mut patience, if !waited => {
+                () = &mut length_wait, if !waited => {
                     waited = true;
                     continue;
                 }
@@ -486,68 +509,75 @@
             match more {
                 Ok(true) => {}
                 Ok(false) if body.ended() => {}
-                _ => return badly(Outcome::Reset),
+                _ => return failed(Outcome::Reset),
             }
         }
     }
 
-    /// Passes an answer on in pieces, as fast as its client takes them.
-    async fn pass_on(
+    /// Passes an answer on in pieces, as fast as the client takes them. `first` is the part of the body that has been
+    /// read.
+    async fn stream_answer(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         id: AttemptId,
         head: &Head,
-        (mut body, first): (Body, Bytes),
-    ) -> Went {
+        mut body: Body,
+        first: Bytes,
+    ) -> CarryResult {
         let (pieces, rest) = pieces::way();
-        let load = load(head, &self.site.load_names);
-        let answer =
-            Answer { body: first, content_type: kind(head), length: head.length(), rest: Some(rest) };
+        let load = parse_load(head, &self.site.load_names);
+        let answer = Answer {
+            body: first,
+            content_type: content_type(head),
+            content_length: head.length(),
+            rest: Some(rest),
+        };
         if !self.attempts.answer_started(id, answer) {
-            return badly(Outcome::Cancelled);
+            return failed(Outcome::Cancelled);
         }
-        let end = |outcome| AttemptResult { outcome, load, answer: None };
+        let result = |outcome| AttemptResult { outcome, load, answer: None };
         loop {
             match body.take(buffer, PIECE) {
                 Ok(Some(data)) => {
                     if pieces.send(Piece::Data(data)).await.is_err() {
-                        return (end(Outcome::Cancelled), false);
+                        return (result(Outcome::Cancelled), false);
                     }
                     continue;
                 }
                 Ok(None) if body.done() => {
                     let _ = pieces.send(Piece::End).await;
-                    return (end(Outcome::Served), !head.close && buffer.is_empty());
+                    return (result(Outcome::Served), !head.close && buffer.is_empty());
                 }
                 Ok(None) => {}
-                Err(_) => return (end(Outcome::Error), false),
+                Err(_) => return (result(Outcome::Error), false),
             }
             buffer.reserve(PIECE);
-            let mut room = (&mut *buffer).limit(PIECE);
+            let mut limited = (&mut *buffer).limit(PIECE);
             let read = tokio::select! {
-                read = self.deadlines.within(SILENT, stream.read_buf(&mut room)) => read,
-                () = pieces.closed() => return (end(Outcome::Cancelled), false),
+                read = self.deadlines.within(STREAM_READ_TIMEOUT, stream.read_buf(&mut limited)) => read,
+                () = pieces.closed() => return (result(Outcome::Cancelled), false),
             };
             match read {
                 Some(Ok(n)) if n > 0 => {}
                 Some(Ok(_)) if body.ended() => {}
-                _ => return (end(Outcome::Reset), false),
+                _ => return (result(Outcome::Reset), false),
             }
         }
     }
 }
 
-/// How far a question was written.
-enum Asked {
+/// How far a request was written when its answer is read.
+enum WriteProgress {
     /// To its last byte.
-    Whole,
-    /// Not so far: something was answered before.
-    Early,
+    Complete,
+    /// Only a part: the backend sent data before the rest of the body was written.
+    AnsweredEarly,
 }
 
-/// Appends data, as a chunk of its own where the body comes in such.
-fn frame(bytes: &mut BytesMut, data: &[u8], chunked: bool) {
+/// Appends data of a body, as a chunk of its own if the body is chunked. Empty data adds no chunk, since an empty
+/// chunk would end the body.
+fn append_body(bytes: &mut BytesMut, data: &[u8], chunked: bool) {
     if !chunked {
         return bytes.extend_from_slice(data);
     }
@@ -558,35 +588,38 @@
     }
 }
 
-fn kind(head: &Head) -> Option<Bytes> {
+fn content_type(head: &Head) -> Option<Bytes> {
     head.get("content-type").map(Bytes::copy_from_slice)
 }
 
-fn judge(head: &Head, body: Bytes, nothing_left: bool, site: &Site) -> Went {
-    let never_ran = head.get("not-started").is_some_and(|value| value.trim_ascii() == b"1");
+/// Derives the result of an attempt from a complete answer. `nothing_left` is whether nothing follows the answer in
+/// the read buffer.
+fn evaluate_answer(head: &Head, body: Bytes, nothing_left: bool, site: &Site) -> CarryResult {
+    let not_started = head.get("not-started").is_some_and(|value| value.trim_ascii() == b"1");
     let outcome = match head.status() {
         200 => Outcome::Served,
-        503 | 504 if never_ran => Outcome::Rejected,
+        503 | 504 if not_started => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    let load = load(head, &site.load_names);
-    // A status that no real server has to give is garbage: nobody knows what follows it.
-    let known = matches!(head.status(), 200 | 500 | 503 | 504);
-    let reusable = !head.close && nothing_left && known;
-    let answer = Answer { body, content_type: kind(head), length: head.length(), rest: None };
+    let load = parse_load(head, &site.load_names);
+    // Backends send no other status, so after one the connection is not trusted with another request.
+    let known_status = matches!(head.status(), 200 | 500 | 503 | 504);
+    let reusable = !head.close && nothing_left && known_status;
+    let answer = Answer { body, content_type: content_type(head), content_length: head.length(), rest: None };
     (AttemptResult { outcome, load, answer: (outcome == Outcome::Served).then_some(answer) }, reusable)
 }
 
-/// The load report that an answer carries, as far as it can be read.
-fn load(head: &Head, names: &[String]) -> Load {
+/// Parses the load report in the `Server-Load` field of an answer. Values that cannot be read, or whose name is not
+/// in `names`, are left out.
+fn parse_load(head: &Head, names: &[String]) -> Load {
     let mut load = Load::default();
     let Some(text) = head.get("server-load").and_then(|value| std::str::from_utf8(value).ok()) else {
         return load;
     };
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         let Some(value) = value.trim().parse::<f64>().ok().filter(|x| x.is_finite()) else { continue };
-        // The settings and the header may call the same thing by its long or its short name.
-        let (short, field) = match name.trim() {
+        // The settings and the header may use the long or the short name of a value independently of each other.
+        let (short_name, field) = match name.trim() {
             "inflight" | "rif" => ("rif", &mut load.in_flight),
             "queue" | "q" => ("q", &mut load.queued),
             "util" | "busy" => ("busy", &mut load.busy),
@@ -595,7 +628,7 @@
             "eps" | "fail_rate" => ("fail_rate", &mut load.error_rate),
             _ => continue,
         };
-        if names.iter().any(|known| known == short || known == name.trim()) {
+        if names.iter().any(|known| known == short_name || known == name.trim()) {
             *field = Some(value);
         }
     }
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -977,8 +977,8 @@
                 match verdict {
                     FinalAnswer::Served(answer) => {
                         // Without a length and without chunks, only the end of the connection tells the end.
-                        let chunked = answer.rest.is_some() && answer.length.is_none() && !head.old;
-                        close |= answer.rest.is_some() && answer.length.is_none() && head.old;
+                        let chunked = answer.rest.is_some() && answer.content_length.is_none() && !head.old;
+                        close |= answer.rest.is_some() && answer.content_length.is_none() && head.old;
                         served(out, &answer, chunked, bodiless, close);
                         rest = answer.rest.map(|rest| (rest, chunked));
                     }
@@ -1130,7 +1130,7 @@
 fn served(out: &mut BytesMut, answer: &Answer, chunked: bool, bodiless: bool, close: bool) {
     out.reserve(answer.body.len() + 192);
     let whole = (answer.rest.is_none() && !bodiless).then_some(answer.body.len());
-    head(out, 200, whole.or(answer.length), close);
+    head(out, 200, whole.or(answer.content_length), close);
     if let Some(content_type) = &answer.content_type {
         out.put_slice(b"Content-Type: ");
         out.put_slice(content_type);
--- a/src/node.rs
+++ b/src/node.rs
@@ -21,7 +21,7 @@
 use crate::maintenance::{Maintenance, read_bans};
 use crate::membership::traffic::Witness;
 use crate::net::budget::{Budget, Elsewhere};
-use crate::net::client_side::{Answer, ClientSide, Links, Question};
+use crate::net::client_side::{Answer, ClientSide, Question, UpgradeLinks};
 use crate::net::counter::Counter;
 use crate::net::discovery::Discovery;
 use crate::net::peers::Peers;
@@ -470,11 +470,11 @@
     let (passing_servers, idle_servers) = mpsc::unbounded_channel();
     let (adopt_server, passed_servers) = mpsc::unbounded_channel();
     let open = Rc::new(Cell::new(0));
-    let links = Links {
+    let links = UpgradeLinks {
         role: core.role.subscribe(),
-        passing: passing_servers,
-        elsewhere: elsewhere.clone(),
-        open: open.clone(),
+        idle_connections: passing_servers,
+        open_elsewhere: elsewhere.clone(),
+        open_connections: open.clone(),
     };
     let succession = Rc::new(Succession {
         exchange: core.exchange.clone(),
--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -24,7 +24,7 @@
 use weldhub::exchange::{ClientSideCommand, EngineEvent, Exchange};
 use weldhub::interface::*;
 use weldhub::net::budget::{Budget, Elsewhere};
-use weldhub::net::client_side::{Answer, ClientSide, Links, Question};
+use weldhub::net::client_side::{Answer, ClientSide, Question, UpgradeLinks};
 use weldhub::net::http::{Kind, Message};
 use weldhub::net::pieces::{self, Once, Piece};
 use weldhub::net::server_side::Role;
@@ -49,7 +49,12 @@
         let role = watch::Sender::new(Role::Active);
         let (passing, _) = mpsc::unbounded_channel();
         let (elsewhere, open) = (Elsewhere::default(), Rc::new(Cell::new(0)));
-        let links = Links { role: role.subscribe(), passing, elsewhere: elsewhere.clone(), open };
+        let links = UpgradeLinks {
+            role: role.subscribe(),
+            idle_connections: passing,
+            open_elsewhere: elsewhere.clone(),
+            open_connections: open,
+        };
         let stats = Stats::new([]);
         let bounds = (8, Budget::new(1 << 20, elsewhere));
         let clock = deadlines.clock();
@@ -64,7 +69,13 @@
     /// Orders an attempt that must have left within this.
     fn order(&self, flow: u64, within: Option<Millis>) {
         let head = Bytes::from(format!("GET /board-state/1 HTTP/1.1\r\nRequest-Id: {flow}\r\n"));
-        let question = Question { head, body: Bytes::new(), bodiless: false, length: Some(0), rest: None };
+        let question = Question {
+            head,
+            body: Bytes::new(),
+            expects_no_body: false,
+            content_length: Some(0),
+            rest: None,
+        };
         self.ask(flow, question, within);
     }
 
@@ -206,7 +217,11 @@
         let (pieces, rest) = pieces::way();
         let head = Bytes::from_static(b"POST /move-submit/1 HTTP/1.1\r\nContent-Length: 4\r\n");
         let rest = Some(Once::new(rest));
-        side.ask(1, Question { head, body: Bytes::new(), bodiless: false, length: Some(4), rest }, None);
+        side.ask(
+            1,
+            Question { head, body: Bytes::new(), expects_no_body: false, content_length: Some(4), rest },
+            None,
+        );
         pieces.send(Piece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
         let (mut server, _) = listener.accept().await.unwrap();
         assert_eq!(&request(&mut server).await.body[..], b"e2e4");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -111,7 +111,7 @@
 
 fn served(body: &str) -> FinalAnswer<Answer> {
     let body = Bytes::copy_from_slice(body.as_bytes());
-    FinalAnswer::Served(Answer { length: Some(body.len()), body, content_type: None, rest: None })
+    FinalAnswer::Served(Answer { content_length: Some(body.len()), body, content_type: None, rest: None })
 }
 
 /// A client that writes at once, whether or not the runtime has a turn.
