--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts in flight and the backends that they may go to, shared by the client sides of all fronts. The end
-//! of every attempt is reported exactly once, and no attempt starts on a backend that is not ready.
+//! The attempts in flight and the backends that they may go to, shared by the client sides of all fronts. The
+//! end of every attempt is reported exactly once, and no attempt starts on a backend that is not ready.
 
 use crate::deadlines::Clock;
 use crate::entries::BackendList;
@@ -34,13 +34,13 @@
     pub question: Q,
     /// How long the engine waits for the answer, in milliseconds.
     pub timeout: Millis,
-    /// The time by which the whole request must have been written, or else it must never be. `None` if there is no
-    /// such bound.
+    /// The time by which the whole request must have been written, or else it must never be. `None` if there
+    /// is no such bound.
     pub send_by: Option<Millis>,
     /// How far the attempt has come; kept up to date by the front.
     pub stage: Rc<Cell<Stage>>,
-    /// Resolves once the attempt is cancelled or timed out. Its end has been reported by then, so the front stops
-    /// without calling [`Attempts::finish`].
+    /// Resolves once the attempt is cancelled or timed out. Its end has been reported by then, so the front
+    /// stops without calling [`Attempts::finish`].
     pub cancelled: oneshot::Receiver<()>,
 }
 
@@ -87,8 +87,8 @@
     }
 }
 
-/// All attempts in flight, and the ready backends. `Q` is a front's request to a backend, `A` a backend's answer, `C`
-/// a front's connections to one backend.
+/// All attempts in flight, and the ready backends. `Q` is a front's request to a backend, `A` a backend's
+/// answer, `C` a front's connections to one backend.
 #[derive(Debug)]
 pub struct Attempts<Q, A, C> {
     running: RefCell<HashMap<AttemptId, Running>>,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Reports that the answer of an attempt has begun and is passed on as it comes. Returns `false` if the attempt
-    /// is no longer in flight; the answer is dropped then.
+    /// Reports that the answer of an attempt has begun and is passed on as it comes. Returns `false` if the
+    /// attempt is no longer in flight; the answer is dropped then.
     pub fn answer_started(&self, (request, attempt): AttemptId, answer: A) -> bool {
         let in_flight = self.running.borrow().contains_key(&(request, attempt));
         if in_flight {
@@ -145,8 +145,8 @@
         in_flight
     }
 
-    /// Reports the end of an attempt. Does nothing if the attempt was cancelled or timed out, as that has been
-    /// reported already.
+    /// Reports the end of an attempt. Does nothing if the attempt was cancelled or timed out, as that has
+    /// been reported already.
     pub fn finish(&self, id: AttemptId, result: AttemptResult<A>) {
         if self.running.borrow_mut().remove(&id).is_some() {
             self.report(id, result);
@@ -169,7 +169,8 @@
 
     fn cancel(&self, id: AttemptId, outcome: Outcome) {
         let Some(running) = self.running.borrow_mut().remove(&id) else { return };
-        // A request that was not written to its last byte has not run, so its time-out counts as a failed connection.
+        // A request that was not written to its last byte has not run, so its time-out counts as a failed
+        // connection.
         let unwritten = running.stage.get() != Stage::Written && outcome == Outcome::TimedOut;
         self.report(id, AttemptResult::failed(if unwritten { Outcome::ConnectFailed } else { outcome }));
     }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -1,5 +1,5 @@
-//! The client side of the platform's front: sends attempts to backends over pools of HTTP/1.1 connections, one at a
-//! time on each connection, and reports the end of every attempt exactly once. It never retries.
+//! The client side of the platform's front: sends attempts to backends over pools of HTTP/1.1 connections,
+//! one at a time on each connection, and reports the end of every attempt exactly once. It never retries.
 
 use super::attempts::{AttemptId, AttemptResult, Attempts, Job, Pool, Stage};
 use super::budget::{Budget, Elsewhere};
@@ -27,11 +27,12 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
-/// An idle connection closes after this fraction of [`Site::conn_idle`], the time after which a backend may close it.
+/// An idle connection closes after this fraction of [`Site::conn_idle`], the time after which a backend may
+/// close it.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// How long a connection rests after an answer before it is used again, in milliseconds. Some backends send a second
-/// answer up to 4 ms after the first; nothing tells which request it belongs to, so without the rest it would be
-/// taken for the answer to the next one.
+/// How long a connection rests after an answer before it is used again, in milliseconds. Some backends send a
+/// second answer up to 4 ms after the first; nothing tells which request it belongs to, so without the rest
+/// it would be taken for the answer to the next one.
 const MIN_REST: Millis = 20.0;
 /// How long an answer of unknown length is collected, in milliseconds, before it is passed on as it comes.
 const UNKNOWN_LENGTH_WAIT: Millis = 150.0;
@@ -109,8 +110,8 @@
 pub struct ClientSide(Rc<Inner>);
 
 impl ClientSide {
-    /// Creates a client side that opens up to `max_connections` connections in all. `budget` bounds the memory that
-    /// buffered answers take.
+    /// Creates a client side that opens up to `max_connections` connections in all. `budget` bounds the
+    /// memory that buffered answers take.
     pub fn new(
         exchange: Exchange<Question, Answer>,
         deadlines: Deadlines,
@@ -124,8 +125,8 @@
         Self(Rc::new(Inner { attempts, links, max_connections, budget, deadlines, site, stats, log }))
     }
 
-    /// Executes commands until their channel closes. `inherited` brings idle connections from the process before
-    /// this one.
+    /// Executes commands until their channel closes. `inherited` brings idle connections from the process
+    /// before this one.
     pub async fn run(
         self,
         commands: mpsc::UnboundedReceiver<ClientSideCommand<Question>>,
@@ -162,18 +163,21 @@
             }
         }
         let address = pool.address;
-        // Connections of the other process count against the limit, but for no more than three quarters of it.
+        // Connections of the other process count against the limit, but for no more than three quarters of
+        // it.
         let max_connections =
             this.max_connections - this.links.open_elsewhere.get().min(this.max_connections * 3 / 4);
         if this.links.open_connections.get() >= max_connections && !evict(&mut pools) {
             debug!(this.log, "no descriptor for a connection to a real server"; "real_server" => %address);
-            // Prevents the backend from being taken for unreachable or full when the limit here is the reason.
+            // Prevents the backend from being taken for unreachable or full when the limit here is the
+            // reason.
             return this.attempts.finish(job.id, AttemptResult::failed(Outcome::NotSent));
         }
         spawn_local(open_connection(OpenConnection::new(this), backend, address, job));
     }
 
-    /// Takes an idle connection over from another process. Closes it if the backend is not ready at that address.
+    /// Takes an idle connection over from another process. Closes it if the backend is not ready at that
+    /// address.
     fn adopt(this: &Rc<Self>, backend: BackendId, stream: TcpStream) {
         let address = this.attempts.pools.borrow().get(&backend).map(|pool| pool.address);
         if let Some(address) = address.filter(|at| stream.peer_addr().is_ok_and(|peer| peer == *at))
@@ -184,8 +188,8 @@
         }
     }
 
-    /// Puts a connection that has been idle since `idle_since` into the pool of its backend. Returns the channel that
-    /// brings its next job, or `None` if the backend is no longer ready at that address.
+    /// Puts a connection that has been idle since `idle_since` into the pool of its backend. Returns the
+    /// channel that brings its next job, or `None` if the backend is no longer ready at that address.
     fn park(
         &self,
         backend: BackendId,
@@ -202,8 +206,8 @@
     }
 }
 
-/// Closes the longest idle connection of the pool with the most idle connections. Returns `false` if no connection
-/// is idle.
+/// Closes the longest idle connection of the pool with the most idle connections. Returns `false` if no
+/// connection is idle.
 fn evict(pools: &mut BTreeMap<BackendId, Pool<IdleConnections>>) -> bool {
     let largest = pools
         .values_mut()
@@ -331,8 +335,8 @@
         Ok(_) = role.wait_for(|role| *role == Role::Retiring) => NextStep::HandOver,
         () = side.deadlines.sleep(side.site.conn_idle * IDLE_TIMEOUT_FRACTION) => NextStep::Close,
     };
-    // A job may have been given to the connection in the moment that it closed. Nothing of it has been written, so
-    // it starts on another connection.
+    // A job may have been given to the connection in the moment that it closed. Nothing of it has been
+    // written, so it starts on another connection.
     next_job.close();
     if let Ok(job) = next_job.try_recv() {
         Inner::start(side, backend, job);
@@ -340,8 +344,8 @@
     next_step
 }
 
-/// Returns whether the receive buffer of an idle connection is empty. Asks the operating system, because the runtime
-/// may not have seen what arrived since it last polled.
+/// Returns whether the receive buffer of an idle connection is empty. Asks the operating system, because the
+/// runtime may not have seen what arrived since it last polled.
 fn nothing_received(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
@@ -408,7 +412,8 @@
         if let Some(mut rest) = rest {
             let mut missing =
                 question.content_length.map(|length| length.saturating_sub(question.body.len()));
-            // The request may run once its last byte is written, even before `Piece::End` marks that byte as the last.
+            // The request may run once its last byte is written, even before `Piece::End` marks that byte as
+            // the last.
             while missing != Some(0) {
                 let piece = tokio::select! {
                     biased;
@@ -450,7 +455,8 @@
         let (mut held, mut interim_bytes) = (self.budget.hold(), 0);
         let head = loop {
             match peek_head(buffer, Kind::Response) {
-                // Interim responses are skipped. 101 is not one of them: no request asks for a change of protocol.
+                // Interim responses are skipped. 101 is not one of them: no request asks for a change of
+                // protocol.
                 Ok(Some((head, length))) if matches!(head.status(), 100 | 102..200) => {
                     drop(buffer.split_to(length));
                     interim_bytes += length;
@@ -514,8 +520,8 @@
         }
     }
 
-    /// Passes an answer on in pieces, as fast as the client takes them. `first` is the part of the body that has been
-    /// read.
+    /// Passes an answer on in pieces, as fast as the client takes them. `first` is the part of the body that
+    /// has been read.
     async fn stream_answer(
         &self,
         stream: &mut TcpStream,
@@ -575,8 +581,8 @@
     AnsweredEarly,
 }
 
-/// Appends data of a body, as a chunk of its own if the body is chunked. Empty data adds no chunk, since an empty
-/// chunk would end the body.
+/// Appends data of a body, as a chunk of its own if the body is chunked. Empty data adds no chunk, since an
+/// empty chunk would end the body.
 fn append_body(bytes: &mut BytesMut, data: &[u8], chunked: bool) {
     if !chunked {
         return bytes.extend_from_slice(data);
@@ -592,8 +598,8 @@
     head.get("content-type").map(Bytes::copy_from_slice)
 }
 
-/// Derives the result of an attempt from a complete answer. `nothing_left` is whether nothing follows the answer in
-/// the read buffer.
+/// Derives the result of an attempt from a complete answer. `nothing_left` is whether nothing follows the
+/// answer in the read buffer.
 fn evaluate_answer(head: &Head, body: Bytes, nothing_left: bool, site: &Site) -> CarryResult {
     let not_started = head.get("not-started").is_some_and(|value| value.trim_ascii() == b"1");
     let outcome = match head.status() {
@@ -609,8 +615,8 @@
     (AttemptResult { outcome, load, answer: (outcome == Outcome::Served).then_some(answer) }, reusable)
 }
 
-/// Parses the load report in the `Server-Load` field of an answer. Values that cannot be read, or whose name is not
-/// in `names`, are left out.
+/// Parses the load report in the `Server-Load` field of an answer. Values that cannot be read, or whose name
+/// is not in `names`, are left out.
 fn parse_load(head: &Head, names: &[String]) -> Load {
     let mut load = Load::default();
     let Some(text) = head.get("server-load").and_then(|value| std::str::from_utf8(value).ok()) else {
@@ -618,7 +624,8 @@
     };
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         let Some(value) = value.trim().parse::<f64>().ok().filter(|x| x.is_finite()) else { continue };
-        // The settings and the header may use the long or the short name of a value independently of each other.
+        // The settings and the header may use the long or the short name of a value independently of each
+        // other.
         let (short_name, field) = match name.trim() {
             "inflight" | "rif" => ("rif", &mut load.in_flight),
             "queue" | "q" => ("q", &mut load.queued),
