--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -1,5 +1,5 @@
-//! The shared counter: calls go one after another over one connection and answers return in that order, also
-//! those that the engine no longer waits for.
+//! The client of the shared counter. Calls are pipelined on one connection and answers come back in the order
+//! of the calls, also for calls that the engine no longer waits for.
 
 use super::stream::{Way, connect, read_more};
 use crate::deadlines::Deadlines;
@@ -14,137 +14,159 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// The counter closes what stands idle for 10 s or less: a connection idle for this long is closed here.
-const IDLE: Millis = 3000.0;
-/// A connection that is not up by then, or whose oldest call has no answer by then, is given up.
-const PATIENCE: Millis = 1000.0;
-/// After a failure no connection is tried for this long: calls then fail at once.
-const PAUSE: Millis = 100.0;
-/// The most calls without an answer on a connection, and the longest line of an answer.
-const BOUNDS: (usize, usize) = (1024, 256);
+/// A connection closes after this many idle milliseconds. The counter closes idle connections itself, after
+/// 10 s or less.
+const IDLE_TIMEOUT: Millis = 3000.0;
+/// How long a connection may take to open, and the oldest unanswered call to be answered, in milliseconds,
+/// before the connection is closed.
+const RESPONSE_TIMEOUT: Millis = 1000.0;
+/// How long after a failure no connection is tried, in milliseconds. Calls fail at once in that time.
+const RECONNECT_DELAY: Millis = 100.0;
+/// The largest number of calls without an answer on a connection.
+const MAX_UNANSWERED_CALLS: usize = 1024;
+/// The largest number of bytes without a line end that is buffered.
+const MAX_LINE_BYTES: usize = 256;
+/// The counter keeps a name for this many milliseconds at most.
+const MAX_KEEP_MILLIS: u64 = 60_000;
+/// The reason for closing a connection whose answer cannot be parsed.
 const UNREADABLE: &str = "an answer is unreadable";
 
-/// The way to the counter.
+/// The client of the shared counter.
 #[derive(Debug)]
-pub struct Counter {
-    /// Its address.
-    pub at: Way,
-    /// For its pauses.
+pub struct CounterClient {
+    /// The address of the counter, which a new configuration may change.
+    pub address: Way,
+    /// The source of time, and of the timers.
     pub deadlines: Deadlines,
-    /// Where its troubles are logged.
+    /// The log for connection failures.
     pub log: Logger,
 }
 
 /// A connection to the counter.
-struct Line {
+struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    /// Calls written whole that have no answer yet, in order.
-    waiting: VecDeque<u64>,
-    /// Since when the first of them has been the first.
-    since: Millis,
+    /// The numbers of the calls that were written completely and have no answer yet, in order.
+    unanswered: VecDeque<u64>,
+    /// When the oldest of `unanswered` became the oldest.
+    oldest_since: Millis,
 }
 
 /// How a connection ended.
-enum End {
-    /// It was idle, or there are no more calls.
+enum ConnectionEnd {
+    /// It was idle, or the channel of calls closed.
     Idle,
-    /// It was lost, for this reason; the next is opened no sooner than after this pause.
+    /// It was lost for this reason. The next one opens no sooner than after this many milliseconds.
     Lost(String, Millis),
-    /// The counter is elsewhere now: what was called here is still answered here.
-    Moved(Line),
+    /// The address of the counter changed. Calls in flight on the connection are still to be answered.
+    Moved(Connection),
 }
 
-impl Counter {
-    /// Makes calls until there are no more; every one is answered once.
+impl CounterClient {
+    /// Makes calls until their channel closes. Passes exactly one answer for each call to `answer`, with the
+    /// number of the call.
     pub async fn run(
         self,
         mut calls: mpsc::UnboundedReceiver<CounterCall>,
-        tell: impl Fn(u64, CounterAnswer) + Clone + 'static,
+        answer: impl Fn(u64, CounterAnswer) + Clone + 'static,
     ) {
-        let (mut rest_until, mut resting_at) = (f64::NEG_INFINITY, None);
+        let (mut delay_until, mut delayed_address) = (f64::NEG_INFINITY, None);
         while let Some(first) = calls.recv().await {
-            let at = self.at.now();
-            if self.deadlines.clock().now() < rest_until && resting_at == Some(at) {
-                tell(first.seq, CounterAnswer::NotAdded);
+            let address = self.address.now();
+            if self.deadlines.clock().now() < delay_until && delayed_address == Some(address) {
+                answer(first.seq, CounterAnswer::NotAdded);
                 continue;
             }
             let connected = tokio::select! {
-                connected = self.deadlines.within(PATIENCE, connect(at)) => connected,
-                () = self.at.moved_from(at) => None,
+                connected = self.deadlines.within(RESPONSE_TIMEOUT, connect(address)) => connected,
+                () = self.address.moved_from(address) => None,
             };
             let Some(Ok(stream)) = connected else {
-                info!(self.log, "the counter cannot be reached"; "counter" => %at);
-                tell(first.seq, CounterAnswer::NotAdded);
-                (rest_until, resting_at) = (self.deadlines.clock().now() + PAUSE, Some(at));
+                info!(self.log, "the counter cannot be reached"; "counter" => %address);
+                answer(first.seq, CounterAnswer::NotAdded);
+                (delay_until, delayed_address) =
+                    (self.deadlines.clock().now() + RECONNECT_DELAY, Some(address));
                 continue;
             };
-            let line = Line { stream, buffer: BytesMut::new(), waiting: VecDeque::new(), since: 0.0 };
-            match self.talk(line, at, first, &mut calls, &tell).await {
-                End::Idle => {}
-                End::Lost(why, pause) => {
-                    info!(self.log, "the counter's connection was lost"; "counter" => %at, "why" => why);
-                    (rest_until, resting_at) = (self.deadlines.clock().now() + pause, Some(at));
+            let connection = Connection {
+                stream,
+                buffer: BytesMut::new(),
+                unanswered: VecDeque::new(),
+                oldest_since: 0.0,
+            };
+            match self.run_connection(connection, address, first, &mut calls, &answer).await {
+                ConnectionEnd::Idle => {}
+                ConnectionEnd::Lost(why, delay) => {
+                    info!(self.log, "the counter's connection was lost"; "counter" => %address, "why" => why);
+                    (delay_until, delayed_address) = (self.deadlines.clock().now() + delay, Some(address));
+                }
+                ConnectionEnd::Moved(connection) => {
+                    drop(spawn_local(connection.drain(self.deadlines.clone(), answer.clone())))
                 }
-                End::Moved(line) => drop(spawn_local(line.finish(self.deadlines.clone(), tell.clone()))),
             }
         }
     }
 
-    /// One connection's life.
-    async fn talk(
+    /// Makes calls on a connection until it ends.
+    async fn run_connection(
         &self,
-        mut line: Line,
-        at: SocketAddr,
+        mut connection: Connection,
+        address: SocketAddr,
         first: CounterCall,
         calls: &mut mpsc::UnboundedReceiver<CounterCall>,
-        tell: &impl Fn(u64, CounterAnswer),
-    ) -> End {
+        answer: &impl Fn(u64, CounterAnswer),
+    ) -> ConnectionEnd {
         let mut next = Some(first);
         loop {
             if let Some(first) = next.take() {
                 let (mut text, mut batch) = (String::new(), Vec::new());
                 let mut coming = Some(first);
                 while let Some(call) = coming {
-                    text.push_str(&format!("bump {} {} {}\r\n", call.name.0, call.amount, life(call.keep)));
+                    let line = format!("bump {} {} {}\r\n", call.name.0, call.amount, keep_millis(call.keep));
+                    text.push_str(&line);
                     batch.push(call.seq);
                     coming = calls.try_recv().ok();
                 }
-                if line.waiting.is_empty() {
-                    line.since = self.deadlines.clock().now();
+                if connection.unanswered.is_empty() {
+                    connection.oldest_since = self.deadlines.clock().now();
                 }
-                let written = write(&mut line.stream, &text).await;
-                // Calls whose last byte was not written add nothing.
-                let whole = text.as_bytes()[..written].iter().filter(|b| **b == b'\n').count();
-                line.waiting.extend(&batch[..whole]);
-                if whole < batch.len() {
-                    batch[whole..].iter().for_each(|seq| tell(*seq, CounterAnswer::NotAdded));
-                    return line.lost("a call was not written", tell);
+                let written = write(&mut connection.stream, &text).await;
+                // A call whose last byte was not written adds nothing.
+                let complete = text.as_bytes()[..written].iter().filter(|b| **b == b'\n').count();
+                connection.unanswered.extend(&batch[..complete]);
+                if complete < batch.len() {
+                    batch[complete..].iter().for_each(|seq| answer(*seq, CounterAnswer::NotAdded));
+                    return connection.lost("a call was not written", answer);
                 }
             }
-            if line.waiting.len() > BOUNDS.0 {
-                return line.lost("too many calls without an answer", tell);
+            if connection.unanswered.len() > MAX_UNANSWERED_CALLS {
+                return connection.lost("too many calls without an answer", answer);
             }
-            // From the first that waits, not from the last news: calls that go on coming must not hide a silence.
+            // Counted from the oldest unanswered call, so that a steady flow of new calls does not hide a
+            // silent counter.
             let now = self.deadlines.clock().now();
-            let patience = if line.waiting.is_empty() { IDLE } else { line.since + PATIENCE - now };
+            let timeout = if connection.unanswered.is_empty() {
+                IDLE_TIMEOUT
+            } else {
+                connection.oldest_since + RESPONSE_TIMEOUT - now
+            };
             tokio::select! {
                 biased;
-                read = line.read(now, tell) => match read {
+                read = connection.read_answers(now, answer) => match read {
                     Ok(true) => {}
-                    Ok(false) if line.waiting.is_empty() => return End::Idle,
-                    Ok(false) => return line.lost("it ended", tell),
-                    Err(why) => return line.lost(why, tell),
+                    Ok(false) if connection.unanswered.is_empty() => return ConnectionEnd::Idle,
+                    Ok(false) => return connection.lost("it ended", answer),
+                    Err(why) => return connection.lost(why, answer),
                 },
-                () = self.at.moved_from(at) => return End::Moved(line),
+                () = self.address.moved_from(address) => return ConnectionEnd::Moved(connection),
                 call = calls.recv() => match call {
                     Some(call) => next = Some(call),
-                    None => return End::Idle,
+                    None => return ConnectionEnd::Idle,
                 },
-                () = self.deadlines.sleep(patience) => {
-                    return match line.waiting.is_empty() {
-                        true => End::Idle,
-                        false => line.lost("silence", tell),
+                () = self.deadlines.sleep(timeout) => {
+                    return match connection.unanswered.is_empty() {
+                        true => ConnectionEnd::Idle,
+                        false => connection.lost("silence", answer),
                     };
                 }
             }
@@ -152,45 +174,53 @@
     }
 }
 
-impl Line {
-    /// Reads what has come and tells the answers in it; false at the end of the stream.
-    async fn read(&mut self, now: Millis, tell: &impl Fn(u64, CounterAnswer)) -> Result<bool, &'static str> {
+impl Connection {
+    /// Waits for data and passes on the answers in it. Returns `false` at the end of the stream.
+    async fn read_answers(
+        &mut self,
+        now: Millis,
+        answer: &impl Fn(u64, CounterAnswer),
+    ) -> Result<bool, &'static str> {
         let more = read_more(&mut self.stream, &mut self.buffer).await.map_err(|_| "it broke")?;
-        while let Some(answer) = take_answer(&mut self.buffer) {
-            // What has no number in it says that it was added and no more; nor does what comes behind it.
-            let answer = answer.ok_or(UNREADABLE)?;
-            let seq = self.waiting.pop_front().ok_or("an answer to no call")?;
-            self.since = now;
-            tell(seq, answer);
+        while let Some(parsed) = take_answer(&mut self.buffer) {
+            // An answer without a readable number says no more than that the amount may have been added, and
+            // neither do the answers behind it.
+            let parsed = parsed.ok_or(UNREADABLE)?;
+            let seq = self.unanswered.pop_front().ok_or("an answer to no call")?;
+            self.oldest_since = now;
+            answer(seq, parsed);
         }
-        match self.buffer.len() > BOUNDS.1 {
+        match self.buffer.len() > MAX_LINE_BYTES {
             true => Err(UNREADABLE),
             false => Ok(more),
         }
     }
 
-    /// What was written whole may have been added, or may yet be.
-    fn lost(self, why: &str, tell: &impl Fn(u64, CounterAnswer)) -> End {
-        self.waiting.into_iter().for_each(|seq| tell(seq, CounterAnswer::Unknown));
-        // A counter that answers can be called again at once.
-        End::Lost(why.to_owned(), if why == UNREADABLE { 0.0 } else { PAUSE })
+    /// Closes the connection. Unanswered calls may have been added already, or may still be added.
+    fn lost(self, why: &str, answer: &impl Fn(u64, CounterAnswer)) -> ConnectionEnd {
+        self.unanswered.into_iter().for_each(|seq| answer(seq, CounterAnswer::Unknown));
+        // A counter that answers can be reached, so the next connection needs no delay.
+        ConnectionEnd::Lost(why.to_owned(), if why == UNREADABLE { 0.0 } else { RECONNECT_DELAY })
     }
 
-    /// Waits for the answers that are still to come at an address that takes no more calls. Prevents calls that
-    /// were added there from being added again at the new one.
-    async fn finish(mut self, deadlines: Deadlines, tell: impl Fn(u64, CounterAnswer)) {
-        let rest =
-            async { while !self.waiting.is_empty() && self.read(0.0, &tell).await.unwrap_or(false) {} };
-        deadlines.within(PATIENCE, rest).await;
-        self.lost("it has moved", &tell);
+    /// Waits for the answers to the calls in flight on a connection that takes no more calls. Prevents
+    /// amounts that the counter at the old address has added from being added again by the counter at the new
+    /// one.
+    async fn drain(mut self, deadlines: Deadlines, answer: impl Fn(u64, CounterAnswer)) {
+        let draining = async {
+            while !self.unanswered.is_empty() && self.read_answers(0.0, &answer).await.unwrap_or(false) {}
+        };
+        deadlines.within(RESPONSE_TIMEOUT, draining).await;
+        self.lost("it has moved", &answer);
     }
 }
 
-fn life(keep: Millis) -> u64 {
-    (keep.max(1.0) as u64).min(60_000)
+/// Rounds a time for which the counter keeps a name to whole milliseconds within the range of the protocol.
+fn keep_millis(keep: Millis) -> u64 {
+    (keep.max(1.0) as u64).min(MAX_KEEP_MILLIS)
 }
 
-/// Writes as much as goes; tells how many bytes.
+/// Writes until all is written or the stream fails. Returns the number of bytes written.
 async fn write(stream: &mut TcpStream, text: &str) -> usize {
     let mut written = 0;
     while written < text.len() {
@@ -202,7 +232,8 @@
     written
 }
 
-/// The next answer in the buffer, if a whole line has come: what it says, or none where that is nothing known.
+/// Takes the next line off the buffer and parses it as an answer. Returns `None` if no complete line is
+/// buffered, and `Some(None)` if the line is no known answer.
 pub(super) fn take_answer(buffer: &mut BytesMut) -> Option<Option<CounterAnswer>> {
     let end = buffer.iter().position(|b| *b == b'\n')?;
     let line = buffer.split_to(end + 1);
@@ -230,8 +261,8 @@
         CounterCall { seq, name: CounterName(10 + seq), amount: -2.5, keep: 90_000.0 }
     }
 
-    /// Takes a connection and the lines of so many calls.
-    async fn taken(listener: &TcpListener, calls: usize) -> (BufReader<TcpStream>, String) {
+    /// Accepts a connection and reads the lines of `calls` calls.
+    async fn accept_calls(listener: &TcpListener, calls: usize) -> (BufReader<TcpStream>, String) {
         let mut stream = BufReader::new(listener.accept().await.unwrap().0);
         let mut text = String::new();
         for _ in 0..calls {
@@ -240,7 +271,7 @@
         (stream, text)
     }
 
-    /// Lets a counter's client make calls to a script of what the counter does on each connection.
+    /// Makes `calls` calls to a counter that behaves as in `script`, and returns the answers.
     async fn answers<F: Future<Output = ()>>(
         calls: u64,
         script: impl AsyncFnOnce(TcpListener) -> F,
@@ -248,22 +279,23 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let deadlines = Deadlines::new(Clock::new());
         let log = Logger::root(slog::Discard, slog::o!());
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let ways = Ways::default();
         let (_ways, ways) = watch::channel(ways);
-        let at = Way::new(&ways, at, |ways| ways.counter);
-        let counter = Counter { at, deadlines, log };
-        let (made, coming) = mpsc::unbounded_channel();
-        (0..calls).for_each(|seq| made.send(call(seq)).unwrap());
-        let (told, mut tells) = mpsc::unbounded_channel();
+        let address = Way::new(&ways, address, |ways| ways.counter);
+        let counter = CounterClient { address, deadlines, log };
+        let (call_sender, call_receiver) = mpsc::unbounded_channel();
+        (0..calls).for_each(|seq| call_sender.send(call(seq)).unwrap());
+        let (answer_sender, mut answer_receiver) = mpsc::unbounded_channel();
         let all = async {
             let mut all = Vec::new();
             while all.len() < calls as usize {
-                all.push(tells.recv().await.unwrap());
+                all.push(answer_receiver.recv().await.unwrap());
             }
             all
         };
-        let client = counter.run(coming, move |seq, answer| told.send((seq, answer)).unwrap());
+        let client =
+            counter.run(call_receiver, move |seq, answer| answer_sender.send((seq, answer)).unwrap());
         let scripted = async { script(listener).await.await };
         tokio::select! {
             all = all => all,
@@ -272,9 +304,9 @@
     }
 
     #[tokio::test]
-    async fn calls_go_out_together_and_answers_are_matched_in_order() {
+    async fn pipelines_calls_and_matches_answers_in_order() {
         let all = answers(3, async |listener| async move {
-            let (mut stream, text) = taken(&listener, 3).await;
+            let (mut stream, text) = accept_calls(&listener, 3).await;
             assert_eq!(text, "bump 10 -2.5 60000\r\nbump 11 -2.5 60000\r\nbump 12 -2.5 60000\r\n");
             stream.write_all(b"ok 1.5\r\nbusy\r\nok 7\r\n").await.unwrap();
             std::future::pending().await
@@ -284,9 +316,9 @@
     }
 
     #[tokio::test]
-    async fn calls_whose_connection_breaks_may_have_been_added() {
+    async fn calls_on_a_broken_connection_may_have_been_added() {
         let all = answers(2, async |listener| async move {
-            let (mut stream, _) = taken(&listener, 2).await;
+            let (mut stream, _) = accept_calls(&listener, 2).await;
             stream.write_all(b"ok 1\r\n").await.unwrap();
             drop(stream);
             std::future::pending().await
@@ -295,18 +327,19 @@
     }
 
     #[tokio::test]
-    async fn calls_to_a_counter_that_is_not_there_add_nothing() {
+    async fn calls_to_an_unreachable_counter_are_not_added() {
         let all = answers(2, async |listener| async move { drop(listener) }).await;
         assert_eq!(all, [(0, CounterAnswer::NotAdded), (1, CounterAnswer::NotAdded)]);
     }
 
+    /// An answer without a number may mean that the amount was added: its call and those behind it count as
+    /// unknown, and the connection closes.
     #[tokio::test]
-    async fn an_answer_without_a_number_says_added_and_ends_its_connection_and_the_next_call_goes_out_at_once()
-     {
+    async fn an_unreadable_answer_closes_the_connection_and_counts_as_unknown() {
         let all = answers(3, async |listener| async move {
-            let (mut stream, mut text) = taken(&listener, 3).await;
+            let (mut stream, mut text) = accept_calls(&listener, 3).await;
             stream.write_all(b"ok 4\r\nok 4x\r\nok 9\r\n").await.unwrap();
-            // Its end shows that the connection is done.
+            // The end of the stream shows that the client closed the connection.
             assert_eq!(stream.read_line(&mut text).await.unwrap(), 0);
             std::future::pending().await
         });
@@ -314,32 +347,35 @@
         assert_eq!(all.await, [(0, CounterAnswer::Total(4.0)), (1, unknown), (2, unknown)]);
     }
 
-    /// A new configuration may name another counter: new calls go there at once, and each is answered once.
+    /// A new configuration may change the counter's address: new calls go there at once, calls in flight are
+    /// still answered at the old address, and each call is answered once.
     #[test]
-    fn a_counter_that_moves_still_answers_what_it_was_called_and_new_calls_go_to_the_new_address() {
+    fn a_changed_address_takes_new_calls_while_calls_in_flight_finish_at_the_old_one() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&runtime, async {
             let [old, new] = [
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
             ];
-            let [old_at, new_at] = [&old, &new].map(|at| at.local_addr().unwrap());
-            let (move_to, ways) = watch::channel(Ways { counter: Some(old_at), ..Ways::default() });
-            let at = Way::new(&ways, old_at, |ways| ways.counter);
+            let [old_address, new_address] = [&old, &new].map(|at| at.local_addr().unwrap());
+            let (move_to, ways) = watch::channel(Ways { counter: Some(old_address), ..Ways::default() });
+            let address = Way::new(&ways, old_address, |ways| ways.counter);
             let log = Logger::root(slog::Discard, slog::o!());
-            let counter = Counter { at, deadlines: Deadlines::new(Clock::new()), log };
-            let (made, coming) = mpsc::unbounded_channel();
-            let (told, mut tells) = mpsc::unbounded_channel();
-            spawn_local(counter.run(coming, move |seq, answer| told.send((seq, answer)).unwrap()));
-            made.send(call(0)).unwrap();
-            let (mut old, _) = taken(&old, 1).await;
-            move_to.send_replace(Ways { counter: Some(new_at), ..Ways::default() });
-            made.send(call(1)).unwrap();
-            let (mut new, _) = taken(&new, 1).await;
+            let counter = CounterClient { address, deadlines: Deadlines::new(Clock::new()), log };
+            let (calls, call_receiver) = mpsc::unbounded_channel();
+            let (answer_sender, mut answers) = mpsc::unbounded_channel();
+            spawn_local(
+                counter.run(call_receiver, move |seq, answer| answer_sender.send((seq, answer)).unwrap()),
+            );
+            calls.send(call(0)).unwrap();
+            let (mut old, _) = accept_calls(&old, 1).await;
+            move_to.send_replace(Ways { counter: Some(new_address), ..Ways::default() });
+            calls.send(call(1)).unwrap();
+            let (mut new, _) = accept_calls(&new, 1).await;
             new.write_all(b"ok 2\r\n").await.unwrap();
-            assert_eq!(tells.recv().await, Some((1, CounterAnswer::Total(2.0))));
+            assert_eq!(answers.recv().await, Some((1, CounterAnswer::Total(2.0))));
             old.write_all(b"ok 1\r\n").await.unwrap();
-            assert_eq!(tells.recv().await, Some((0, CounterAnswer::Total(1.0))));
+            assert_eq!(answers.recv().await, Some((0, CounterAnswer::Total(1.0))));
             assert_eq!(old.read_line(&mut String::new()).await.unwrap(), 0, "the old connection is closed");
         });
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -22,7 +22,7 @@
 use crate::membership::traffic::Witness;
 use crate::net::budget::{Budget, Elsewhere};
 use crate::net::client_side::{Answer, ClientSide, Question, UpgradeLinks};
-use crate::net::counter::Counter;
+use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
 use crate::net::peers::Peers;
 use crate::net::server_side::{Drain, Phase, Role, Room, ServerSide, Signals};
@@ -239,7 +239,7 @@
             let (calls, made) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
             let at = Way::new(ways, at, |ways| ways.counter);
-            let counter = Counter { at, deadlines: deadlines.clone(), log: log.clone() };
+            let counter = CounterClient { address: at, deadlines: deadlines.clone(), log: log.clone() };
             parts.spawn_local(
                 counter
                     .run(made, move |seq, answer| exchange.send(EngineEvent::CounterAnswered(seq, answer))),
