--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -155,7 +155,7 @@
                 read = connection.read_answers(now, answer) => match read {
                     Ok(true) => {}
                     Ok(false) if connection.unanswered.is_empty() => return ConnectionEnd::Idle,
-                    Ok(false) => return connection.lost("it ended", answer),
+                    Ok(false) => return connection.lost("the connection ended", answer),
                     Err(why) => return connection.lost(why, answer),
                 },
                 () = self.address.moved_from(address) => return ConnectionEnd::Moved(connection),
@@ -181,12 +181,12 @@
         now: Millis,
         answer: &impl Fn(u64, CounterAnswer),
     ) -> Result<bool, &'static str> {
-        let more = read_more(&mut self.stream, &mut self.buffer).await.map_err(|_| "it broke")?;
+        let more = read_more(&mut self.stream, &mut self.buffer).await.map_err(|_| "the connection broke")?;
         while let Some(parsed) = take_answer(&mut self.buffer) {
             // An answer without a readable number says no more than that the amount may have been added, and
             // neither do the answers behind it.
             let parsed = parsed.ok_or(UNREADABLE)?;
-            let seq = self.unanswered.pop_front().ok_or("an answer to no call")?;
+            let seq = self.unanswered.pop_front().ok_or("an answer without a call")?;
             self.oldest_since = now;
             answer(seq, parsed);
         }
@@ -211,7 +211,7 @@
             while !self.unanswered.is_empty() && self.read_answers(0.0, &answer).await.unwrap_or(false) {}
         };
         deadlines.within(RESPONSE_TIMEOUT, draining).await;
-        self.lost("it has moved", &answer);
+        self.lost("the address has changed", &answer);
     }
 }
 
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -7,7 +7,7 @@
     Class, ClassId, ColdStart, CustomerId, DedupScope, IngressId, Plan, PlanId, Request, RequestId,
     RetrySafety, Settings, ZoneId,
 };
-use weldhub::net::discovery::read_line;
+use weldhub::net::discovery::parse_line;
 
 /// Zones of the two regions together.
 pub const ZONES: usize = 5;
@@ -95,7 +95,7 @@
 /// # Errors
 /// Why it cannot be read.
 pub fn read(line: &str, known: Option<u64>) -> Result<BackendList, String> {
-    read_line(line.as_bytes(), known, &places())?.ok_or_else(|| "a list is no sign of life".to_owned())
+    parse_line(line.as_bytes(), known, &places())?.ok_or_else(|| "a list is no sign of life".to_owned())
 }
 
 /// A request of a tenant at an ingress that is among those which the tenant's requests come to.
