--- a/src/fronts/mod.rs
+++ b/src/fronts/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts: what a flow means on each wire.
+//! The fronts: each maps the requests of one protocol to the engine's requests, and its answers back.
 
 pub mod ext_authz;
 pub mod platform;
