--- a/src/fronts/ext_authz/mod.rs
+++ b/src/fronts/ext_authz/mod.rs
@@ -1,5 +1,6 @@
-//! External authorisation over gRPC: answers `envoy.service.auth.v3.Authorization/Check` and schedules each
-//! check to external authorisers that speak the same. The engine and its rules are those of the platform.
+//! External authorisation over gRPC: serves `envoy.service.auth.v3.Authorization/Check` and forwards each
+//! check to external authorisers that serve the same method. Uses the same engine and rules as the platform's
+//! front.
 
 pub mod authorisers;
 pub mod proto;
@@ -17,26 +18,29 @@
 use tonic::metadata::MetadataMap;
 use tonic::{Code, Status};
 
-/// A check, as it passes on.
+/// A check, as it is forwarded to an authoriser.
 #[derive(Debug, Clone)]
 pub struct Check {
-    /// The message, as it came.
+    /// The encoded [`CheckRequest`], as received.
     pub message: Bytes,
-    /// What came beside it.
+    /// The gRPC metadata of the call.
     pub metadata: MetadataMap,
 }
 
-/// Reads checks and words verdicts.
+/// Parses checks and encodes their answers.
 #[derive(Debug)]
 pub struct Front {
-    /// The settings.
+    /// The settings of the ingress.
     pub site: Site,
-    /// The operator's choices.
+    /// The operator's configuration of this front.
     pub authz: Authz,
 }
 
 impl Front {
-    /// Makes a flow of a check; a bad one never reaches an authoriser.
+    /// Parses a check.
+    ///
+    /// # Errors
+    /// The status that the caller is answered with, if the check is invalid. It never reaches an authoriser.
     pub fn read(&self, check: &Check) -> Result<RequestInfo, Status> {
         let bad = |what: &str| Status::invalid_argument(what.to_owned());
         if check.message.len() > BODY {
@@ -64,19 +68,19 @@
             None => Some(1.0),
         };
         let (spread, first) = match get(&self.authz.set) {
-            Some(text) => self.set(text).ok_or_else(|| bad("the set cannot be read"))?,
+            Some(text) => self.parse_ingress_set(text).ok_or_else(|| bad("the set cannot be read"))?,
             None => (self.site.settings.ingress_count, 0),
         };
-        let timeout = check.metadata.get("grpc-timeout").map(|value| timeout(value.as_bytes()));
-        let left = match timeout {
-            Some(left) => left.ok_or_else(|| bad("grpc-timeout cannot be read"))?,
+        let timeout = check.metadata.get("grpc-timeout").map(|value| parse_timeout(value.as_bytes()));
+        let timeout = match timeout {
+            Some(timeout) => timeout.ok_or_else(|| bad("grpc-timeout cannot be read"))?,
             None => self.authz.default_timeout,
         };
         Ok(RequestInfo {
             class: ClassId(class),
             plan: PlanId(*plan.ok_or_else(|| bad("the plan is missing or unknown"))?),
             customer: customer_id(customer),
-            time_left: left.min(info.give_up),
+            time_left: timeout.min(info.give_up),
             units: units.ok_or_else(|| bad("the units cannot be read"))?,
             spread,
             first_ingress: IngressId(first),
@@ -85,7 +89,8 @@
         })
     }
 
-    /// The class of the longest route that the path begins with, or that the path's first part names.
+    /// Returns the class of the longest route that is a prefix of the path, or else the class that the first
+    /// segment of the path names.
     fn class(&self, path: &str) -> Option<usize> {
         let path = path.split('?').next().unwrap_or_default();
         let routes = self.authz.routes.iter().filter(|(prefix, _)| path.starts_with(prefix.as_str()));
@@ -97,20 +102,21 @@
         route.or_else(named)
     }
 
-    /// `spread=3,first=1`.
-    fn set(&self, text: &str) -> Option<(u16, u16)> {
+    /// Parses the set of ingresses that a customer's requests come to, such as `spread=3,first=1`, into its
+    /// size and its first ingress.
+    fn parse_ingress_set(&self, text: &str) -> Option<(u16, u16)> {
         let pairs: HashMap<&str, &str> =
             text.split(',').filter_map(|pair| pair.trim().split_once('=')).collect();
         self.site.good_set(pairs.get("spread")?.parse().ok()?, pairs.get("first")?.parse().ok()?)
     }
 
-    /// The answer to a check; what an authoriser said passes unchanged.
-    pub fn word(&self, verdict: FinalAnswer<Bytes>) -> Bytes {
+    /// Returns the encoded answer to a check. The answer of an authoriser is passed on unchanged.
+    pub fn encode_answer(&self, final_answer: FinalAnswer<Bytes>) -> Bytes {
         let failed = |status, code, text| match self.authz.fail_open {
             true => allowed(),
             false => denied(status, code, text, None),
         };
-        match verdict {
+        match final_answer {
             FinalAnswer::Served(answer) => answer,
             FinalAnswer::Rejected(after) => {
                 denied(StatusCode::TooManyRequests, Code::ResourceExhausted, "turned down", Some(after))
@@ -128,6 +134,7 @@
     }
 }
 
+/// Returns the header values of a request by name. A name in `headers` takes precedence over the raw fields.
 fn headers(http: &HttpRequest) -> HashMap<&str, &str> {
     let raw = http.header_map.iter().flat_map(|map| &map.headers).filter_map(|header| {
         let value = if header.value.is_empty() {
@@ -140,23 +147,23 @@
     raw.chain(http.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()))).collect()
 }
 
-/// A customer's number: what is written in 16 hex digits is one, any other name is hashed, to the same number
-/// at every instance.
+/// Returns the id of a customer: a name of 16 hex digits is the id itself, any other name is hashed, to the
+/// same id at every ingress.
 fn customer_id(name: &str) -> CustomerId {
     let hex = name.len() == 16 && name.bytes().all(|b| b.is_ascii_hexdigit());
-    let number = u64::from_str_radix(name, 16).ok().filter(|_| hex);
-    // FNV-1a; messages between instances hold numbers of 63 bits.
+    let written = u64::from_str_radix(name, 16).ok().filter(|_| hex);
+    // FNV-1a, cut to 63 bits, as that is the width of a customer's id in messages between ingresses.
     let fnv = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, fnv);
-    CustomerId(number.unwrap_or(hash) & (u64::MAX >> 1))
+    CustomerId(written.unwrap_or(hash) & (u64::MAX >> 1))
 }
 
-/// `grpc-timeout`: up to 8 digits and a unit.
-fn timeout(value: &[u8]) -> Option<Millis> {
+/// Parses a `grpc-timeout` value: one to eight digits and a unit.
+fn parse_timeout(value: &[u8]) -> Option<Millis> {
     let (unit, digits) = value.split_last()?;
-    let good = (1..=8).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
-    let n: f64 = std::str::from_utf8(digits).ok().filter(|_| good)?.parse().ok()?;
-    let millis = match unit {
+    let valid = (1..=8).contains(&digits.len()) && digits.iter().all(u8::is_ascii_digit);
+    let amount: f64 = std::str::from_utf8(digits).ok().filter(|_| valid)?.parse().ok()?;
+    let unit_millis = match unit {
         b'H' => 3_600_000.0,
         b'M' => 60_000.0,
         b'S' => 1000.0,
@@ -165,28 +172,31 @@
         b'n' => 1e-6,
         _ => return None,
     };
-    Some(n * millis)
+    Some(amount * unit_millis)
 }
 
-/// The form of `grpc-timeout` that this program sends.
-fn timeout_of(wait: Millis) -> Duration {
-    Duration::from_millis(wait.max(1.0) as u64)
+/// Returns the `grpc-timeout` that is sent to an authoriser: whole milliseconds, at least one.
+fn outgoing_timeout(timeout: Millis) -> Duration {
+    Duration::from_millis(timeout.max(1.0) as u64)
 }
 
+/// Encodes an answer that allows the request.
 fn allowed() -> Bytes {
     let ok = Some(HttpResponse::Ok(OkHttpResponse {}));
     CheckResponse { status: Some(RpcStatus::default()), http_response: ok }.encode_to_vec().into()
 }
 
+/// Encodes an answer that denies the request. `retry_after` is in milliseconds.
 fn denied(status: StatusCode, code: Code, text: &str, retry_after: Option<Millis>) -> Bytes {
     let header = |key: &str, value: String| HeaderValueOption {
         header: Some(HeaderValue { key: key.to_owned(), value, ..HeaderValue::default() }),
     };
-    // In whole seconds, as clients of any proxy read it.
-    let after = |span: Millis| header("retry-after", (span / 1000.0).ceil().max(1.0).to_string());
+    // `Retry-After` is in whole seconds.
+    let retry_after_header =
+        |delay: Millis| header("retry-after", (delay / 1000.0).ceil().max(1.0).to_string());
     let denied = DeniedHttpResponse {
         status: Some(HttpStatus { code: status.into() }),
-        headers: retry_after.map(after).into_iter().collect(),
+        headers: retry_after.map(retry_after_header).into_iter().collect(),
         body: text.to_owned(),
     };
     let status = Some(RpcStatus { code: code.into(), message: text.to_owned() });
--- a/src/fronts/ext_authz/proto.rs
+++ b/src/fronts/ext_authz/proto.rs
@@ -1,5 +1,6 @@
-//! The messages of `envoy.service.auth.v3` as far as this program reads or writes them, written out by hand so
-//! that a build needs no protobuf compiler. Checks and verdicts themselves pass on as bytes.
+//! The messages of `envoy.service.auth.v3`, reduced to the fields that this program reads or writes, and
+//! written by hand so that a build needs no protobuf compiler. Checks and their answers are passed on as the
+//! bytes received.
 
 use bytes::{Buf, BufMut, Bytes};
 use prost::{Enumeration, Message, Oneof};
@@ -7,24 +8,24 @@
 use tonic::Status;
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
-/// The method that is answered and called.
+/// The path of the gRPC method that this program serves, and calls on authorisers.
 pub const CHECK: &str = "/envoy.service.auth.v3.Authorization/Check";
 
-/// What a proxy asks.
+/// The question of a proxy whether a request is allowed.
 #[derive(Clone, PartialEq, Message)]
 pub struct CheckRequest {
-    /// What is known of the request.
+    /// The attributes of the request.
     #[prost(message, optional, tag = "1")]
     pub attributes: Option<AttributeContext>,
 }
 
-/// What a proxy knows of a request.
+/// The attributes of a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct AttributeContext {
     /// The request.
     #[prost(message, optional, tag = "4")]
     pub request: Option<Request>,
-    /// What the proxy's configuration adds.
+    /// The key-value pairs that the proxy's configuration adds.
     #[prost(btree_map = "string, string", tag = "10")]
     pub context_extensions: BTreeMap<String, String>,
 }
@@ -32,7 +33,7 @@
 /// A request of any protocol.
 #[derive(Clone, PartialEq, Message)]
 pub struct Request {
-    /// The request where it is HTTP.
+    /// The request, if it is an HTTP request.
     #[prost(message, optional, tag = "2")]
     pub http: Option<HttpRequest>,
 }
@@ -40,49 +41,49 @@
 /// An HTTP request.
 #[derive(Clone, PartialEq, Message)]
 pub struct HttpRequest {
-    /// Its method.
+    /// The method.
     #[prost(string, tag = "2")]
     pub method: String,
-    /// Its headers, by lower-case names.
+    /// The header values by lower-case names.
     #[prost(btree_map = "string, string", tag = "3")]
     pub headers: BTreeMap<String, String>,
-    /// Its path, with the query.
+    /// The path with the query.
     #[prost(string, tag = "4")]
     pub path: String,
-    /// Its headers where the proxy sends them raw.
+    /// The header fields, if the proxy is configured to send them raw.
     #[prost(message, optional, tag = "13")]
     pub header_map: Option<HeaderMap>,
 }
 
-/// Headers in their order.
+/// Header fields in their order.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderMap {
-    /// The headers.
+    /// The header fields.
     #[prost(message, repeated, tag = "1")]
     pub headers: Vec<HeaderValue>,
 }
 
-/// A header.
+/// A header field.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderValue {
-    /// Its name.
+    /// The name.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its value.
+    /// The value, if it is text.
     #[prost(string, tag = "2")]
     pub value: String,
-    /// Its value where it may be no text.
+    /// The value as bytes, used if `value` is empty.
     #[prost(bytes = "bytes", tag = "3")]
     pub raw_value: Bytes,
 }
 
-/// The verdict on a check.
+/// The answer to a check.
 #[derive(Clone, PartialEq, Message)]
 pub struct CheckResponse {
-    /// `OK` allows, anything else denies.
+    /// The code `OK` allows the request, any other one denies it.
     #[prost(message, optional, tag = "1")]
     pub status: Option<RpcStatus>,
-    /// What the proxy does.
+    /// What the proxy does with the request.
     #[prost(oneof = "HttpResponse", tags = "2, 3")]
     pub http_response: Option<HttpResponse>,
 }
@@ -90,40 +91,40 @@
 /// `google.rpc.Status`.
 #[derive(Clone, PartialEq, Message)]
 pub struct RpcStatus {
-    /// A gRPC code.
+    /// A gRPC status code.
     #[prost(int32, tag = "1")]
     pub code: i32,
-    /// For people.
+    /// A message for humans.
     #[prost(string, tag = "2")]
     pub message: String,
 }
 
-/// What the proxy does.
+/// What the proxy does with a request.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum HttpResponse {
-    /// It answers with this.
+    /// It answers the client with this response.
     #[prost(message, tag = "2")]
     Denied(DeniedHttpResponse),
-    /// It lets the request pass.
+    /// It forwards the request.
     #[prost(message, tag = "3")]
     Ok(OkHttpResponse),
 }
 
-/// What the client is answered.
+/// The response to the client of a denied request.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeniedHttpResponse {
-    /// The status.
+    /// The HTTP status.
     #[prost(message, optional, tag = "1")]
     pub status: Option<HttpStatus>,
-    /// Headers.
+    /// The header fields to set in the response.
     #[prost(message, repeated, tag = "2")]
     pub headers: Vec<HeaderValueOption>,
-    /// The body.
+    /// The response body.
     #[prost(string, tag = "3")]
     pub body: String,
 }
 
-/// What is changed of a request that passes: nothing here.
+/// Changes to a request that is forwarded. This program makes none.
 #[derive(Clone, PartialEq, Message)]
 pub struct OkHttpResponse {}
 
@@ -135,50 +136,51 @@
     pub code: i32,
 }
 
-/// The statuses that this program denies with.
+/// The HTTP statuses of denied requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum StatusCode {
-    /// Not set.
+    /// Unset; required by protobuf as the zero value.
     Empty = 0,
-    /// A turn-down.
+    /// The request was rejected.
     TooManyRequests = 429,
-    /// A failure.
+    /// The check failed.
     BadGateway = 502,
-    /// No room.
+    /// Too many checks are in flight.
     ServiceUnavailable = 503,
-    /// No answer in time.
+    /// No authoriser answered in time.
     GatewayTimeout = 504,
 }
 
-/// A header to set.
+/// A header field to set.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderValueOption {
-    /// The header.
+    /// The header field.
     #[prost(message, optional, tag = "1")]
     pub header: Option<HeaderValue>,
 }
 
-/// Messages as bytes, unread: prevents fields that this program does not know from being lost.
+/// A codec that leaves messages as the bytes received. Decoding and encoding them again would lose the fields
+/// that this program does not know.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Raw;
+pub struct RawCodec;
 
-impl Codec for Raw {
+impl Codec for RawCodec {
     type Encode = Bytes;
     type Decode = Bytes;
-    type Encoder = Raw;
-    type Decoder = Raw;
+    type Encoder = RawCodec;
+    type Decoder = RawCodec;
 
-    fn encoder(&mut self) -> Raw {
-        Raw
+    fn encoder(&mut self) -> RawCodec {
+        RawCodec
     }
 
-    fn decoder(&mut self) -> Raw {
-        Raw
+    fn decoder(&mut self) -> RawCodec {
+        RawCodec
     }
 }
 
-impl Encoder for Raw {
+impl Encoder for RawCodec {
     type Item = Bytes;
     type Error = Status;
 
@@ -188,7 +190,7 @@
     }
 }
 
-impl Decoder for Raw {
+impl Decoder for RawCodec {
     type Item = Bytes;
     type Error = Status;
 
--- a/src/fronts/ext_authz/service.rs
+++ b/src/fronts/ext_authz/service.rs
@@ -1,6 +1,6 @@
-//! The server side: takes checks in over gRPC, awaits their verdicts at the exchange and answers them.
+//! The server side: accepts checks over gRPC, submits them to the engine and sends its answers back.
 
-use super::proto::{CHECK, Raw};
+use super::proto::{CHECK, RawCodec};
 use super::{Check, Front};
 use crate::exchange::Exchange;
 use crate::net::http::BODY;
@@ -28,21 +28,27 @@
 use tonic::{Response, Status};
 use tower_service::Service;
 
-/// Checks at once on a connection: more wait at the proxy.
-const STREAMS: u32 = 256;
-/// Bytes that a check, and all checks of a connection, may send ahead of being read: prevents callers that send
-/// and never finish from taking the memory.
-const WINDOWS: (u32, u32) = (64 * 1024, 128 * 1024);
-/// A caller that has connected and says nothing for this long is closed: prevents silent ones from holding the room.
-const SILENT: Duration = Duration::from_millis(2500);
-/// While an operator drains, a caller that comes all the same is told so after this.
-const DRAINED_AGE: Duration = Duration::from_millis(500);
-/// A caller is asked for a sign of life so often, and closed when none comes for so long.
-const PING: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(5));
+/// The most concurrent checks on a connection. The proxy holds further ones back.
+const MAX_CONCURRENT_STREAMS: u32 = 256;
+/// The HTTP/2 flow-control window of a stream, in bytes. Prevents callers that send and never finish from
+/// taking the memory.
+const STREAM_WINDOW_BYTES: u32 = 64 * 1024;
+/// The HTTP/2 flow-control window of a connection, in bytes: it bounds all checks of a connection together.
+const CONNECTION_WINDOW_BYTES: u32 = 128 * 1024;
+/// A connection that has sent nothing for this long since it opened is closed. Prevents silent callers from
+/// using up the connections.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The age at which connections are ended while an operator drains this instance: callers that connect all
+/// the same are soon told to go elsewhere.
+const DRAINING_CONNECTION_AGE: Duration = Duration::from_millis(500);
+/// The interval of HTTP/2 keep-alive pings to callers.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
+/// A connection whose keep-alive ping is not answered for this long is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 type Boxed<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// The gRPC service.
+/// The gRPC service `Authorization`.
 #[derive(Debug, Clone)]
 pub struct CheckService {
     front: Arc<Front>,
@@ -51,7 +57,7 @@
 }
 
 impl CheckService {
-    /// A service that hands its checks in at the exchange.
+    /// Creates a service that submits its checks to `exchange`.
     pub fn new(front: Arc<Front>, exchange: Exchange<Check, Bytes>, stats: Arc<Stats>) -> Self {
         Self { front, exchange, stats }
     }
@@ -66,12 +72,12 @@
         Box::pin(async move {
             let (metadata, _, message) = request.into_parts();
             let check = Check { message, metadata };
-            let terms = this.front.read(&check)?;
-            // A caller that cancels drops this future, and with it the flow.
-            let taken = this.stats.request_started(terms.class);
-            let verdict = this.exchange.submit(terms, check).await;
-            taken.ended(verdict.end());
-            Ok(Response::new(this.front.word(verdict)))
+            let request_info = this.front.read(&check)?;
+            // A caller that cancels its check drops this future, which ends the request.
+            let in_progress = this.stats.request_started(request_info.class);
+            let final_answer = this.exchange.submit(request_info, check).await;
+            in_progress.ended(final_answer.end());
+            Ok(Response::new(this.front.encode_answer(final_answer)))
         })
     }
 }
@@ -91,84 +97,92 @@
             if request.uri().path() != CHECK {
                 return Ok(Status::unimplemented("there is only Authorization/Check").into_http());
             }
-            // Somewhat more than a check may hold is read, to say what is wrong with it.
-            let mut grpc = Grpc::new(Raw).max_decoding_message_size(2 * BODY);
+            // Messages over the limit are read up to twice its size, so that the answer can say that they are
+            // too large.
+            let mut grpc = Grpc::new(RawCodec).max_decoding_message_size(2 * BODY);
             Ok(grpc.unary(this, request).await)
         })
     }
 }
 
-/// Serves until the phase says to drain, and then until all that was taken is answered. At most so many connections are
-/// held, each of them for so long. When an operator drains, callers are told to connect elsewhere, once their checks
-/// are answered; who comes all the same is served, and told the same soon.
+/// Serves checks until [`Phase::Draining`], and then until all accepted checks are answered. Holds up to
+/// `max_connections` connections and ends each at the age `max_age`. While an operator drains this instance,
+/// callers are told to connect elsewhere once their checks are answered. Callers that connect all the same
+/// are served, and told the same after [`DRAINING_CONNECTION_AGE`].
 pub async fn serve(
     service: CheckService,
     listener: TcpListener,
-    (most, age): (usize, Duration),
+    (max_connections, max_age): (usize, Duration),
     signals: Signals,
     log: Logger,
 ) -> Result<(), tonic::transport::Error> {
-    let (listener, room) = (Arc::new(listener), Arc::new(Semaphore::new(most)));
+    let (listener, permits) = (Arc::new(listener), Arc::new(Semaphore::new(max_connections)));
     let Signals { mut phase, mut drain, .. } = signals;
-    let mut served = JoinSet::new();
+    let mut servers = JoinSet::new();
     loop {
-        let drained = *drain.borrow_and_update() == Drain::Closing;
-        let (end, ended) = oneshot::channel::<()>();
-        let stop = async move { drop(ended.await) };
-        let age = if drained { age.min(DRAINED_AGE) } else { age };
-        let one = serve_until(service.clone(), listener.clone(), (room.clone(), age), stop, log.clone());
-        served.spawn_local(one);
+        let draining = *drain.borrow_and_update() == Drain::Closing;
+        let (stop_sender, stopped) = oneshot::channel::<()>();
+        let stop = async move { drop(stopped.await) };
+        let max_age = if draining { max_age.min(DRAINING_CONNECTION_AGE) } else { max_age };
+        let server =
+            serve_until(service.clone(), listener.clone(), permits.clone(), max_age, stop, log.clone());
+        servers.spawn_local(server);
         tokio::select! {
             _ = phase.wait_for(|phase| *phase == Phase::Draining) => {
-                drop(end);
-                while let Some(done) = served.join_next().await {
+                drop(stop_sender);
+                while let Some(done) = servers.join_next().await {
                     done.unwrap_or(Ok(()))?;
                 }
                 return Ok(());
             }
-            Ok(_) = drain.wait_for(|drain| (*drain == Drain::Closing) != drained) => drop(end),
-            Some(Ok(Err(e))) = served.join_next() => return Err(e),
+            Ok(_) = drain.wait_for(|drain| (*drain == Drain::Closing) != draining) => drop(stop_sender),
+            Some(Ok(Err(e))) = servers.join_next() => return Err(e),
         }
     }
 }
 
+/// Serves checks until `stop` resolves, and then until the checks on its connections are answered.
 async fn serve_until(
     service: CheckService,
     listener: Arc<TcpListener>,
-    (room, age): (Arc<Semaphore>, Duration),
+    permits: Arc<Semaphore>,
+    max_age: Duration,
     stop: impl Future<Output = ()>,
     log: Logger,
 ) -> Result<(), tonic::transport::Error> {
     let (sender, connections) = mpsc::channel(1);
-    let accepting = tokio::spawn(accept(listener, room, sender, log));
+    let accepting = tokio::spawn(accept(listener, permits, sender, log));
     let connections = ReceiverStream::new(connections);
     let server = Server::builder()
-        .max_concurrent_streams(STREAMS)
-        .initial_stream_window_size(WINDOWS.0)
-        .initial_connection_window_size(WINDOWS.1)
-        // Without a grace: with one, this version cuts the connection off after both, checks and all.
-        .max_connection_age(age)
-        .http2_keepalive_interval(Some(PING.0))
-        .http2_keepalive_timeout(Some(PING.1));
-    let served = server.serve_with_incoming_shutdown(service, connections, stop).await;
+        .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+        // No grace period is set: with one, this version of tonic closes the connection after both times even
+        // if checks are still in flight.
+        .max_connection_age(max_age)
+        .http2_keepalive_interval(Some(KEEP_ALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEP_ALIVE_TIMEOUT));
+    let result = server.serve_with_incoming_shutdown(service, connections, stop).await;
     accepting.abort();
-    served
+    result
 }
 
-/// Takes connections in, up to the most; others wait in the backlog, so that descriptors are left for all else.
+/// Accepts connections while permits last. Others wait in the backlog of the listener, so that descriptors
+/// are left for everything else.
 async fn accept(
     listener: Arc<TcpListener>,
-    room: Arc<Semaphore>,
-    connections: mpsc::Sender<io::Result<Counted>>,
+    permits: Arc<Semaphore>,
+    connections: mpsc::Sender<io::Result<CountedConnection>>,
     log: Logger,
 ) {
-    while let Ok(permit) = room.clone().acquire_owned().await {
+    while let Ok(permit) = permits.clone().acquire_owned().await {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                // The server wants what can be sent between threads: the deadlines' own sleep cannot.
-                let silent = Some(Box::pin(tokio::time::sleep(SILENT)));
-                if connections.send(Ok(Counted { stream, silent, _permit: permit })).await.is_err() {
+                // tonic requires `Send`, which the timers of `Deadlines` are not.
+                let first_byte_timeout = Some(Box::pin(tokio::time::sleep(FIRST_BYTE_TIMEOUT)));
+                let connection = CountedConnection { stream, first_byte_timeout, _permit: permit };
+                if connections.send(Ok(connection)).await.is_err() {
                     info!(log, "no more connections are taken");
                     return;
                 }
@@ -181,15 +195,15 @@
     }
 }
 
-/// A connection that counts until it is closed.
-struct Counted {
+/// A connection that holds a permit until it is closed.
+struct CountedConnection {
     stream: TcpStream,
-    /// Until it has said something.
-    silent: Option<Pin<Box<tokio::time::Sleep>>>,
+    /// Fails the connection when it expires. `None` once the caller has sent something.
+    first_byte_timeout: Option<Pin<Box<tokio::time::Sleep>>>,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Connected for Counted {
+impl Connected for CountedConnection {
     type ConnectInfo = Option<SocketAddr>;
 
     fn connect_info(&self) -> Self::ConnectInfo {
@@ -197,7 +211,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -205,16 +219,16 @@
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if read.is_ready() {
-            self.silent = None;
+            self.first_byte_timeout = None;
         }
-        match self.silent.as_mut().map(|silent| silent.as_mut().poll(cx)) {
+        match self.first_byte_timeout.as_mut().map(|timeout| timeout.as_mut().poll(cx)) {
             Some(Poll::Ready(())) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             _ => read,
         }
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -32,7 +32,7 @@
 use tonic::{Response, Status};
 use weldhub::deadlines::{Clock, Deadlines};
 use weldhub::entries::{BackendList, ServiceEntry, backend_id};
-use weldhub::fronts::ext_authz::proto::Raw;
+use weldhub::fronts::ext_authz::proto::RawCodec;
 use weldhub::interface::{BackendEntry, BackendState, CellId, KindId, ZoneId};
 use weldhub::net::http::{Kind, Message, take_message};
 
@@ -215,7 +215,9 @@
                 let service = service_fn(move |request| {
                     let authoriser = serving.clone();
                     async move {
-                        Ok::<_, std::convert::Infallible>(Grpc::new(Raw).unary(authoriser, request).await)
+                        Ok::<_, std::convert::Infallible>(
+                            Grpc::new(RawCodec).unary(authoriser, request).await,
+                        )
                     }
                 });
                 let builder = http2::Builder::new(TokioExecutor::new());
