--- a/src/fronts/ext_authz/service.rs
+++ b/src/fronts/ext_authz/service.rs
@@ -108,7 +108,7 @@
 /// Serves checks until [`Phase::Draining`], and then until all accepted checks are answered. Holds up to
 /// `max_connections` connections and ends each at the age `max_age`. While an operator drains this instance,
 /// callers are told to connect elsewhere once their checks are answered. Callers that connect all the same
-/// are served, and told the same after [`DRAINING_CONNECTION_AGE`].
+/// are served, and told the same after `DRAINING_CONNECTION_AGE`.
 pub async fn serve(
     service: CheckService,
     listener: TcpListener,
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -30,10 +30,10 @@
 /// An idle connection closes after this fraction of [`Site::conn_idle`], the time after which a backend may
 /// close it.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// How long a connection rests after an answer before it is used again, in milliseconds. Some backends send a
-/// second answer up to 4 ms after the first; nothing tells which request it belongs to, so without the rest
-/// it would be taken for the answer to the next one.
-const MIN_REST: Millis = 20.0;
+/// The shortest idle time of a connection after an answer before it is used again, in milliseconds. Some
+/// backends send a second answer up to 4 ms after the first; nothing tells which request it belongs to, so
+/// without the pause it would be taken for the answer to the next one.
+const MIN_IDLE_BEFORE_REUSE: Millis = 20.0;
 /// How long an answer of unknown length is collected, in milliseconds, before it is passed on as it comes.
 const UNKNOWN_LENGTH_WAIT: Millis = 150.0;
 /// An answer that is passed on as it comes counts as broken off after this many milliseconds without data.
@@ -154,7 +154,7 @@
             return this.attempts.finish(job.id, AttemptResult::failed(Outcome::ConnectFailed));
         };
         // Prefers the connection that was used last, so that those beyond the need grow old and close.
-        let idle_before = this.deadlines.clock().now() - MIN_REST;
+        let idle_before = this.deadlines.clock().now() - MIN_IDLE_BEFORE_REUSE;
         while let Some(i) = pool.connections.iter().rposition(|idle| idle.idle_since <= idle_before) {
             // A connection that has just closed gives the job back, unwritten.
             match pool.connections.remove(i).next_job.send(job) {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -158,7 +158,7 @@
                     }
                 }
             }
-            // Counted from the last complete line, not from the last byte: a part of a line carries no news.
+            // Counted from the last complete line, not from the last byte: a part of a line carries no change.
             let more = read_more(&mut stream, &mut lines.buffer);
             match self.deadlines.within(last_line_at + WATCH_SILENCE_TIMEOUT - now(), more).await {
                 Some(Ok(true)) => {}
