--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,7 @@
 //! Network I/O: connections with clients, backends, discovery, the counter and peers. This code carries out
 //! the decisions of the engine and makes none of its own.
 
+pub mod attempts;
 pub mod body_channel;
 pub mod budget;
 pub mod client_side;
@@ -8,7 +9,6 @@
 pub mod discovery;
 pub mod http;
 pub mod peers;
-pub mod schedulings;
 pub mod server_side;
 pub mod stream;
 #[cfg(test)]
--- a/src/net/server_side.rs
+++ b/src/net/server_side.rs
@@ -1074,8 +1074,9 @@
                 match final_answer {
                     FinalAnswer::Served(answer) => {
                         // Without a length and without chunks, the body lasts until the connection closes.
-                        let chunked = answer.rest.is_some() && answer.length.is_none() && !head.is_http_1_0;
-                        close |= answer.rest.is_some() && answer.length.is_none() && head.is_http_1_0;
+                        let chunked =
+                            answer.rest.is_some() && answer.content_length.is_none() && !head.is_http_1_0;
+                        close |= answer.rest.is_some() && answer.content_length.is_none() && head.is_http_1_0;
                         put_served_answer(out, &answer, chunked, is_head, close);
                         rest = answer.rest.map(|rest| (rest, chunked));
                     }
@@ -1240,7 +1241,7 @@
 fn put_served_answer(out: &mut BytesMut, answer: &Answer, chunked: bool, is_head: bool, close: bool) {
     out.reserve(answer.body.len() + ANSWER_HEAD_BYTES);
     let length = (answer.rest.is_none() && !is_head).then_some(answer.body.len());
-    put_head(out, 200, length.or(answer.length), close);
+    put_head(out, 200, length.or(answer.content_length), close);
     if let Some(content_type) = &answer.content_type {
         out.put_slice(b"Content-Type: ");
         out.put_slice(content_type);
--- a/src/node.rs
+++ b/src/node.rs
@@ -22,8 +22,8 @@
 use crate::maintenance::{Maintenance, decode_disabled};
 use crate::membership::connection_failures::FailureMonitor;
 use crate::net::budget::{MemoryBudget, PredecessorConnections};
-use crate::net::client_side::{Answer, ClientSide, Links, Question};
-use crate::net::counter::Counter;
+use crate::net::client_side::{Answer, ClientSide, Question, UpgradeLinks};
+use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
 use crate::net::peers::Peers;
 use crate::net::server_side::{Drain, Phase, Role, ServerLimits, ServerSide, Signals};
@@ -250,7 +250,7 @@
             let (calls, calls_receiver) = mpsc::unbounded_channel();
             let exchange = exchange.clone();
             let at = ReloadableAddress::new(ways, at, |ways| ways.counter);
-            let counter = Counter { at, deadlines: deadlines.clone(), log: log.clone() };
+            let counter = CounterClient { address: at, deadlines: deadlines.clone(), log: log.clone() };
             essential_tasks.spawn_local(counter.run(calls_receiver, move |seq, answer| {
                 exchange.send(EngineEvent::CounterAnswered(seq, answer))
             }));
@@ -492,11 +492,11 @@
     let (leaving_backends, outgoing_backends) = mpsc::unbounded_channel();
     let (adopted_backends, incoming_backends) = mpsc::unbounded_channel();
     let backend_connections = Rc::new(Cell::new(0));
-    let links = Links {
+    let links = UpgradeLinks {
         role: core.role.subscribe(),
-        passing: leaving_backends,
-        elsewhere: elsewhere.clone(),
-        open: backend_connections.clone(),
+        idle_connections: leaving_backends,
+        open_elsewhere: elsewhere.clone(),
+        open_connections: backend_connections.clone(),
     };
     let handover = Rc::new(Handover {
         exchange: core.exchange.clone(),
--- a/trials/src/scale/fixture.rs
+++ b/trials/src/scale/fixture.rs
@@ -8,7 +8,7 @@
     Class, ClassId, ColdStart, CustomerId, DedupScope, IngressId, Plan, PlanId, Request, RequestId,
     RetrySafety, Settings, ZoneId,
 };
-use weldhub::net::discovery::read_line;
+use weldhub::net::discovery;
 
 /// The number of zones, over both regions of the installation.
 pub const ZONES: usize = 5;
@@ -98,7 +98,7 @@
 /// # Errors
 /// Returns why the line could not be read or is no list.
 pub fn parse_line(line: &str, known: Option<u64>) -> Result<BackendList, String> {
-    read_line(line.as_bytes(), known, &places())?
+    discovery::parse_line(line.as_bytes(), known, &places())?
         .ok_or_else(|| "the line is a heartbeat, not a list".to_owned())
 }
 
