--- a/emulator/tests/sockets.rs
+++ b/emulator/tests/sockets.rs
@@ -141,7 +141,7 @@
                     weldhub::node::block_on(async {
                         let config = Config::read(&told.to_string(), |_| None).unwrap();
                         let listener = TcpListener::bind(config.instance.listen).await?;
-                        let (_ways, ways) = watch::channel(config.ways());
+                        let (_ways, ways) = watch::channel(config.reloadable());
                         let log = slog::Logger::root(slog::Discard, slog::o!());
                         tokio::select! {
                             served = weldhub::node::serve(config, listener, log, ways, std::future::pending()) => served,
--- a/load/tests/compare.rs
+++ b/load/tests/compare.rs
@@ -72,7 +72,7 @@
         });
         let config = Config::read(&told.to_string(), |_| None).unwrap();
         let settings = config.instance.site.settings.clone();
-        let (_ways, ways) = watch::channel(config.ways());
+        let (_ways, ways) = watch::channel(config.reloadable());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         spawn_local(weldhub::node::serve(config, listener, log, ways, std::future::pending()));
         tokio::time::sleep(Duration::from_millis(1200)).await;
--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
-use weldhub::config::{Config, Consul as Asked, Service, Ways};
+use weldhub::config::{Config, ConsulConfig as Asked, ConsulService, ReloadableConfig};
 use weldhub::consul::Watch;
 use weldhub::consul::agent::Counts;
 use weldhub::deadlines::{Clock, Deadlines, Expiry};
@@ -92,7 +92,7 @@
         weldhub::node::block_on(async {
             let config = Config::read(&told.to_string(), |_| None).unwrap();
             let listener = TcpListener::bind(at).await?;
-            let (_ways, ways) = watch::channel(config.ways());
+            let (_ways, ways) = watch::channel(config.reloadable());
             weldhub::node::serve(config, listener, log(), ways, std::future::pending()).await
         })
     });
@@ -211,10 +211,10 @@
                     for seed in 0..u64::from(instances) {
                         let deadlines = Deadlines::new(Clock::new());
                         let agents = vec![consul.at];
-                        let services = vec![Service { name: "boards".into(), ..Service::default() }];
+                        let services = vec![ConsulService { name: "boards".into(), ..ConsulService::default() }];
                         let (wait, timeout) = (55_000.0, 3000.0);
                         let asked = Arc::new(Asked { agents, services, wait, timeout, ..Asked::default() });
-                        let (_ways, ways) = watch::channel(Ways::default());
+                        let (_ways, ways) = watch::channel(ReloadableConfig::default());
                         let watch = Watch {
                             consul: asked,
                             ways,
--- a/src/bin/weldhub-adapter/main.rs
+++ b/src/bin/weldhub-adapter/main.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
-use weldhub::config::{Pairs, Site};
+use weldhub::config::{KeyValues, Site};
 use weldhub::{Action, Event, Limiter};
 use wire::{Reader, Record, Reply};
 
@@ -46,9 +46,9 @@
                     continue;
                 }
                 Record::Configure(seed, text) => {
-                    let site = Site::read(&Pairs::from_text(&text)).map_err(|e| e.to_string())?;
+                    let site = Site::read(&KeyValues::from_text(&text)).map_err(|e| e.to_string())?;
                     let limiter = Limiter::new(site.settings, seed).map_err(|e| e.to_string())?;
-                    self.instances.insert(current, (limiter, site.load_names));
+                    self.instances.insert(current, (limiter, site.load_report_names));
                     Event::Start
                 }
                 Record::Happened(event) => event,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: reads the configuration, starts the log and runs until SIGTERM; SIGHUP has the configuration
 //! read again.
 
-use crate::config::{AuthzConfig, Config, ConfigError, Ways};
+use crate::config::{AuthzConfig, Config, ConfigError, ReloadableConfig};
 use crate::node::{self, Sockets};
 use slog::{Drain, Level, Logger, crit, info, o, warn};
 use std::io;
@@ -37,10 +37,10 @@
 /// Has the configuration read again at each SIGHUP to the end of the program. One that cannot be used changes nothing.
 fn on_hangup(
     mut hangups: Signal,
-    first: Ways,
-    reread: impl Fn() -> Result<Ways, ConfigError> + 'static,
+    first: ReloadableConfig,
+    reread: impl Fn() -> Result<ReloadableConfig, ConfigError> + 'static,
     log: Logger,
-) -> watch::Receiver<Ways> {
+) -> watch::Receiver<ReloadableConfig> {
     let (ways, moved) = watch::channel(first);
     spawn_local(async move {
         while hangups.recv().await.is_some() {
@@ -68,7 +68,7 @@
                 // Caught before the configuration is read: a newer one is not missed, nor does it end the program.
                 let hangups = signal(SignalKind::hangup())?;
                 let mut config = Config::from_env().map_err(io::Error::other)?;
-                let ways = on_hangup(hangups, config.ways(), Config::ways_from_env, log.clone());
+                let ways = on_hangup(hangups, config.reloadable(), Config::reloadable_from_env, log.clone());
                 let sockets = Sockets::get(&config.instance, log).await?;
                 config.instance.listen = sockets.listener.local_addr()?;
                 node::serve(config, sockets, log.clone(), ways, told_to_stop()).await
@@ -79,8 +79,8 @@
                 let hangups = signal(SignalKind::hangup())?;
                 let mut config = AuthzConfig::from_file(path).map_err(io::Error::other)?;
                 let path = path.to_owned();
-                let reread = move || AuthzConfig::from_file(&path).map(|config| config.ways());
-                let ways = on_hangup(hangups, config.ways(), reread, log.clone());
+                let reread = move || AuthzConfig::from_file(&path).map(|config| config.reloadable());
+                let ways = on_hangup(hangups, config.reloadable(), reread, log.clone());
                 let listener = TcpListener::bind(config.instance.listen).await?;
                 config.instance.listen = listener.local_addr()?;
                 node::serve_authz(config, listener, log.clone(), ways, told_to_stop()).await
--- a/src/config/authz.rs
+++ b/src/config/authz.rs
@@ -1,25 +1,25 @@
-//! The configuration of the authorisation front: an operator's file.
+//! The configuration of the external authorisation front, read from an operator's TOML file.
 
-use super::consul::Consul;
+use super::consul::ConsulConfig;
 use super::error::ConfigError;
-use super::instance::Instance;
-use super::pairs::Pairs;
-use super::platform::{Source, Ways};
+use super::instance::InstanceConfig;
+use super::key_values::KeyValues;
+use super::platform::{BackendSource, ReloadableConfig};
 use crate::interface::Millis;
 use serde_json::Value;
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Where a check tells something.
+/// The part of a check request that a value is read from.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Field {
-    /// In a header of the request that is checked, by its lower-case name.
+pub enum ValueSource {
+    /// The header of this lower-case name on the HTTP request that is checked.
     Header(String),
-    /// In a context extension.
+    /// The context extension of this name.
     Extension(String),
 }
 
-impl FromStr for Field {
+impl FromStr for ValueSource {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -31,43 +31,43 @@
     }
 }
 
-/// The operator's choices for the authorisation front.
+/// The settings of the authorisation front (keys under `authz`).
 #[derive(Debug, Clone)]
 pub struct Authz {
-    /// Failures allow the request; rejections never do.
+    /// Whether a request is allowed when its check fails; a rejected request is never allowed.
     pub fail_open: bool,
-    /// How long a caller waits that does not say.
+    /// The deadline of a check without `grpc-timeout`, in milliseconds.
     pub default_timeout: Millis,
-    /// A caller's connection is ended after this, once its checks are answered: callers that ask once and stay must
-    /// not hold the room for good.
-    pub connection_age: Millis,
-    /// Prefixes of paths and the classes of what they begin.
+    /// The age at which a caller's connection is closed, in milliseconds; checks in flight are answered first. Without
+    /// it, callers that keep idle connections open would use up the connection limit for good.
+    pub max_connection_age: Millis,
+    /// Path prefixes, each with the index of the class that requests under it belong to.
     pub routes: Vec<(String, usize)>,
-    /// Where the customer stands.
-    pub customer: Field,
-    /// Where the plan stands.
-    pub plan: Field,
-    /// Where the units stand; absent, they are one.
-    pub units: Field,
-    /// Where the set of instances stands; absent, it is all.
-    pub set: Field,
-    /// Where the idempotency key stands.
-    pub key: Field,
+    /// The source of the customer's name.
+    pub customer: ValueSource,
+    /// The source of the plan's name.
+    pub plan: ValueSource,
+    /// The source of the request's units; 1 if the value is absent.
+    pub units: ValueSource,
+    /// The source of the set of ingresses that serve the customer; all of them if the value is absent.
+    pub ingress_set: ValueSource,
+    /// The source of the idempotency key.
+    pub idempotency_key: ValueSource,
 }
 
-/// What the operator's file says.
+/// The configuration of an instance with the authorisation front.
 #[derive(Debug, Clone)]
 pub struct AuthzConfig {
-    /// What any instance is told.
-    pub instance: Instance,
-    /// Where authorisers are found.
-    pub consul: Arc<Consul>,
-    /// The front.
+    /// The keys that both fronts share.
+    pub instance: InstanceConfig,
+    /// The Consul agents and services that list the authorisers.
+    pub consul: Arc<ConsulConfig>,
+    /// The settings of the front.
     pub authz: Authz,
 }
 
-/// How old a caller's connection may become where the file says nothing.
-const DEFAULT_CONNECTION_AGE: Millis = 60_000.0;
+/// The default of `authz.max_connection_age_ms`, in milliseconds.
+const DEFAULT_MAX_CONNECTION_AGE: Millis = 60_000.0;
 
 impl AuthzConfig {
     /// Reads the operator's file.
@@ -77,38 +77,38 @@
         Self::read(&text, |name| std::env::var(name).ok())
     }
 
-    /// What a new configuration may move.
-    pub fn ways(&self) -> Ways {
-        Ways::new(&Source::Consul(self.consul.clone()), self.instance.counter)
+    /// Returns the part of the configuration that a reload applies.
+    pub fn reloadable(&self) -> ReloadableConfig {
+        ReloadableConfig::new(&BackendSource::Consul(self.consul.clone()), self.instance.counter)
     }
 
-    /// Reads the text of the operator's file.
+    /// Reads the operator's file from its TOML text; `env` looks up environment variables.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let value: Value = toml::from_str(text).map_err(|e| ConfigError::syntax("TOML", e))?;
-        let pairs = Pairs::from_json(&value);
-        let instance = Instance::read(&pairs, &value)?;
-        let field = |key: &str, otherwise: &str| match pairs.get(key)? {
-            Some(field) => Ok(field),
-            None => Field::from_str(otherwise).map_err(|()| ConfigError::unreadable(key, otherwise)),
+        let values = KeyValues::from_json(&value);
+        let instance = InstanceConfig::read(&values, &value)?;
+        let source = |key: &str, default: &str| match values.get(key)? {
+            Some(source) => Ok(source),
+            None => ValueSource::from_str(default).map_err(|()| ConfigError::unreadable(key, default)),
         };
         let route = |i: usize| {
             let (prefix, class) = (format!("authz.routes.{i}.prefix"), format!("authz.routes.{i}.class"));
-            let name: String = pairs.need(&class)?;
-            let at = instance.site.classes.iter().position(|known| known.name == name);
-            Ok((pairs.need(&prefix)?, at.ok_or_else(|| ConfigError::unreadable(&class, &name))?))
+            let name: String = values.required(&class)?;
+            let index = instance.site.classes.iter().position(|known| known.name == name);
+            Ok((values.required(&prefix)?, index.ok_or_else(|| ConfigError::unreadable(&class, &name))?))
         };
         let authz = Authz {
-            fail_open: pairs.opt("authz.fail_open")?,
-            default_timeout: pairs.positive("authz.default_timeout_ms", 1000.0)?,
-            connection_age: pairs.positive("authz.max_connection_age_ms", DEFAULT_CONNECTION_AGE)?,
-            routes: (0..pairs.opt("authz.routes.count")?).map(route).collect::<Result<_, _>>()?,
-            customer: field("authz.customer", "header:x-customer")?,
-            plan: field("authz.plan", "header:x-tier")?,
-            units: field("authz.units", "header:x-units")?,
-            set: field("authz.set", "header:x-set")?,
-            key: field("authz.key", "header:idempotency-key")?,
+            fail_open: values.or_default("authz.fail_open")?,
+            default_timeout: values.positive("authz.default_timeout_ms", 1000.0)?,
+            max_connection_age: values.positive("authz.max_connection_age_ms", DEFAULT_MAX_CONNECTION_AGE)?,
+            routes: (0..values.or_default("authz.routes.count")?).map(route).collect::<Result<_, _>>()?,
+            customer: source("authz.customer", "header:x-customer")?,
+            plan: source("authz.plan", "header:x-tier")?,
+            units: source("authz.units", "header:x-units")?,
+            ingress_set: source("authz.set", "header:x-set")?,
+            idempotency_key: source("authz.key", "header:idempotency-key")?,
         };
-        let consul = Arc::new(Consul::read(&pairs, env)?);
+        let consul = Arc::new(ConsulConfig::read(&values, env)?);
         Ok(Self { instance, consul, authz })
     }
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,52 +1,52 @@
-//! What is wrong with a configuration.
+//! The error of an invalid configuration.
 
 use std::fmt;
 
-/// What is wrong with the configuration; its text names the key at fault.
+/// Why a configuration cannot be used; the message names the key at fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigError {
-    /// A key that must be set is not.
+    /// A required key is not set.
     Missing(String),
-    /// A key is set that nothing reads.
+    /// A key is set that does not exist.
     Unknown(String),
-    /// The value of a key is of another type.
+    /// The value of a key cannot be parsed as the key's type.
     Unreadable {
         /// The key.
         key: String,
-        /// Its value.
+        /// The value.
         value: String,
     },
-    /// The value of a key cannot be used.
+    /// The value of a key, or a file, cannot be used.
     Invalid {
-        /// The key, or the file.
+        /// The key, or the path of the file.
         key: String,
-        /// Why not.
+        /// Why it cannot be used.
         reason: String,
     },
-    /// The same where the text repeats the value.
+    /// The value of a key cannot be used, and the message shows the value.
     InvalidValue {
         /// The key.
         key: String,
-        /// Its value.
+        /// The value.
         value: String,
         /// Why it cannot be used.
         reason: String,
     },
-    /// The text is not of its format.
+    /// The text is not valid TOML or JSON.
     Syntax {
-        /// The format.
+        /// The name of the format.
         format: &'static str,
-        /// What its reader says.
+        /// The parser's message.
         reason: String,
     },
-    /// A section of the file cannot be used.
+    /// A section cannot be used.
     Section {
         /// The section's key.
         section: &'static str,
-        /// Why not.
+        /// The message of the error inside the section.
         reason: String,
     },
-    /// The decision module refuses its settings.
+    /// The decision module's check of its settings failed, with this message.
     Settings(String),
 }
 
@@ -75,12 +75,12 @@
         Self::Syntax { format, reason: error.to_string() }
     }
 
-    /// The same error, found in a section.
-    pub(super) fn within(self, section: &'static str) -> Self {
+    /// Wraps the error as one found in a section.
+    pub(super) fn in_section(self, section: &'static str) -> Self {
         Self::Section { section, reason: self.reason() }
     }
 
-    /// The text without the word that says what it is about.
+    /// The message without the leading `configuration: `.
     fn reason(&self) -> String {
         match self {
             Self::Missing(key) => format!("{key} is missing"),
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,105 +1,109 @@
-//! Limits that the machine sets, and how connections and memory are shared out under them.
+//! Limits on memory and file descriptors, and the connection and buffer limits that follow from them.
 
 use super::error::ConfigError;
-use super::pairs::Pairs;
+use super::key_values::KeyValues;
 
-/// The limits that the machine sets.
+/// The resources that the process may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The process is killed above so many MiB.
-    pub memory_mb: usize,
-    /// The file descriptors that it may hold.
-    pub sockets: usize,
+    /// The memory in MiB (key `memory_mb`) above which the process is killed.
+    pub memory_mib: usize,
+    /// The number of file descriptors (key `sockets`) that the process may hold.
+    pub descriptors: usize,
 }
 
-/// The least limits that the program can work within.
-const MIN_LIMITS: Limits = Limits { memory_mb: 32, sockets: 64 };
-/// The limits where the configuration sets none: those of scored days.
-const DEFAULT_LIMITS: Limits = Limits { memory_mb: 192, sockets: 1024 };
-/// Watches on discovery that may be opened at once while it does not answer.
-pub const MAX_WATCH_ATTEMPTS: usize = 10;
-/// Descriptors kept for the listener, discovery, the counter, peers, signals, the log and the runtime, each of them
-/// twice while one takes another's place.
-const RESERVED_DESCRIPTORS: usize = 16 + MAX_WATCH_ATTEMPTS;
-/// The most connections to the admin interface at once; each holds a descriptor for some seconds at most.
+/// The lowest limits that the program can work with.
+const MIN_LIMITS: Limits = Limits { memory_mib: 32, descriptors: 64 };
+/// The limits if the configuration sets none: those of the platform's evaluation runs.
+const DEFAULT_LIMITS: Limits = Limits { memory_mib: 192, descriptors: 1024 };
+/// The most watches on discovery that may be opening at once while it does not answer.
+pub const MAX_CONCURRENT_WATCH_ATTEMPTS: usize = 10;
+/// Descriptors reserved for the listener, discovery, the counter, peers, signals, the log and the runtime; each needs two
+/// while it is replaced.
+const RESERVED_DESCRIPTORS: usize = 16 + MAX_CONCURRENT_WATCH_ATTEMPTS;
+/// The most concurrent connections to the admin interface; each holds a descriptor for a few seconds at most.
 pub const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// Descriptors reserved for operators: the admin listener, its connections, and what an upgrade takes.
+/// Descriptors reserved for operators: the admin listener, its connections, and those needed by an upgrade.
 pub(super) const ADMIN_DESCRIPTORS: usize = MAX_ADMIN_CONNECTIONS + 4;
-/// The share of the other descriptors for client connections. Requests hold at most a third of all: there is room for
-/// their connections, for idle ones beside them, and for a connection to a backend for each.
+/// The fraction of the remaining descriptors for client connections. Requests in progress hold at most a third of all
+/// descriptors, so this leaves room for their client connections, for idle ones, and for a backend connection each.
 const CLIENT_SHARE: f64 = 0.45;
-/// The share for client connections whose requests are turned away.
-const TURNED_AWAY_SHARE: f64 = 0.07;
-/// The share for connections to backends.
+/// The fraction for client connections whose requests are rejected.
+const REJECTED_CLIENT_SHARE: f64 = 0.07;
+/// The fraction for connections to backends.
 const BACKEND_SHARE: f64 = 0.45;
-/// The memory of an open connection beside its message, in bytes: its task, its read buffer, the state of its request.
+/// The memory of an open connection without its message, in bytes: its task, its read buffer and its request's state.
 const CONNECTION_BYTES: usize = 16 * 1024;
-/// The part of the memory for incomplete messages of clients, and again for those of backends.
+/// The fraction of the memory for incomplete messages from clients, and the same again for those from backends.
 const MESSAGE_SHARE: f64 = 1.0 / 6.0;
-/// The most memory of a connection of the authorisation front, in bytes: its window, and a check in flight.
-const CHECK_BYTES: usize = 2 * 80 * 1024;
+/// The most memory of a connection to the authorisation front, in bytes: its flow-control window and a check in flight.
+const AUTHZ_CONNECTION_BYTES: usize = 2 * 80 * 1024;
 
-/// The most connections of each kind.
+/// The most open connections of each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Connections of clients.
+    /// Client connections whose requests are served.
     pub clients: usize,
-    /// Connections of clients whose requests are turned away.
-    pub turned_away: usize,
+    /// Client connections beyond those, whose requests are rejected.
+    pub rejected_clients: usize,
     /// Connections to backends.
     pub backends: usize,
 }
 
 impl Limits {
-    /// Reads the limits under a path.
-    pub(super) fn read(pairs: &Pairs, prefix: &str) -> Result<Self, ConfigError> {
-        let at_least = |name: &str, usual: usize, least: usize| {
+    /// Reads the limits from the section `prefix`.
+    pub(super) fn read(values: &KeyValues, prefix: &str) -> Result<Self, ConfigError> {
+        let at_least = |name: &str, default: usize, minimum: usize| {
             let key = format!("{prefix}.{name}");
-            match pairs.get(&key)?.unwrap_or(usual) {
-                n if n >= least => Ok(n),
+            match values.get(&key)?.unwrap_or(default) {
+                n if n >= minimum => Ok(n),
                 n => {
-                    let reason = format!("is below the {least} that the program needs");
+                    let reason = format!("is below the {minimum} that the program needs");
                     Err(ConfigError::invalid_value(key, n, reason))
                 }
             }
         };
-        let memory_mb = at_least("memory_mb", DEFAULT_LIMITS.memory_mb, MIN_LIMITS.memory_mb)?;
-        Ok(Self { memory_mb, sockets: at_least("sockets", DEFAULT_LIMITS.sockets, MIN_LIMITS.sockets)? })
+        let memory_mib = at_least("memory_mb", DEFAULT_LIMITS.memory_mib, MIN_LIMITS.memory_mib)?;
+        let descriptors = at_least("sockets", DEFAULT_LIMITS.descriptors, MIN_LIMITS.descriptors)?;
+        Ok(Self { memory_mib, descriptors })
     }
 
-    /// These limits without so many descriptors that are reserved for something else.
+    /// Returns these limits less `descriptors` that are reserved for another use.
     pub(super) fn without_descriptors(self, descriptors: usize) -> Self {
-        Self { sockets: self.sockets.saturating_sub(descriptors).max(MIN_LIMITS.sockets / 2), ..self }
+        Self {
+            descriptors: self.descriptors.saturating_sub(descriptors).max(MIN_LIMITS.descriptors / 2),
+            ..self
+        }
     }
 
-    /// The most connections of each kind, as descriptors and a third of the memory allow.
-    pub fn connections(&self) -> ConnectionLimits {
+    /// Returns the most connections of each kind that the descriptors and a third of the memory allow.
+    pub fn connection_limits(&self) -> ConnectionLimits {
         let by_memory = self.memory_bytes() / 3 / CONNECTION_BYTES;
-        let all = (self.sockets - RESERVED_DESCRIPTORS).min(by_memory) as f64;
+        let all = (self.descriptors - RESERVED_DESCRIPTORS).min(by_memory) as f64;
         ConnectionLimits {
             clients: (all * CLIENT_SHARE) as usize,
-            turned_away: (all * TURNED_AWAY_SHARE) as usize,
+            rejected_clients: (all * REJECTED_CLIENT_SHARE) as usize,
             backends: (all * BACKEND_SHARE) as usize,
         }
     }
 
     fn memory_bytes(&self) -> usize {
-        self.memory_mb << 20
+        self.memory_mib << 20
     }
 
-    /// The most client connections that are kept idle after a request: less than half of all, so that the others are free
-    /// for requests.
-    pub fn idle(&self) -> usize {
-        self.connections().clients / 3
+    /// Returns the most client connections that are kept idle after a request: less than half of all, so that the others
+    /// stay free for requests.
+    pub fn max_idle_clients(&self) -> usize {
+        self.connection_limits().clients / 3
     }
 
-    /// The most connections to the authorisation front.
-    pub fn callers(&self) -> usize {
-        self.connections().clients.min(self.memory_bytes() / 4 / CHECK_BYTES)
+    /// Returns the most connections to the authorisation front.
+    pub fn max_authz_connections(&self) -> usize {
+        self.connection_limits().clients.min(self.memory_bytes() / 4 / AUTHZ_CONNECTION_BYTES)
     }
 
-    /// The most bytes of incomplete messages on all connections of one side.
-    pub fn messages(&self) -> usize {
+    /// Returns the most bytes of incomplete messages over all connections of one side (clients or backends).
+    pub fn max_message_bytes(&self) -> usize {
         (self.memory_bytes() as f64 * MESSAGE_SHARE) as usize
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,25 +1,25 @@
-//! The one place where configuration is read, checked and given its defaults: the environment, the platform's
-//! JSON, an operator's TOML and the simulator's text all become pairs of path and value first.
+//! Reads configuration, checks it and fills in defaults. Every input format (environment variables, the platform's JSON,
+//! an operator's TOML, the simulator's text) is first flattened into [`KeyValues`].
 
 mod authz;
 mod cluster;
 mod consul;
 mod error;
 mod instance;
+mod key_values;
 mod limits;
-mod pairs;
 mod platform;
 mod settings;
 mod subset;
 
-pub use authz::{Authz, AuthzConfig, Field};
-pub use cluster::Fleet;
-pub use consul::{Consul, Service, Token};
+pub use authz::{Authz, AuthzConfig, ValueSource};
+pub use cluster::ClusterConfig;
+pub use consul::{ConsulConfig, ConsulService, Token};
 pub use error::ConfigError;
-pub use instance::Instance;
-pub use limits::{ConnectionLimits, Limits, MAX_ADMIN_CONNECTIONS, MAX_WATCH_ATTEMPTS};
-pub use pairs::Pairs;
-pub use platform::{Config, Source, Ways};
+pub use instance::InstanceConfig;
+pub use key_values::KeyValues;
+pub use limits::{ConnectionLimits, Limits, MAX_ADMIN_CONNECTIONS, MAX_CONCURRENT_WATCH_ATTEMPTS};
+pub use platform::{BackendSource, Config, ReloadableConfig};
 pub use settings::{ClassInfo, Site};
 
 #[cfg(test)]
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,174 +1,174 @@
-//! The settings of a deployment: classes, plans and limits of the platform, the same for every front.
+//! The settings of a deployment, the same for both fronts: classes, plans, zones and limits.
 
 use super::error::ConfigError;
-use super::pairs::Pairs;
+use super::key_values::KeyValues;
 use crate::backends::entries::Places;
 use crate::interface::{
     Class, ColdStart, DedupScope, IngressId, Millis, Plan, RetrySafety, Settings, ZoneId,
 };
 use std::collections::HashMap;
 
-/// What a front has to know of a class beside the decision module's settings.
+/// The properties of a class that a front needs in addition to the decision module's [`Class`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassInfo {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// The longest that a client waits, in milliseconds.
-    pub give_up: Millis,
-    /// Its requests carry an idempotency key.
-    pub keyed: bool,
+    /// The longest that a client waits for an answer, in milliseconds; bounds every request's deadline.
+    pub client_timeout: Millis,
+    /// Whether its requests must carry an idempotency key.
+    pub needs_idempotency_key: bool,
 }
 
-/// The settings of a deployment, as the decisions and the network code need them.
+/// The settings of a deployment: those of the decision module and those of the network code.
 #[derive(Debug, Clone)]
 pub struct Site {
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The names of the values in a backend's load report, in their order.
-    pub load_names: Vec<String>,
-    /// The classes, in the order of their ids.
+    /// The names of the values in a backend's load report, in order.
+    pub load_report_names: Vec<String>,
+    /// The classes, indexed by class id.
     pub classes: Vec<ClassInfo>,
-    /// The places of the plans in their list, by name.
+    /// The indices of the plans by name.
     pub plans: HashMap<String, usize>,
-    /// The zones and kinds of machine by name.
+    /// The names of zones and of kinds of machine.
     pub places: Places,
-    /// Backends close a connection that was idle for so many milliseconds.
-    pub conn_idle: Millis,
-    /// A connection that is not established within so many milliseconds never will be.
+    /// The idle time after which a backend closes a connection, in milliseconds.
+    pub backend_idle_timeout: Millis,
+    /// The timeout for connecting to a backend, in milliseconds.
     pub connect_timeout: Millis,
-    /// The longest `Retry-After` of a rejected client, in milliseconds.
+    /// The longest `Retry-After` sent to a rejected client, in milliseconds.
     pub max_retry_after: Millis,
 }
 
-/// How long backends keep idle connections where the settings don't say, in milliseconds.
-const DEFAULT_CONN_IDLE: Millis = 30_000.0;
-/// The time to connect where the settings don't say, in milliseconds.
+/// The default of `limits.connIdle`, in milliseconds.
+const DEFAULT_BACKEND_IDLE_TIMEOUT: Millis = 30_000.0;
+/// The default of `limits.connectTimeout`, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT: Millis = 250.0;
-/// The longest `Retry-After` where the settings don't say, in milliseconds.
+/// The default of `limits.maxRetryAfter`, in milliseconds.
 const DEFAULT_MAX_RETRY_AFTER: Millis = 1000.0;
-/// How long a client waits where its class does not say, in milliseconds.
-const DEFAULT_GIVE_UP: Millis = 10_000.0;
-/// What a unit of a class is worth.
+/// The default of a class's `giveUp`, in milliseconds.
+const DEFAULT_CLIENT_TIMEOUT: Millis = 10_000.0;
+/// The default of a class's `worth`, per unit.
 const DEFAULT_WORTH: f64 = 1.0;
 
 impl Site {
-    /// Reads the settings; keys it does not know are skipped.
-    pub fn read(pairs: &Pairs) -> Result<Self, ConfigError> {
-        let settings = read_settings(pairs)?;
+    /// Reads the settings; unknown keys are ignored.
+    pub fn read(values: &KeyValues) -> Result<Self, ConfigError> {
+        let settings = read_settings(values)?;
         let class = |i: usize| {
             let key = |name: &str| format!("classes.{i}.{name}");
             Ok(ClassInfo {
-                name: pairs.get(&key("name"))?.unwrap_or_else(|| i.to_string()),
-                give_up: pairs.get(&key("giveUp"))?.unwrap_or(DEFAULT_GIVE_UP),
-                keyed: matches!(settings.classes[i].retry_safety, RetrySafety::Keyed { .. }),
+                name: values.get(&key("name"))?.unwrap_or_else(|| i.to_string()),
+                client_timeout: values.get(&key("giveUp"))?.unwrap_or(DEFAULT_CLIENT_TIMEOUT),
+                needs_idempotency_key: matches!(settings.classes[i].retry_safety, RetrySafety::Keyed { .. }),
             })
         };
         let plan = |i: usize| {
-            let name: Option<String> = pairs.get(&format!("tariffs.{i}.name"))?;
+            let name: Option<String> = values.get(&format!("tariffs.{i}.name"))?;
             Ok((name.unwrap_or_else(|| i.to_string()), i))
         };
         Ok(Self {
             classes: (0..settings.classes.len()).map(class).collect::<Result<_, _>>()?,
             plans: (0..settings.plans.len()).map(plan).collect::<Result<_, _>>()?,
-            load_names: pairs.list("feedback.names")?,
-            places: Places { zones: pairs.list("zones")?, kinds: pairs.list("flavors")? },
-            conn_idle: pairs.positive("limits.connIdle", DEFAULT_CONN_IDLE)?,
-            connect_timeout: pairs.positive("limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT)?,
-            max_retry_after: pairs.positive("limits.maxRetryAfter", DEFAULT_MAX_RETRY_AFTER)?,
+            load_report_names: values.list("feedback.names")?,
+            places: Places { zones: values.list("zones")?, kinds: values.list("flavors")? },
+            backend_idle_timeout: values.positive("limits.connIdle", DEFAULT_BACKEND_IDLE_TIMEOUT)?,
+            connect_timeout: values.positive("limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT)?,
+            max_retry_after: values.positive("limits.maxRetryAfter", DEFAULT_MAX_RETRY_AFTER)?,
             settings,
         })
     }
 
-    /// Whether a request may draw so many units.
-    pub fn good_units(&self, units: f64) -> bool {
-        let most =
+    /// Returns whether a request may draw this number of units: above 0 and at most `max_request_units`, if that is set.
+    pub fn allows_units(&self, units: f64) -> bool {
+        let max =
             if self.settings.max_request_units > 0.0 { self.settings.max_request_units } else { f64::MAX };
-        units > 0.0 && units <= most
+        units > 0.0 && units <= max
     }
 
-    /// A customer's set, where there are such ingresses.
-    pub fn good_set(&self, spread: u16, first: u16) -> Option<(u16, u16)> {
-        let all = self.settings.ingress_count;
-        ((1..=all).contains(&spread) && first < all).then_some((spread, first))
+    /// Checks a customer's set of `spread` ingresses from number `first`; returns `None` if the fleet has no such set.
+    pub fn valid_ingress_set(&self, spread: u16, first: u16) -> Option<(u16, u16)> {
+        let ingress_count = self.settings.ingress_count;
+        ((1..=ingress_count).contains(&spread) && first < ingress_count).then_some((spread, first))
     }
 
-    /// The same, for a daemon: its clients are always told when to come back, also where the settings say
-    /// that the simulator's are not, since a rejected flow is answered at once.
-    pub fn with_advice(mut self) -> Self {
+    /// Returns the settings for a daemon. Its rejections always carry `Retry-After`, since it answers rejected requests at
+    /// once; `limits.retryAfter` applies to the simulator only.
+    pub fn with_retry_after(mut self) -> Self {
         self.settings.max_retry_after = self.max_retry_after;
         self
     }
 }
 
-/// Reads what the decision module has to know.
-fn read_settings(pairs: &Pairs) -> Result<Settings, ConfigError> {
-    let classes: usize = pairs.need("classes.count")?;
-    let plans: usize = pairs.opt("tariffs.count")?;
-    let advice: bool = pairs.opt("limits.retryAfter")?;
-    let mode: String = pairs.opt("membershipMode")?;
+/// Reads and checks the settings of the decision module.
+fn read_settings(values: &KeyValues) -> Result<Settings, ConfigError> {
+    let classes: usize = values.required("classes.count")?;
+    let plans: usize = values.or_default("tariffs.count")?;
+    let sends_retry_after: bool = values.or_default("limits.retryAfter")?;
+    let mode: String = values.or_default("membershipMode")?;
     let settings = Settings {
-        ingress: IngressId(pairs.need("myNumber")?),
-        ingress_count: pairs.need("balancers")?,
-        zone: ZoneId(pairs.opt("zone")?),
-        classes: (0..classes).map(|i| read_class(pairs, i)).collect::<Result<_, _>>()?,
-        plans: (0..plans).map(|i| read_plan(pairs, i)).collect::<Result<_, _>>()?,
-        max_request_units: pairs.opt("familyInfo.largest")?,
-        units_are_estimates: pairs.opt("familyInfo.truedUp")?,
-        meter_period: pairs.opt("familyInfo.usePeriod")?,
-        counter: pairs.opt("familyInfo.hasCounter")?,
-        counter_timeout: pairs.opt("familyInfo.counterTimeout")?,
-        peers: pairs.opt("limits.mayTell")?,
-        peer_messages_per_second: pairs.opt("familyInfo.mailPerS")?,
-        max_attempts: pairs.need("limits.maxAttempts")?,
-        hedging: pairs.opt("limits.secondCopies")?,
-        cancellation: pairs.opt("limits.cancelling")?,
-        max_retry_after: if advice { pairs.opt("limits.maxRetryAfter")? } else { 0.0 },
+        ingress: IngressId(values.required("myNumber")?),
+        ingress_count: values.required("balancers")?,
+        zone: ZoneId(values.or_default("zone")?),
+        classes: (0..classes).map(|i| read_class(values, i)).collect::<Result<_, _>>()?,
+        plans: (0..plans).map(|i| read_plan(values, i)).collect::<Result<_, _>>()?,
+        max_request_units: values.or_default("familyInfo.largest")?,
+        units_are_estimates: values.or_default("familyInfo.truedUp")?,
+        meter_period: values.or_default("familyInfo.usePeriod")?,
+        counter: values.or_default("familyInfo.hasCounter")?,
+        counter_timeout: values.or_default("familyInfo.counterTimeout")?,
+        peers: values.or_default("limits.mayTell")?,
+        peer_messages_per_second: values.or_default("familyInfo.mailPerS")?,
+        max_attempts: values.required("limits.maxAttempts")?,
+        hedging: values.or_default("limits.secondCopies")?,
+        cancellation: values.or_default("limits.cancelling")?,
+        max_retry_after: if sends_retry_after { values.or_default("limits.maxRetryAfter")? } else { 0.0 },
         list_on_request: mode == "on_request",
         cold: ColdStart {
-            initial_capacity: pairs.need("rules.coldFrom")?,
-            warm_after: pairs.need("rules.cold")?,
-            overload_multiple: pairs.need("rules.fallMultiple")?,
-            overload_window: pairs.need("rules.overloadFor")?,
+            initial_capacity: values.required("rules.coldFrom")?,
+            warm_after: values.required("rules.cold")?,
+            overload_multiple: values.required("rules.fallMultiple")?,
+            overload_window: values.required("rules.overloadFor")?,
         },
-        cross_zone_cost: pairs.opt::<f64>("prices.crossZone")? > 0.0,
+        cross_zone_cost: values.or_default::<f64>("prices.crossZone")? > 0.0,
     };
     settings.check().map_err(|e| ConfigError::Settings(e.to_string()))?;
     Ok(settings)
 }
 
-/// Reads the class of this place in the list.
-fn read_class(pairs: &Pairs, i: usize) -> Result<Class, ConfigError> {
+/// Reads the class at index `i`.
+fn read_class(values: &KeyValues, i: usize) -> Result<Class, ConfigError> {
     let key = |name: &str| format!("classes.{i}.{name}");
-    let retry_safety: String = pairs.need(&key("effect"))?;
+    let retry_safety: String = values.required(&key("effect"))?;
     let retry_safety = match retry_safety.as_str() {
         "read_like" => RetrySafety::Safe,
         "non_idempotent" => RetrySafety::Unsafe,
         "idempotency_key" => {
-            let scope: String = pairs.need(&key("group"))?;
+            let scope: String = values.required(&key("group"))?;
             let scope = match scope.as_str() {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
                 "cell" => DedupScope::Cell,
                 _ => return Err(ConfigError::unreadable(key("group"), &scope)),
             };
-            RetrySafety::Keyed { scope, window: pairs.need(&key("window"))? }
+            RetrySafety::Keyed { scope, window: values.required(&key("window"))? }
         }
         _ => return Err(ConfigError::unreadable(key("effect"), &retry_safety)),
     };
-    let worth = pairs.get(&key("worth"))?.unwrap_or(DEFAULT_WORTH);
-    Ok(Class { aim: pairs.need(&key("aim"))?, worth, retry_safety })
+    let worth = values.get(&key("worth"))?.unwrap_or(DEFAULT_WORTH);
+    Ok(Class { aim: values.required(&key("aim"))?, worth, retry_safety })
 }
 
-/// Reads the plan of this place in the list.
-fn read_plan(pairs: &Pairs, i: usize) -> Result<Plan, ConfigError> {
+/// Reads the plan at index `i`.
+fn read_plan(values: &KeyValues, i: usize) -> Result<Plan, ConfigError> {
     let key = |name: &str| format!("tariffs.{i}.{name}");
     Ok(Plan {
-        rate: pairs.need(&key("perSecond"))?,
-        burst: pairs.need(&key("storeSize"))?,
-        max_in_flight: pairs.need(&key("atOnce"))?,
-        ceiling_rate: pairs.need(&key("ceilingRate"))?,
-        ceiling_burst: pairs.need(&key("neverOverDepth"))?,
-        excess_worth: pairs.opt(&key("extraWorth"))?,
-        excess_cost: pairs.opt(&key("excessCost"))?,
+        rate: values.required(&key("perSecond"))?,
+        burst: values.required(&key("storeSize"))?,
+        max_in_flight: values.required(&key("atOnce"))?,
+        ceiling_rate: values.required(&key("ceilingRate"))?,
+        ceiling_burst: values.required(&key("neverOverDepth"))?,
+        excess_worth: values.or_default(&key("extraWorth"))?,
+        excess_cost: values.or_default(&key("excessCost"))?,
     })
 }
--- a/src/config/subset.rs
+++ b/src/config/subset.rs
@@ -1,22 +1,22 @@
-//! How many backends an ingress of a large fleet goes by: the key `subset.size`.
+//! The number of backends that an ingress of a large fleet sends to: the key `subset.size`.
 
 use super::error::ConfigError;
-use super::pairs::Pairs;
+use super::key_values::KeyValues;
 
-/// Fewer backends do not bear the loss of some.
-const LEAST_SIZE: usize = 16;
-/// More backends bound nothing.
-const MOST_SIZE: usize = 4096;
+/// The smallest subset, in backends. A smaller one could not absorb the loss of some of its backends.
+const MIN_SUBSET_SIZE: usize = 16;
+/// The largest subset, in backends. A larger one would no longer limit anything.
+const MAX_SUBSET_SIZE: usize = 4096;
 
-/// Reads about how many backends are sent to; none where all are.
-pub(super) fn read(pairs: &Pairs) -> Result<Option<usize>, ConfigError> {
+/// Reads the approximate number of backends to send to; `None` for all.
+pub(super) fn read(values: &KeyValues) -> Result<Option<usize>, ConfigError> {
     let key = "subset.size";
-    match pairs.get::<usize>(key)? {
-        Some(size) if !(LEAST_SIZE..=MOST_SIZE).contains(&size) => {
-            let reason = format!("is not within {LEAST_SIZE} and {MOST_SIZE}");
+    match values.get::<usize>(key)? {
+        Some(size) if !(MIN_SUBSET_SIZE..=MAX_SUBSET_SIZE).contains(&size) => {
+            let reason = format!("is not within {MIN_SUBSET_SIZE} and {MAX_SUBSET_SIZE}");
             Err(ConfigError::invalid_value(key, size, reason))
         }
-        None if pairs.any("subset") => Err(ConfigError::missing(key)),
+        None if values.has_section("subset") => Err(ConfigError::missing(key)),
         size => Ok(size),
     }
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-fn authz(text: &str) -> String {
+fn authz_error(text: &str) -> String {
     AuthzConfig::read(text, |_| None).map(drop).unwrap_err().to_string()
 }
 
-fn consul(text: &str) -> String {
-    authz(&format!("name = \"a\"\nlisten = \"127.0.0.1:0\"\n{text}\n{SETTINGS}"))
+fn consul_error(text: &str) -> String {
+    authz_error(&format!("name = \"a\"\nlisten = \"127.0.0.1:0\"\n{text}\n{SETTINGS}"))
 }
 
 const SETTINGS: &str = "[settings]\nbalancers = 1\nmyNumber = 0\nclasses = [{ aim = 0.9, effect = \"read_like\" }]\n\
     limits = { maxAttempts = 1 }\nrules = { coldFrom = 0.5, cold = 1000, fallMultiple = 2, overloadFor = 500 }\n";
 
 #[test]
-fn an_error_names_the_key_at_fault() {
-    assert_eq!(authz(""), "configuration: settings is missing");
-    assert_eq!(authz("[settings]"), "configuration: settings: classes.count is missing");
-    assert!(authz("=").starts_with("configuration: not TOML: "));
+fn errors_name_the_invalid_key() {
+    assert_eq!(authz_error(""), "configuration: settings is missing");
+    assert_eq!(authz_error("[settings]"), "configuration: settings: classes.count is missing");
+    assert!(authz_error("=").starts_with("configuration: not TOML: "));
     for (text, reason) in [
         ("", "consul.address is missing"),
         ("[consul]\nadress = 1", "consul.adress is no known key"),
@@ -43,12 +43,14 @@
         ),
         ("[cluster]\nlisten = \"127.0.0.1:7000\"\nfleet = \"\"", "cluster.fleet is empty"),
     ] {
-        assert_eq!(consul(text), format!("configuration: {reason}"), "{text}");
+        assert_eq!(consul_error(text), format!("configuration: {reason}"), "{text}");
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named_with_its_key() {
+fn names_unreadable_file_and_its_key() {
     let text = "[consul]\naddress = \"127.0.0.1:1\"\nservice = \"s\"\ntoken_file = \"/nowhere/at/all\"";
-    assert!(consul(text).starts_with("configuration: consul.token_file=/nowhere/at/all cannot be read: "));
+    assert!(
+        consul_error(text).starts_with("configuration: consul.token_file=/nowhere/at/all cannot be read: ")
+    );
 }
--- a/src/consul/agent.rs
+++ b/src/consul/agent.rs
@@ -1,7 +1,7 @@
 //! The wire to an agent: HTTP/1.1 by hyper, over TCP or TLS, one kept connection a query. What comes is bounded in size
 //! and time.
 
-use crate::config::Consul;
+use crate::config::ConsulConfig;
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
 use crate::net::stream::connect;
@@ -90,7 +90,7 @@
     /// as the agent may have died: what follows is then asked for anew, and soon found to be silence or not.
     pub async fn get(
         &mut self,
-        consul: &Consul,
+        consul: &ConsulConfig,
         at: SocketAddr,
         target: &str,
         patience: Millis,
@@ -121,7 +121,7 @@
     async fn ask(
         &self,
         sender: &mut Sender,
-        consul: &Consul,
+        consul: &ConsulConfig,
         at: SocketAddr,
         target: &str,
     ) -> Result<Result<Answer, Refusal>, String> {
@@ -170,7 +170,7 @@
     }
 }
 
-async fn open(consul: &Consul, at: SocketAddr) -> Result<Sender, Refusal> {
+async fn open(consul: &ConsulConfig, at: SocketAddr) -> Result<Sender, Refusal> {
     let told = |e: std::io::Error| Refusal::from(e.to_string());
     let stream = connect(at).await.map_err(told)?;
     let (idle, between, most) = ALIVE;
--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -11,7 +11,7 @@
 use crate::backends::membership::members::Members;
 use crate::backends::membership::merged_list::Slot;
 use crate::backends::membership::traffic::Witness;
-use crate::config::{Consul, Service, Ways};
+use crate::config::{ConsulConfig, ConsulService, ReloadableConfig};
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
 use crate::pacing::Pacing;
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 pub struct Watch {
     /// The agents, and what to ask them.
-    pub consul: Arc<Consul>,
+    pub consul: Arc<ConsulConfig>,
     /// New configurations.
-    pub ways: watch::Receiver<Ways>,
+    pub ways: watch::Receiver<ReloadableConfig>,
     /// The zones and kinds of machine that instances name.
     pub places: Places,
     /// How many ingresses ask the same.
@@ -112,8 +112,8 @@
     fn begin<T: FnMut(BackendList) + 'static>(
         &self,
         book: &Rc<RefCell<ServiceBook<T>>>,
-        before: Option<&Arc<Consul>>,
-        consul: &Arc<Consul>,
+        before: Option<&Arc<ConsulConfig>>,
+        consul: &Arc<ConsulConfig>,
     ) -> JoinSet<()> {
         self.witness.suspect_after(consul.membership.unreachable_after);
         let mut tasks = JoinSet::new();
@@ -142,8 +142,8 @@
     fn queries<T: FnMut(BackendList)>(
         &self,
         book: Rc<RefCell<ServiceBook<T>>>,
-        consul: Arc<Consul>,
-        service: Service,
+        consul: Arc<ConsulConfig>,
+        service: ConsulService,
         slot: Slot,
     ) -> ServiceQueries<T> {
         ServiceQueries {
@@ -173,13 +173,13 @@
 }
 
 /// Whether the operator asks for this service otherwise than before.
-fn has_changed(before: &[Service], service: &Service) -> bool {
+fn has_changed(before: &[ConsulService], service: &ConsulService) -> bool {
     before.iter().any(|was| was.name == service.name && was != service)
 }
 
 /// Resolves once another configuration is there; never where none can come any more.
-async fn changed(ways: &mut watch::Receiver<Ways>, now: &Arc<Consul>) -> Arc<Consul> {
-    let other = |ways: &Ways| ways.consul.as_ref().is_some_and(|consul| consul != now);
+async fn changed(ways: &mut watch::Receiver<ReloadableConfig>, now: &Arc<ConsulConfig>) -> Arc<ConsulConfig> {
+    let other = |ways: &ReloadableConfig| ways.consul.as_ref().is_some_and(|consul| consul != now);
     match ways.wait_for(other).await.ok().and_then(|ways| ways.consul.clone()) {
         Some(consul) => consul,
         None => std::future::pending().await,
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -6,7 +6,7 @@
 use crate::backends::entries::{BackendList, Places};
 use crate::backends::membership::asking::{AgentRotation, Cursor, QueryLimiter};
 use crate::backends::membership::merged_list::Slot;
-use crate::config::{Consul, Service};
+use crate::config::{ConsulConfig, ConsulService};
 use crate::deadlines::Deadlines;
 use crate::interface::Millis;
 use crate::pacing::Pacing;
@@ -26,8 +26,8 @@
 /// The queries for one service, which two tasks share.
 pub(super) struct ServiceQueries<T> {
     pub(super) book: Rc<RefCell<ServiceBook<T>>>,
-    pub(super) consul: Arc<Consul>,
-    pub(super) service: Service,
+    pub(super) consul: Arc<ConsulConfig>,
+    pub(super) service: ConsulService,
     pub(super) slot: Slot,
     pub(super) places: Places,
     pub(super) instances: u16,
--- a/src/consul/query.rs
+++ b/src/consul/query.rs
@@ -1,7 +1,7 @@
 //! What is asked of an agent: the targets of queries.
 
 use crate::backends::membership::asking::Cursor;
-use crate::config::{Consul, Service};
+use crate::config::{ConsulConfig, ConsulService};
 use crate::interface::Millis;
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 
@@ -21,7 +21,7 @@
     if said.is_empty() { String::new() } else { format!("?{}", said.join("&")) }
 }
 
-fn common(service: &Service) -> Vec<(&'static str, Option<String>)> {
+fn common(service: &ConsulService) -> Vec<(&'static str, Option<String>)> {
     let tags = service.tags.iter().map(|tag| ("tag", Some(escaped(tag))));
     [("dc", &service.datacenter), ("ns", &service.namespace)]
         .into_iter()
@@ -31,7 +31,7 @@
 }
 
 /// The health of a service; it blocks where there is an index to wait on.
-pub fn health(consul: &Consul, service: &Service, cursor: Cursor) -> String {
+pub fn health(consul: &ConsulConfig, service: &ConsulService, cursor: Cursor) -> String {
     let index = cursor.index();
     // To the millisecond: Consul reads Go's durations.
     let wait = index.map(|_| format!("{}ms", consul.wait as u64));
@@ -42,19 +42,19 @@
 }
 
 /// The catalogue's list of a service. Its fields have other names than those of health, and so has its filter.
-pub fn catalogue(consul: &Consul, service: &Service) -> String {
+pub fn catalogue(consul: &ConsulConfig, service: &ConsulService) -> String {
     let filter = [("filter", service.catalogue_filter.as_deref().map(escaped))];
     let all = query([stale(consul)].into_iter().chain(common(service)).chain(filter));
     format!("/v1/catalog/service/{}{all}", escaped(&service.name))
 }
 
-fn stale(consul: &Consul) -> (&'static str, Option<String>) {
+fn stale(consul: &ConsulConfig) -> (&'static str, Option<String>) {
     ("stale", consul.max_stale.map(|_| String::new()))
 }
 
 /// How long an answer may take: a blocking query is answered up to a sixteenth later than it was asked to be, as Consul
 /// spreads them so; beyond that and some slack it is taken for silence.
-pub fn patience(consul: &Consul, cursor: Cursor) -> Millis {
+pub fn patience(consul: &ConsulConfig, cursor: Cursor) -> Millis {
     match cursor.index() {
         Some(_) => consul.wait * (1.0 + 1.0 / 16.0) + consul.timeout,
         None => consul.timeout,
--- a/src/consul/query/tests.rs
+++ b/src/consul/query/tests.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn queries_say_what_is_configured_and_block_only_with_an_index() {
-    let mut consul = Consul { wait: 55_000.0, timeout: 3000.0, ..Consul::default() };
-    let mut service = Service { name: "club authz".into(), ..Service::default() };
+    let mut consul = ConsulConfig { wait: 55_000.0, timeout: 3000.0, ..ConsulConfig::default() };
+    let mut service = ConsulService { name: "club authz".into(), ..ConsulService::default() };
     let mut cursor = Cursor::default();
     assert_eq!(health(&consul, &service, cursor), "/v1/health/service/club%20authz");
     assert_eq!(patience(&consul, cursor), 3000.0);
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -2,7 +2,7 @@
 
 use crate::backends::entries::{Places, ServiceEntry, backend_id};
 use crate::backends::membership::{Observation, Reason};
-use crate::config::Service;
+use crate::config::ConsulService;
 use crate::interface::{BackendEntry, BackendId, BackendState, CellId};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 }
 
 /// Reads an answer of `/v1/health/service/NAME`; an error where it is none, or nothing of it can be read.
-pub fn health(body: &[u8], service: &Service, places: &Places) -> Result<Read, String> {
+pub fn health(body: &[u8], service: &ConsulService, places: &Places) -> Result<Read, String> {
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
     let instances = answer.as_array().ok_or("its answer is no list")?;
     let (mut read, mut ids) = (Read::default(), BTreeSet::new());
@@ -40,7 +40,7 @@
 }
 
 /// Reads the ids that an answer of `/v1/catalog/service/NAME` holds.
-pub fn catalogue(body: &[u8], service: &Service) -> Result<BTreeSet<BackendId>, String> {
+pub fn catalogue(body: &[u8], service: &ConsulService) -> Result<BTreeSet<BackendId>, String> {
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
     let instances = answer.as_array().ok_or("its answer is no list")?;
     // Prevents an answer that cannot be read from being taken for word that all are gone.
@@ -53,7 +53,7 @@
 }
 
 /// Ids of services are unique on their node only, and nodes in their datacenter.
-fn name(instance: &Value, node: &str, id: &str, service: &Service) -> Option<String> {
+fn name(instance: &Value, node: &str, id: &str, service: &ConsulService) -> Option<String> {
     let (node, id) = (text(instance, node)?, text(instance, id)?);
     Some(format!("{}{node}/{id}", service.prefix))
 }
@@ -62,7 +62,7 @@
 ///
 /// One whose checks pass or warn is ready. One with a critical check, as maintenance sets it, or without weight drains: it
 /// finishes what it has. One that is no longer listed is gone.
-fn observation(value: &Value, service: &Service, places: &Places) -> Result<Observation, &'static str> {
+fn observation(value: &Value, service: &ConsulService, places: &Places) -> Result<Observation, &'static str> {
     let meta = |name: &str| text(value, &format!("/Service/Meta/{name}"));
     text(value, "/Node/Node").ok_or("Node.Node")?;
     let name = name(value, "/Node/Node", "/Service/ID", service).ok_or("Service.ID")?;
--- a/src/consul/read/tests.rs
+++ b/src/consul/read/tests.rs
@@ -27,7 +27,7 @@
 
 fn read(instances: Vec<Value>) -> Result<Read, String> {
     let places = Places { zones: vec!["west".into(), "east".into()], kinds: vec!["big".into()] };
-    health(Value::from(instances).to_string().as_bytes(), &Service::default(), &places)
+    health(Value::from(instances).to_string().as_bytes(), &ConsulService::default(), &places)
 }
 
 fn one(instance: Value) -> Observation {
@@ -42,7 +42,7 @@
     assert_eq!((weight, zone.0, kind.0, cell.0, last_start), (3.0, 1, 0, 4, Some(99.0)));
     assert_eq!((state, seen.entry.address), (BackendState::Ready, "127.0.0.1:80".parse().ok()));
     assert_eq!(one(with("/Service/Address", Some("".into()))).entry.address, "127.0.0.9:80".parse().ok());
-    let elsewhere = Service { prefix: "dc2/".into(), ..Service::default() };
+    let elsewhere = ConsulService { prefix: "dc2/".into(), ..ConsulService::default() };
     let body = json!([{"Node": "n1", "ServiceID": "a"}]).to_string();
     assert_eq!(catalogue(body.as_bytes(), &elsewhere).unwrap(), [backend_id("dc2/n1/a")].into());
 }
@@ -95,7 +95,7 @@
     assert_eq!((twice.seen.len(), twice.faults.len()), (1, 1));
     assert_eq!(twice.seen[0].entry.address.unwrap().port(), 80);
     assert!(read(vec![with("/Checks", None)]).is_err(), "not one: that is no list of none");
-    assert!(catalogue(b"[{\"Node\": \"n1\"}]", &Service::default()).is_err());
+    assert!(catalogue(b"[{\"Node\": \"n1\"}]", &ConsulService::default()).is_err());
 }
 
 #[test]
@@ -108,7 +108,7 @@
         } else {
             body[at] = with;
         }
-        let service = Service::default();
+        let service = ConsulService::default();
         let _ = catalogue(&body, &service);
         match health(&body, &service, &Places::default()) {
             Ok(read) => {
--- a/src/fronts/ext_authz/mod.rs
+++ b/src/fronts/ext_authz/mod.rs
@@ -5,7 +5,7 @@
 pub mod proto;
 pub mod service;
 
-use crate::config::{Authz, Field, Site};
+use crate::config::{Authz, Site, ValueSource};
 use crate::exchange::{FinalAnswer, RequestInfo};
 use crate::interface::*;
 use crate::net::http::BODY;
@@ -47,23 +47,23 @@
         let http = attributes.request.and_then(|request| request.http);
         let http = http.ok_or_else(|| bad("attributes.request.http is missing"))?;
         let headers = headers(&http);
-        let get = |field: &Field| match field {
-            Field::Header(name) => headers.get(name.as_str()).copied(),
-            Field::Extension(name) => attributes.context_extensions.get(name).map(String::as_str),
+        let get = |field: &ValueSource| match field {
+            ValueSource::Header(name) => headers.get(name.as_str()).copied(),
+            ValueSource::Extension(name) => attributes.context_extensions.get(name).map(String::as_str),
         };
         let class = self.class(&http.path).ok_or_else(|| bad("the path belongs to no class"))?;
         let info = &self.site.classes[class];
         let customer = get(&self.authz.customer).filter(|name| !name.is_empty());
         let customer = customer.ok_or_else(|| bad("the customer is missing"))?;
         let plan = get(&self.authz.plan).and_then(|name| self.site.plans.get(name));
-        if info.keyed && get(&self.authz.key).is_none_or(str::is_empty) {
+        if info.needs_idempotency_key && get(&self.authz.idempotency_key).is_none_or(str::is_empty) {
             return Err(bad("the class needs an idempotency key"));
         }
         let units = match get(&self.authz.units) {
-            Some(text) => text.trim().parse().ok().filter(|units| self.site.good_units(*units)),
+            Some(text) => text.trim().parse().ok().filter(|units| self.site.allows_units(*units)),
             None => Some(1.0),
         };
-        let (spread, first) = match get(&self.authz.set) {
+        let (spread, first) = match get(&self.authz.ingress_set) {
             Some(text) => self.set(text).ok_or_else(|| bad("the set cannot be read"))?,
             None => (self.site.settings.ingress_count, 0),
         };
@@ -76,7 +76,7 @@
             class: ClassId(class),
             plan: PlanId(*plan.ok_or_else(|| bad("the plan is missing or unknown"))?),
             customer: customer_id(customer),
-            time_left: left.min(info.give_up),
+            time_left: left.min(info.client_timeout),
             units: units.ok_or_else(|| bad("the units cannot be read"))?,
             spread,
             first_ingress: IngressId(first),
@@ -101,7 +101,7 @@
     fn set(&self, text: &str) -> Option<(u16, u16)> {
         let pairs: HashMap<&str, &str> =
             text.split(',').filter_map(|pair| pair.trim().split_once('=')).collect();
-        self.site.good_set(pairs.get("spread")?.parse().ok()?, pairs.get("first")?.parse().ok()?)
+        self.site.valid_ingress_set(pairs.get("spread")?.parse().ok()?, pairs.get("first")?.parse().ok()?)
     }
 
     /// The answer to a check; what an authoriser said passes unchanged.
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -41,7 +41,7 @@
     let class = site.classes.iter().position(|class| class.name == name);
     let class = class.ok_or((404, "the path names no class"))?;
     let info = &site.classes[class];
-    let keyed = info.keyed;
+    let keyed = info.needs_idempotency_key;
     let safe = site.settings.classes[class].retry_safety == RetrySafety::Safe;
     let bodiless = safe && method == b"HEAD";
     if !bodiless && method != if safe { b"GET".as_slice() } else { b"POST".as_slice() } {
@@ -69,7 +69,7 @@
         class: ClassId(class),
         plan: PlanId(*plan),
         customer: CustomerId(customer),
-        time_left: (left as Millis).min(info.give_up),
+        time_left: (left as Millis).min(info.client_timeout),
         units,
         spread,
         first_ingress: IngressId(first),
@@ -134,7 +134,7 @@
             _ => {}
         }
     }
-    let units = units.filter(|units| site.good_units(*units))?;
-    let (spread, first) = site.good_set(spread?, first?)?;
+    let units = units.filter(|units| site.allows_units(*units))?;
+    let (spread, first) = site.valid_ingress_set(spread?, first?)?;
     Some((units, spread, first))
 }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -305,7 +305,7 @@
             Err(_) => Then::End,
         },
         Ok(_) = role.wait_for(|role| *role == Role::Retiring) => Then::Pass,
-        () = side.deadlines.sleep(side.site.conn_idle * IDLE_PART) => Then::End,
+        () = side.deadlines.sleep(side.site.backend_idle_timeout * IDLE_PART) => Then::End,
     };
     // A job that was handed over as the connection ended: nothing of it was written.
     next.close();
@@ -492,7 +492,7 @@
         (mut body, first): (Body, Bytes),
     ) -> Went {
         let (pieces, rest) = pieces::way();
-        let load = load(head, &self.site.load_names);
+        let load = load(head, &self.site.load_report_names);
         let answer =
             Answer { body: first, content_type: kind(head), length: head.length(), rest: Some(rest) };
         if !self.schedulings.began(id, answer) {
@@ -560,7 +560,7 @@
         503 | 504 if never_ran => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    let load = load(head, &site.load_names);
+    let load = load(head, &site.load_report_names);
     // A status that no real server has to give is garbage: nobody knows what follows it.
     let known = matches!(head.status(), 200 | 500 | 503 | 504);
     let reusable = !head.close && nothing_left && known;
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -218,7 +218,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::Ways;
+    use crate::config::ReloadableConfig;
     use crate::deadlines::Clock;
     use crate::interface::CounterName;
     use tokio::io::{AsyncBufReadExt, BufReader};
@@ -249,7 +249,7 @@
         let deadlines = Deadlines::new(Clock::new());
         let log = Logger::root(slog::Discard, slog::o!());
         let at = listener.local_addr().unwrap();
-        let ways = Ways::default();
+        let ways = ReloadableConfig::default();
         let (_ways, ways) = watch::channel(ways);
         let at = Way::new(&ways, at, |ways| ways.counter);
         let counter = Counter { at, deadlines, log };
@@ -324,7 +324,8 @@
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
             ];
             let [old_at, new_at] = [&old, &new].map(|at| at.local_addr().unwrap());
-            let (move_to, ways) = watch::channel(Ways { counter: Some(old_at), ..Ways::default() });
+            let (move_to, ways) =
+                watch::channel(ReloadableConfig { counter: Some(old_at), ..ReloadableConfig::default() });
             let at = Way::new(&ways, old_at, |ways| ways.counter);
             let log = Logger::root(slog::Discard, slog::o!());
             let counter = Counter { at, deadlines: Deadlines::new(Clock::new()), log };
@@ -333,7 +334,7 @@
             spawn_local(counter.run(coming, move |seq, answer| told.send((seq, answer)).unwrap()));
             made.send(call(0)).unwrap();
             let (mut old, _) = taken(&old, 1).await;
-            move_to.send_replace(Ways { counter: Some(new_at), ..Ways::default() });
+            move_to.send_replace(ReloadableConfig { counter: Some(new_at), ..ReloadableConfig::default() });
             made.send(call(1)).unwrap();
             let (mut new, _) = taken(&new, 1).await;
             new.write_all(b"ok 2\r\n").await.unwrap();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::http::{self, Kind};
 use super::stream::{Way, connect, read_more};
-use crate::config::{MAX_WATCH_ATTEMPTS, Site};
+use crate::config::{MAX_CONCURRENT_WATCH_ATTEMPTS, Site};
 use crate::deadlines::Deadlines;
 use crate::entries::{BackendList, Places};
 use crate::interface::*;
@@ -178,7 +178,7 @@
                 }
             });
             order.push_back(one);
-            if order.len() > MAX_WATCH_ATTEMPTS
+            if order.len() > MAX_CONCURRENT_WATCH_ATTEMPTS
                 && let Some(oldest) = order.pop_front()
             {
                 oldest.abort();
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,6 +1,6 @@
 //! Small helpers for TCP streams.
 
-use crate::config::Ways;
+use crate::config::ReloadableConfig;
 use bytes::BytesMut;
 use socket2::SockRef;
 use std::io;
@@ -40,17 +40,17 @@
 /// An address that a new configuration may move.
 #[derive(Debug, Clone)]
 pub struct Way {
-    ways: watch::Receiver<Ways>,
-    pick: fn(&Ways) -> Option<SocketAddr>,
+    ways: watch::Receiver<ReloadableConfig>,
+    pick: fn(&ReloadableConfig) -> Option<SocketAddr>,
     first: SocketAddr,
 }
 
 impl Way {
     /// The address that `pick` picks; a configuration without one leaves it at `first`.
     pub fn new(
-        ways: &watch::Receiver<Ways>,
+        ways: &watch::Receiver<ReloadableConfig>,
         first: SocketAddr,
-        pick: fn(&Ways) -> Option<SocketAddr>,
+        pick: fn(&ReloadableConfig) -> Option<SocketAddr>,
     ) -> Self {
         Self { ways: ways.clone(), pick, first }
     }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -3,7 +3,7 @@
 use super::counter::take_answer;
 use super::discovery::Lines;
 use super::http::{BODY, Bad, Body, Kind, LONG, Message, peek_head, take_message};
-use crate::config::{Pairs, Site};
+use crate::config::{KeyValues, Site};
 use crate::fronts::platform;
 use crate::interface::CounterAnswer;
 use crate::net::server_side::ParsedRequest;
@@ -206,7 +206,7 @@
 
 #[test]
 fn only_a_sound_request_is_a_flow() {
-    let site = Site::read(&Pairs::from_text(
+    let site = Site::read(&KeyValues::from_text(
         "balancers=3\nmyNumber=0\nlimits.maxAttempts=5\nclasses.count=2\nclasses.0.aim=500.0\n\
          classes.0.name=board-state\nclasses.0.effect=read_like\nclasses.1.aim=800.0\nclasses.1.name=move-submit\n\
          classes.1.effect=idempotency_key\nclasses.1.group=cell\nclasses.1.window=4000.0\ntariffs.count=1\n\
--- a/src/node.rs
+++ b/src/node.rs
@@ -6,7 +6,9 @@
 use crate::cluster::packet::{Identity, fleet_key};
 use crate::cluster::transport::{ClusterEvent, SharedCluster, Transport};
 use crate::cluster::{Cluster, FleetId, Timing};
-use crate::config::{AuthzConfig, Config, ConnectionLimits, Consul, Instance, Source, Ways};
+use crate::config::{
+    AuthzConfig, BackendSource, Config, ConnectionLimits, ConsulConfig, InstanceConfig, ReloadableConfig,
+};
 use crate::consul::agent::Counts;
 use crate::consul::{START, Watch};
 use crate::deadlines::{Clock, Deadlines};
@@ -89,8 +91,8 @@
 impl Sockets {
     /// Gets them from the process that serves at this address, or binds them. Where operators may start one process
     /// beside another, both may be bound at once: an old one that hangs must not keep the new one out.
-    pub async fn get(instance: &Instance, log: &Logger) -> io::Result<Self> {
-        let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
+    pub async fn get(instance: &InstanceConfig, log: &Logger) -> io::Result<Self> {
+        let path = instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "next"));
         let got = match path {
             Some(path) => rendezvous::request_sockets(&path).await.unwrap_or_else(|e| {
                 warn!(log, "no sockets from the old process"; "why" => %e);
@@ -111,7 +113,7 @@
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
         socket.set_reuseaddr(true)?;
-        if instance.management.is_some() {
+        if instance.admin_listen.is_some() {
             socket.set_reuseport(true)?;
         }
         socket.bind(instance.listen)?;
@@ -119,9 +121,9 @@
     }
 }
 
-fn bind_peers(instance: &Instance, at: SocketAddr) -> io::Result<std::net::UdpSocket> {
+fn bind_peers(instance: &InstanceConfig, at: SocketAddr) -> io::Result<std::net::UdpSocket> {
     let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
-    if instance.management.is_some() {
+    if instance.admin_listen.is_some() {
         socket.set_reuse_port(true)?;
     }
     socket.set_nonblocking(true)?;
@@ -203,8 +205,8 @@
 
 impl<Q: Clone + 'static, A: 'static> Core<Q, A> {
     async fn start(
-        instance: &Instance,
-        ways: &watch::Receiver<Ways>,
+        instance: &InstanceConfig,
+        ways: &watch::Receiver<ReloadableConfig>,
         known: Option<BackendList>,
         (flows, witness): (usize, Option<Rc<Witness>>),
         (peers, role): (Option<UdpSocket>, Role),
@@ -218,7 +220,7 @@
             back.heard(Heard::List);
         }
         // Before all else: operators are to be answered whatever follows.
-        let door = match instance.management {
+        let door = match instance.admin_listen {
             Some(at) => {
                 let bound = TcpListener::bind(at).await;
                 Some(bound.map_err(|e| io::Error::other(format!("management={at}: {e}")))?)
@@ -257,7 +259,7 @@
         }
         let phase = watch::Sender::new(Phase::Starting);
         let drain = watch::Sender::new(Drain::Inactive);
-        let bans = instance.management.and_then(|_| rendezvous::path(instance.listen, "bans"));
+        let bans = instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "bans"));
         let out: Vec<String> = bans.iter().flat_map(|path| kept_bans(path, log)).collect();
         let cluster = instance.cluster.as_ref().map(|fleet| {
             let now = deadlines.clock().now();
@@ -267,7 +269,7 @@
                 at: fleet.advertise,
                 born: now as u64,
             };
-            let of = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
+            let of = FleetId { key: fleet_key(&fleet.fleet_name), size: site.settings.ingress_count };
             let cluster =
                 Cluster::new(me, of, fleet.seeds.clone(), Timing::default(), instance.seed ^ 2, now);
             let cluster: SharedCluster = Rc::new(RefCell::new(cluster));
@@ -278,7 +280,7 @@
                 phase: phase.subscribe(),
                 local_notices: words,
                 drain: drain.clone(),
-                file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
+                file: instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "notices")),
                 deadlines: deadlines.clone(),
                 log: log.clone(),
             };
@@ -304,8 +306,9 @@
         };
         let maintenance = Maintenance::with(out);
         let deciding = (limiter, maintenance);
-        let subset =
-            instance.subset.map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
+        let subset = instance
+            .subset_size
+            .map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
         let engine = Engine::new(deciding, deadlines.clone(), news, outlets, bounds, log.clone());
         let engine = engine.with_subset(subset);
         parts.spawn_local(engine.run(known));
@@ -346,7 +349,7 @@
             exchange,
             orders: ordered,
             parts,
-            longest: site.classes.iter().map(|class| class.give_up).fold(0.0, f64::max),
+            longest: site.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max),
             list_wait: LIST_WAIT,
             told: watch::Sender::new(false),
             stats,
@@ -376,9 +379,9 @@
     /// Has Consul watched for real servers.
     fn watch_consul(
         &mut self,
-        instance: &Instance,
-        consul: Arc<Consul>,
-        ways: &watch::Receiver<Ways>,
+        instance: &InstanceConfig,
+        consul: Arc<ConsulConfig>,
+        ways: &watch::Receiver<ReloadableConfig>,
         witness: Rc<Witness>,
         log: &Logger,
     ) {
@@ -403,7 +406,7 @@
     /// Serves until `stop` and then until `taking`, which watches the phase, has answered all.
     async fn serve(
         mut self,
-        instance: &Instance,
+        instance: &InstanceConfig,
         mut taking: JoinHandle<()>,
         taking_over: impl FnOnce(),
         stop: JoinHandle<()>,
@@ -442,16 +445,17 @@
     config: Config,
     sockets: impl Into<Sockets>,
     log: Logger,
-    ways: watch::Receiver<Ways>,
+    ways: watch::Receiver<ReloadableConfig>,
     stop: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
     // Polled from now on: a signal during the start is not missed.
     let stop = spawn_local(stop);
-    let Config { instance, source, known } = config;
+    let Config { instance, source, initial_list: known } = config;
     let (site, generation) = (&instance.site, known.as_ref().map(|known| known.generation));
-    let ConnectionLimits { clients: flows, turned_away, backends: servers } = instance.limits.connections();
+    let ConnectionLimits { clients: flows, rejected_clients: turned_away, backends: servers } =
+        instance.limits.connection_limits();
     let elsewhere = Elsewhere::default();
-    let budget = || Budget::new(instance.limits.messages(), elsewhere.clone());
+    let budget = || Budget::new(instance.limits.max_message_bytes(), elsewhere.clone());
     let Sockets { listener, peers, link } = sockets.into();
     let peers = match instance.peer_listen.filter(|_| site.settings.peers) {
         Some(at) if peers.is_none() => Some(bind_peers(&instance, at)?),
@@ -461,7 +465,7 @@
     let leaving = (copy(listener.as_fd())?, peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?);
     let role = if link.is_some() { Role::Standby } else { Role::Active };
     let socket = peers.map(UdpSocket::from_std).transpose()?;
-    let witness = matches!(source, Source::Consul(_)).then(Rc::<Witness>::default);
+    let witness = matches!(source, BackendSource::Consul(_)).then(Rc::<Witness>::default);
     let bounds = (flows, witness.clone());
     let mut core =
         Core::<Question, Answer>::start(&instance, &ways, known, bounds, (socket, role), &log).await?;
@@ -503,7 +507,7 @@
     let orders = std::mem::replace(&mut core.orders, mpsc::unbounded_channel().1);
     core.parts.spawn_local(side.run(orders, passed_servers));
     match source {
-        Source::Discovery(agent) => {
+        BackendSource::Discovery(agent) => {
             let agent = Way::new(&ways, agent, |ways| ways.discovery);
             let (pauses, seed) = (deadlines.clone(), instance.seed);
             let discovery =
@@ -511,11 +515,11 @@
             let teller = core.teller();
             core.parts.spawn_local(discovery.run(generation, teller));
         }
-        Source::Consul(consul) => {
+        BackendSource::Consul(consul) => {
             core.watch_consul(&instance, consul, &ways, witness.unwrap_or_default(), &log)
         }
     }
-    let (idle, last) = (instance.limits.idle(), core.longest);
+    let (idle, last) = (instance.limits.max_idle_clients(), core.longest);
     let room = Room { connections: flows, turned_away, idle, budget: budget(), last };
     let reader = site.clone();
     let read = move |head: &_, body, whole| platform::read(head, body, whole, &reader);
@@ -523,7 +527,7 @@
     let bounds = (room, site.max_retry_after);
     let side = ServerSide::new(read, exchange, deadlines, signals, stats, bounds, log.clone());
     let taking = spawn_local(side.run(listener, passed));
-    let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
+    let path = instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "next"));
     let ended = std::mem::replace(&mut core.ended, mpsc::unbounded_channel().1);
     let leaving = Outgoing { clients, servers: idle_servers, ended, listener: leaving.0, peers: leaving.1 };
     let mut role = core.role.subscribe();
@@ -547,14 +551,14 @@
     config: AuthzConfig,
     listener: TcpListener,
     log: Logger,
-    ways: watch::Receiver<Ways>,
+    ways: watch::Receiver<ReloadableConfig>,
     stop: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
     let stop = spawn_local(stop);
     let AuthzConfig { instance, consul, authz } = config;
     let site = &instance.site;
-    let clients = instance.limits.callers();
-    let room = (clients, Duration::from_secs_f64(authz.connection_age / 1000.0));
+    let clients = instance.limits.max_authz_connections();
+    let room = (clients, Duration::from_secs_f64(authz.max_connection_age / 1000.0));
     let flows = clients * CHECKS;
     let peers = instance.peer_listen.filter(|_| site.settings.peers);
     let peers = peers.map(|at| bind_peers(&instance, at)).transpose()?;
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use weldhub::Limiter;
-use weldhub::config::{Pairs, Site};
+use weldhub::config::{KeyValues, Site};
 use weldhub::deadlines::{Clock, Deadlines};
 use weldhub::engine::{Bounds, Engine, Outlets};
 use weldhub::exchange::{
@@ -31,7 +31,8 @@
     rules.fallMultiple=2\nrules.overloadFor=1\nfamilyInfo.largest=4\nfamilyInfo.counterTimeout=10";
 
 fn start(more: &str, flows: usize) -> Bed {
-    let settings = Site::read(&Pairs::from_text(&format!("{FACTS}\n{more}"))).unwrap().with_advice().settings;
+    let settings =
+        Site::read(&KeyValues::from_text(&format!("{FACTS}\n{more}"))).unwrap().with_retry_after().settings;
     let limiter = Limiter::new(settings, 7).unwrap();
     let (exchange, news) = Exchange::new();
     let (order, orders) = mpsc::unbounded_channel();
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -31,7 +31,7 @@
 async fn start(config: AuthzConfig) -> SocketAddr {
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
-    let (_ways, ways) = tokio::sync::watch::channel(config.ways());
+    let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
     spawn_local(node::serve_authz(config, listener, quiet(), ways, std::future::pending()));
     at
 }
@@ -376,7 +376,7 @@
         let (listener, (stop, stopped)) = (listener().await, tokio::sync::oneshot::channel::<()>());
         let at = listener.local_addr().unwrap();
         let config = config(&consul, &[]);
-        let (_ways, ways) = tokio::sync::watch::channel(config.ways());
+        let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
         let stopped = async { drop(stopped.await) };
         let running = spawn_local(node::serve_authz(config, listener, quiet(), ways, stopped));
         let asking = spawn_local(check(at, message(MOVE, 1), LONG));
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -204,7 +204,7 @@
 #[test]
 fn the_key_is_checked_and_named() {
     let text = include_str!("../deploy/ingress-large.toml");
-    let read = |text: &str| Config::read(text, |_| None).map(|config| config.instance.subset);
+    let read = |text: &str| Config::read(text, |_| None).map(|config| config.instance.subset_size);
     assert_eq!(read(text), Ok(Some(48)));
     assert_eq!(read(include_str!("../deploy/ingress-consul.toml")), Ok(None));
     for wrong in ["15", "5000", "-1", "\"many\"", "0.5"] {
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinHandle, spawn_local};
-use weldhub::config::{Config, Ways};
+use weldhub::config::{Config, ReloadableConfig};
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
 use weldhub::net::http::Kind;
@@ -117,7 +117,7 @@
 
 /// One ingress's watch.
 struct Watcher {
-    ways: watch::Sender<Ways>,
+    ways: watch::Sender<ReloadableConfig>,
     told: mpsc::UnboundedReceiver<BackendList>,
     running: JoinHandle<()>,
 }
@@ -135,7 +135,7 @@
         text["settings"]["balancers"] = json!(FLEET);
         text["settings"]["membershipMode"] = json!(mode);
         let config = Config::read(&text.to_string(), |_| None).unwrap();
-        let (ways, moved) = watch::channel(config.ways());
+        let (ways, moved) = watch::channel(config.reloadable());
         let agent = Way::new(&moved, agent, |ways| ways.discovery);
         let site = config.instance.site;
         let discovery = Discovery { agent, site, deadlines: swept(), seed, log: quiet() };
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, spawn_local};
-use weldhub::config::{Config, Ways};
+use weldhub::config::{Config, ReloadableConfig};
 use weldhub::entries::BackendList;
 use weldhub::net::discovery::Discovery;
 use weldhub::net::http::Kind;
@@ -29,7 +29,7 @@
 /// An ingress's watch, alone.
 struct Watcher {
     agent: TcpListener,
-    ways: watch::Sender<Ways>,
+    ways: watch::Sender<ReloadableConfig>,
     told: mpsc::UnboundedReceiver<BackendList>,
     running: JoinHandle<()>,
 }
@@ -53,7 +53,7 @@
     }
 }
 
-type Watching = (watch::Sender<Ways>, mpsc::UnboundedReceiver<BackendList>, JoinHandle<()>);
+type Watching = (watch::Sender<ReloadableConfig>, mpsc::UnboundedReceiver<BackendList>, JoinHandle<()>);
 
 /// Has one of so many instances watch this agent, which tells by itself or has to be asked.
 fn watches(agent: SocketAddr, instances: u16, seed: u64, on_request: bool) -> Watching {
@@ -62,7 +62,7 @@
     text["settings"]["membershipMode"] = json!(if on_request { "on_request" } else { "pushed" });
     let config = Config::read(&text.to_string(), |_| None).unwrap();
     let deadlines = swept();
-    let (ways, moved) = watch::channel(config.ways());
+    let (ways, moved) = watch::channel(config.reloadable());
     let agent = Way::new(&moved, agent, |ways| ways.discovery);
     let discovery = Discovery { agent, site: config.instance.site, deadlines, seed, log: quiet() };
     let (tell, tells) = mpsc::unbounded_channel();
