--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 use weldhub::config::{Config, ConsulConfig as Asked, ConsulService, ReloadableConfig};
 use weldhub::consul::Watch;
-use weldhub::consul::agent::Counts;
+use weldhub::consul::agent::QueryCounts;
 use weldhub::deadlines::{Clock, Deadlines, Expiry};
 use weldhub::net::http::{Kind, take_message};
 use weldhub_load::run::run;
@@ -207,7 +207,7 @@
                     };
                     let consul = Consul::start(list(0)).await;
                     consul.longest.set(Duration::from_secs(60));
-                    let counts = Rc::<Counts>::default();
+                    let counts = Rc::<QueryCounts>::default();
                     for seed in 0..u64::from(instances) {
                         let deadlines = Deadlines::new(Clock::new());
                         let agents = vec![consul.at];
@@ -217,9 +217,9 @@
                         let (_ways, ways) = watch::channel(ReloadableConfig::default());
                         let watch = Watch {
                             consul: asked,
-                            ways,
+                            config_updates: ways,
                             places: Default::default(),
-                            instances,
+                            ingress_count: instances,
                             deadlines: deadlines.clone(),
                             seed,
                             witness: Rc::default(),
--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -1,11 +1,12 @@
-//! Consul: finds backends by blocking queries on the health of services, and asks the catalogue to confirm a mass withdrawal.
-//! `membership` decides what is believed; this module asks and reports.
+//! Finds backends through Consul: blocking queries on the health of services, and catalogue queries that confirm a mass
+//! withdrawal. [`crate::backends::membership`] decides how an answer changes the membership; this module sends the queries
+//! and reports the list.
 
 pub mod agent;
-mod book;
 mod queries;
 pub mod query;
 pub mod read;
+mod services;
 
 use crate::backends::entries::{BackendList, Places};
 use crate::backends::membership::members::Members;
@@ -16,9 +17,9 @@
 use crate::interface::Millis;
 use crate::pacing::Pacing;
 use crate::stats::Stats;
-use agent::Counts;
-use book::{KnownService, ServiceBook};
+use agent::QueryCounts;
 use queries::{HEALTH_BACKOFF, ServiceQueries};
+use services::{WatchedService, WatchedServices};
 use slog::Logger;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,79 +27,81 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-/// A fleet that starts together, or gets a new configuration, spreads its first queries over so many milliseconds.
-pub const START: Millis = 2000.0;
-/// The first list waits for the answers of all services, but no longer than this, in milliseconds.
-const FIRST: Millis = 800.0;
-/// A service that is no longer configured is kept until all others have answered, or for so many milliseconds where any
-/// of the others has instances.
-const RETIRE: Millis = 3000.0;
-/// The longest sleep, in milliseconds.
-const FOREVER: Millis = 3_600_000.0;
-/// A watch on the services that are configured.
+/// The longest delay, in milliseconds, before the first queries after a start or a new configuration. The delay is random,
+/// so that a fleet does not query all at once.
+pub const MAX_START_DELAY: Millis = 2000.0;
+/// How long the first list waits for the answers of all services, in milliseconds.
+const FIRST_LIST_TIMEOUT: Millis = 800.0;
+/// How long a service that is no longer configured is kept at most while others have not answered, in milliseconds; longer
+/// if none of the others has instances.
+const RETIRE_TIMEOUT: Millis = 3000.0;
+/// The longest sleep of the watch, in milliseconds.
+const MAX_SLEEP: Millis = 3_600_000.0;
+
+/// A watch on the configured services.
 #[derive(Debug)]
 pub struct Watch {
-    /// The agents, and what to ask them.
+    /// The configuration to start with.
     pub consul: Arc<ConsulConfig>,
-    /// New configurations.
-    pub ways: watch::Receiver<ReloadableConfig>,
-    /// The zones and kinds of machine that instances name.
+    /// Receives new configurations.
+    pub config_updates: watch::Receiver<ReloadableConfig>,
+    /// The names of zones and of kinds of machine, which instances refer to.
     pub places: Places,
-    /// How many ingresses ask the same.
-    pub instances: u16,
-    /// The clock and the timers.
+    /// The number of ingresses that send the same queries.
+    pub ingress_count: u16,
+    /// The clock and timers.
     pub deadlines: Deadlines,
-    /// The seed of this instance's pauses, so that a fleet does not ask together.
+    /// The seed of this ingress's random delays. Each ingress needs its own, so that a fleet does not query all at once.
     pub seed: u64,
-    /// The failed connections of requests.
+    /// The failed connections of requests, by backend.
     pub witness: Rc<Witness>,
     /// The metrics.
     pub stats: Arc<Stats>,
-    /// Counts of queries.
-    pub counts: Rc<Counts>,
-    /// Changes are logged.
+    /// The counts of queries and received bytes.
+    pub counts: Rc<QueryCounts>,
+    /// Logs changes and failures.
     pub log: Logger,
 }
 
 impl Watch {
-    /// Watches for ever, and reports every change. Failed queries and answers that cannot be read leave the list as it is,
-    /// and a new configuration is taken in without losing it.
+    /// Watches forever and reports every change of the list. Failed queries and unreadable answers leave the list as it is,
+    /// and so does a new configuration until its services have answered.
     pub async fn run(self, report: impl FnMut(BackendList) + 'static) {
         let mut consul = self.consul.clone();
         let wake = Rc::new(Notify::new());
-        let book = ServiceBook::new(report, wake.clone(), self.stats.clone(), self.log.clone());
-        let book = Rc::new(RefCell::new(book));
-        let mut start = Pacing::new(self.instances, HEALTH_BACKOFF, self.seed);
-        // Prevents a fleet that starts together from asking together.
-        self.deadlines.sleep(start.first_within(START)).await;
-        let mut tasks = self.begin(&book, None, &consul);
-        let mut ways = self.ways.clone();
-        let first_due = self.now() + FIRST;
+        let services = WatchedServices::new(report, wake.clone(), self.stats.clone(), self.log.clone());
+        let services = Rc::new(RefCell::new(services));
+        let mut start_pacing = Pacing::new(self.ingress_count, HEALTH_BACKOFF, self.seed);
+        // Keeps a fleet that starts together from querying all at once.
+        self.deadlines.sleep(start_pacing.first_within(MAX_START_DELAY)).await;
+        let mut tasks = self.start_queries(&services, None, &consul);
+        let mut config_updates = self.config_updates.clone();
+        let first_due = self.now() + FIRST_LIST_TIMEOUT;
         let mut retire_due = None;
         loop {
-            let due = next_due(&book.borrow(), first_due, retire_due);
+            let due = next_due(&services.borrow(), first_due, retire_due);
             tokio::select! {
-                () = self.deadlines.sleep((due - self.now()).clamp(0.0, FOREVER)) => {}
+                () = self.deadlines.sleep((due - self.now()).clamp(0.0, MAX_SLEEP)) => {}
                 () = wake.notified() => {}
                 suspects = self.witness.suspects() => {
-                    book.borrow_mut().report_unreachable(self.now(), &suspects);
+                    services.borrow_mut().report_unreachable(self.now(), &suspects);
                 }
-                new = changed(&mut ways, &consul) => {
-                    // The queries go on meanwhile.
-                    self.deadlines.sleep(start.first_within(START)).await;
+                new = config_change(&mut config_updates, &consul) => {
+                    // The old queries continue during the delay.
+                    self.deadlines.sleep(start_pacing.first_within(MAX_START_DELAY)).await;
                     tasks.abort_all();
-                    tasks = self.begin(&book, Some(&consul), &new);
+                    tasks = self.start_queries(&services, Some(&consul), &new);
                     consul = new;
-                    retire_due = Some(self.now() + RETIRE);
+                    retire_due = Some(self.now() + RETIRE_TIMEOUT);
                 }
             }
             let now = self.now();
-            let mut book = book.borrow_mut();
-            book.report_returns(now);
-            if !book.first_reported && now >= first_due {
-                book.report_changes(true);
+            let mut services = services.borrow_mut();
+            services.report_hold_down_ends(now);
+            if !services.first_reported && now >= first_due {
+                services.report_changes(true);
             }
-            if retire_due.is_some_and(|due| book.retire(now >= due)) {
+            if retire_due.is_some_and(|due| services.retire_unconfigured(now >= due)) {
                 retire_due = None;
             }
         }
@@ -108,51 +111,53 @@
         self.deadlines.clock().now()
     }
 
-    /// Begins the queries of a configuration; services that were asked for before keep what is known of them.
-    fn begin<T: FnMut(BackendList) + 'static>(
+    /// Starts the queries of a configuration. Services that the `previous` configuration had too keep their state.
+    fn start_queries<T: FnMut(BackendList) + 'static>(
         &self,
-        book: &Rc<RefCell<ServiceBook<T>>>,
-        before: Option<&Arc<ConsulConfig>>,
+        services: &Rc<RefCell<WatchedServices<T>>>,
+        previous: Option<&Arc<ConsulConfig>>,
         consul: &Arc<ConsulConfig>,
     ) -> JoinSet<()> {
         self.witness.suspect_after(consul.membership.unreachable_after);
         let mut tasks = JoinSet::new();
-        let mut open = book.borrow_mut();
-        let slots_before = std::mem::take(&mut open.slots);
+        let mut watched = services.borrow_mut();
+        let previous_slots = std::mem::take(&mut watched.slots);
         for service in &consul.services {
             let key = (service.prefix.clone(), service.name.clone());
-            let slot = open.slot_of(slots_before.get(&key).copied());
-            let new = || KnownService { members: Members::new(consul.membership), ..KnownService::default() };
-            let known = open.services.entry(slot).or_insert_with(new);
-            known.answered = false;
-            known.members.set_policy(consul.membership);
-            if before.is_some_and(|before| has_changed(&before.services, service)) {
-                known.members.query_has_changed();
+            let slot = watched.slot_or_new(previous_slots.get(&key).copied());
+            let new =
+                || WatchedService { members: Members::new(consul.membership), ..WatchedService::default() };
+            let state = watched.by_slot.entry(slot).or_insert_with(new);
+            state.answered = false;
+            state.members.set_policy(consul.membership);
+            if previous.is_some_and(|previous| has_changed(&previous.services, service)) {
+                state.members.query_has_changed();
             }
-            open.slots.insert(key, slot);
-            let queries = Rc::new(self.queries(book.clone(), consul.clone(), service.clone(), slot));
-            let same = queries.clone();
-            tasks.spawn_local(async move { queries.health().await });
-            tasks.spawn_local(async move { same.catalogue().await });
+            watched.slots.insert(key, slot);
+            let health = Rc::new(self.queries(services.clone(), consul.clone(), service.clone(), slot));
+            let catalogue = health.clone();
+            tasks.spawn_local(async move { health.watch_health().await });
+            tasks.spawn_local(async move { catalogue.confirm_withdrawals().await });
         }
-        open.update_stats();
+        watched.update_stats();
         tasks
     }
 
+    /// Creates the queries for one service.
     fn queries<T: FnMut(BackendList)>(
         &self,
-        book: Rc<RefCell<ServiceBook<T>>>,
+        services: Rc<RefCell<WatchedServices<T>>>,
         consul: Arc<ConsulConfig>,
         service: ConsulService,
         slot: Slot,
     ) -> ServiceQueries<T> {
         ServiceQueries {
-            book,
+            services,
             consul,
             service,
             slot,
             places: self.places.clone(),
-            instances: self.instances,
+            ingress_count: self.ingress_count,
             deadlines: self.deadlines.clone(),
             seed: self.seed,
             counts: self.counts.clone(),
@@ -162,25 +167,29 @@
     }
 }
 
-/// When something is due without an answer: the first list, the end of a hold-down, or that services are forgotten.
+/// Returns the time of the next event that needs no answer, in milliseconds on the clock: the first list, the end of a
+/// hold-down, or the retirement of services that are no longer configured.
 fn next_due<T: FnMut(BackendList)>(
-    book: &ServiceBook<T>,
+    services: &WatchedServices<T>,
     first_due: Millis,
     retire_due: Option<Millis>,
 ) -> Millis {
-    let first = (!book.first_reported).then_some(first_due);
-    [first, retire_due, book.next_return()].into_iter().flatten().fold(f64::INFINITY, f64::min)
+    let first = (!services.first_reported).then_some(first_due);
+    [first, retire_due, services.next_hold_down_end()].into_iter().flatten().fold(f64::INFINITY, f64::min)
 }
 
-/// Whether the operator asks for this service otherwise than before.
-fn has_changed(before: &[ConsulService], service: &ConsulService) -> bool {
-    before.iter().any(|was| was.name == service.name && was != service)
+/// Returns whether a service of the same name was configured differently before.
+fn has_changed(previous: &[ConsulService], service: &ConsulService) -> bool {
+    previous.iter().any(|old| old.name == service.name && old != service)
 }
 
-/// Resolves once another configuration is there; never where none can come any more.
-async fn changed(ways: &mut watch::Receiver<ReloadableConfig>, now: &Arc<ConsulConfig>) -> Arc<ConsulConfig> {
-    let other = |ways: &ReloadableConfig| ways.consul.as_ref().is_some_and(|consul| consul != now);
-    match ways.wait_for(other).await.ok().and_then(|ways| ways.consul.clone()) {
+/// Resolves to a configuration that differs from `current`; never if the sender is gone.
+async fn config_change(
+    updates: &mut watch::Receiver<ReloadableConfig>,
+    current: &Arc<ConsulConfig>,
+) -> Arc<ConsulConfig> {
+    let differs = |new: &ReloadableConfig| new.consul.as_ref().is_some_and(|consul| consul != current);
+    match updates.wait_for(differs).await.ok().and_then(|new| new.consul.clone()) {
         Some(consul) => consul,
         None => std::future::pending().await,
     }
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -1,7 +1,7 @@
-//! The queries for one service: its health for ever, and the catalogue where that is to confirm a withdrawal.
+//! The queries for one service: its health, continuously, and the catalogue when it has to confirm a mass withdrawal.
 
-use super::agent::{Counts, Line, Refusal};
-use super::book::ServiceBook;
+use super::agent::{AgentConnection, QueryCounts, QueryError};
+use super::services::WatchedServices;
 use super::{query, read};
 use crate::backends::entries::{BackendList, Places};
 use crate::backends::membership::asking::{AgentRotation, Cursor, QueryLimiter};
@@ -17,122 +17,145 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A query that failed is asked again after the first span at the soonest, and later up to the second, or up to what the
-/// size of the fleet needs. In milliseconds.
-pub(super) const HEALTH_BACKOFF: [Millis; 2] = [100.0, 10_000.0];
-/// The same for the catalogue, which a withdrawal waits for.
-const CATALOGUE_BACKOFF: [Millis; 2] = [100.0, 2000.0];
+/// The shortest pause after a failed health query, in milliseconds.
+const HEALTH_MIN_BACKOFF: Millis = 100.0;
+/// The longest pause after a failed health query, in milliseconds; longer if the size of the fleet needs it.
+const HEALTH_MAX_BACKOFF: Millis = 10_000.0;
+/// The shortest pause after a failed catalogue query, in milliseconds.
+const CATALOGUE_MIN_BACKOFF: Millis = 100.0;
+/// The longest pause after a failed catalogue query, in milliseconds; longer if the size of the fleet needs it. It is
+/// shorter than that for health, since a withdrawal waits for the answer.
+const CATALOGUE_MAX_BACKOFF: Millis = 2000.0;
+/// The bounds of the pause after a failed health query, in milliseconds.
+pub(super) const HEALTH_BACKOFF: [Millis; 2] = [HEALTH_MIN_BACKOFF, HEALTH_MAX_BACKOFF];
+/// The bounds of the pause after a failed catalogue query, in milliseconds.
+const CATALOGUE_BACKOFF: [Millis; 2] = [CATALOGUE_MIN_BACKOFF, CATALOGUE_MAX_BACKOFF];
 
-/// The queries for one service, which two tasks share.
+/// The queries for one service, shared by its health task and its catalogue task.
 pub(super) struct ServiceQueries<T> {
-    pub(super) book: Rc<RefCell<ServiceBook<T>>>,
+    /// The state of all services, which answers are applied to.
+    pub(super) services: Rc<RefCell<WatchedServices<T>>>,
+    /// The configuration.
     pub(super) consul: Arc<ConsulConfig>,
+    /// The service to query.
     pub(super) service: ConsulService,
+    /// The service's slot.
     pub(super) slot: Slot,
+    /// The names of zones and of kinds of machine.
     pub(super) places: Places,
-    pub(super) instances: u16,
+    /// The number of ingresses that send the same queries.
+    pub(super) ingress_count: u16,
+    /// The clock and timers.
     pub(super) deadlines: Deadlines,
+    /// The seed of random pauses.
     pub(super) seed: u64,
-    pub(super) counts: Rc<Counts>,
-    /// Wakes the task that asks the catalogue.
+    /// The counts of queries and received bytes.
+    pub(super) counts: Rc<QueryCounts>,
+    /// Wakes the catalogue task.
     pub(super) confirm: Notify,
+    /// Logs confirmed and unconfirmed withdrawals.
     pub(super) log: Logger,
 }
 
 impl<T: FnMut(BackendList)> ServiceQueries<T> {
+    /// Returns the time in milliseconds on the clock.
     pub(super) fn now(&self) -> Millis {
         self.deadlines.clock().now()
     }
 
+    /// Returns the address of the agent whose turn it is.
     pub(super) fn agent(&self, agents: AgentRotation) -> SocketAddr {
         self.consul.agents[agents.current(self.consul.agents.len())]
     }
 
-    /// Asks for the health of the service, for ever.
-    pub(super) async fn health(&self) {
-        let mut pacing = Pacing::new(self.instances, HEALTH_BACKOFF, self.seed ^ self.slot);
-        let mut limiter = QueryLimiter::new(self.instances, self.now());
+    /// Queries the health of the service forever.
+    pub(super) async fn watch_health(&self) {
+        let mut pacing = Pacing::new(self.ingress_count, HEALTH_BACKOFF, self.seed ^ self.slot);
+        let mut limiter = QueryLimiter::new(self.ingress_count, self.now());
         let (mut cursor, mut agents) = (Cursor::default(), AgentRotation::default());
-        let mut line = Line::new(self.deadlines.clone(), self.counts.clone());
+        let mut connection = AgentConnection::new(self.deadlines.clone(), self.counts.clone());
         let mut pause = 0.0;
         loop {
             self.deadlines.sleep(pause).await;
-            let at = self.agent(agents);
-            let target = query::health(&self.consul, &self.service, cursor);
-            let answer = line.get(&self.consul, at, &target, query::patience(&self.consul, cursor)).await;
+            let agent = self.agent(agents);
+            let target = query::health_target(&self.consul, &self.service, cursor);
+            let timeout = query::health_timeout(&self.consul, cursor);
+            let answer = connection.get(&self.consul, agent, &target, timeout).await;
             let answer = answer.and_then(|answer| {
-                let read = read::health(&answer.body, &self.service, &self.places).map_err(Refusal::from)?;
-                Ok((answer.index, read))
+                let parsed =
+                    read::health(&answer.body, &self.service, &self.places).map_err(QueryError::from)?;
+                Ok((answer.index, parsed))
             });
             match answer {
-                Ok((index, read)) => {
+                Ok((index, parsed)) => {
                     pacing.heard();
                     cursor.advance(index);
-                    if self.book.borrow_mut().answered(self.slot, at, self.now(), read) {
+                    if self.services.borrow_mut().apply_answer(self.slot, agent, self.now(), parsed) {
                         self.confirm.notify_one();
                     }
                     pause = limiter.reserve(self.now());
                 }
-                Err(Refusal { why, keep_away }) => {
-                    self.book.borrow_mut().query_failed(self.slot, at, &why);
-                    // Another agent counts its index by itself, and so does this one once it is back.
+                Err(QueryError { reason, retry_after }) => {
+                    self.services.borrow_mut().record_failure(self.slot, agent, &reason);
+                    // Each agent counts its index on its own, and anew after a restart.
                     cursor.reset();
                     agents.fail();
-                    line.close();
-                    pause = pacing.again().max(keep_away);
+                    connection.close();
+                    pause = pacing.again().max(retry_after);
                 }
             }
         }
     }
 
-    /// Asks the catalogue whenever an answer about health lacks more than is believed, until it has answered. Health is
-    /// asked meanwhile.
-    pub(super) async fn catalogue(&self) {
-        let mut pacing = Pacing::new(self.instances, CATALOGUE_BACKOFF, !self.seed ^ self.slot);
-        let mut limiter = QueryLimiter::new(self.instances, self.now());
-        let mut line = Line::new(self.deadlines.clone(), self.counts.clone());
+    /// Queries the catalogue, until it answers, whenever a health answer lacks so many instances that the withdrawal needs
+    /// confirmation. Health queries continue meanwhile.
+    pub(super) async fn confirm_withdrawals(&self) {
+        let mut pacing = Pacing::new(self.ingress_count, CATALOGUE_BACKOFF, !self.seed ^ self.slot);
+        let mut limiter = QueryLimiter::new(self.ingress_count, self.now());
+        let mut connection = AgentConnection::new(self.deadlines.clone(), self.counts.clone());
         let mut agents = AgentRotation::default();
-        let target = query::catalogue(&self.consul, &self.service);
+        let target = query::catalogue_target(&self.consul, &self.service);
         loop {
             self.confirm.notified().await;
             let mut logged = false;
-            // Those that are back meanwhile are not asked for.
+            // Ends without a query once a health answer lists the missing instances again.
             while let Some(round) = self.unconfirmed_round() {
                 self.deadlines.sleep(limiter.reserve(self.now())).await;
                 let healthy =
-                    self.book.borrow().services.get(&self.slot).and_then(|known| known.healthy_agent);
-                let at = healthy
+                    self.services.borrow().by_slot.get(&self.slot).and_then(|service| service.healthy_agent);
+                let agent = healthy
                     .filter(|_| agents == AgentRotation::default())
                     .unwrap_or_else(|| self.agent(agents));
-                let answer = line.get(&self.consul, at, &target, self.consul.timeout).await;
-                let held = answer.and_then(|answer| Ok(read::catalogue(&answer.body, &self.service)?));
-                match held {
-                    Ok(held) => {
+                let answer = connection.get(&self.consul, agent, &target, self.consul.timeout).await;
+                let listed = answer.and_then(|answer| Ok(read::catalogue(&answer.body, &self.service)?));
+                match listed {
+                    Ok(listed) => {
                         (agents, logged) = (AgentRotation::default(), false);
                         pacing.heard();
-                        let mut book = self.book.borrow_mut();
-                        let Some(known) = book.services.get_mut(&self.slot) else { return };
-                        let gone = known.members.catalogue(self.now(), round, &held);
-                        let stay = known.members.len();
+                        let mut services = self.services.borrow_mut();
+                        let Some(service) = services.by_slot.get_mut(&self.slot) else { return };
+                        let gone = service.members.catalogue(self.now(), round, &listed);
+                        let remaining = service.members.len();
                         if !gone.is_empty() {
-                            info!(self.log, "a mass withdrawal is confirmed by the catalogue"; "service" => &self.service.name, "gone" => gone.len(), "stay" => stay);
+                            info!(self.log, "a mass withdrawal is confirmed by the catalogue"; "service" => &self.service.name, "gone" => gone.len(), "stay" => remaining);
                         }
-                        book.apply(self.slot, gone);
+                        services.apply(self.slot, gone);
                     }
-                    Err(Refusal { why, keep_away }) => {
+                    Err(QueryError { reason, retry_after }) => {
                         agents.fail();
-                        line.close();
+                        connection.close();
                         if !std::mem::replace(&mut logged, true) {
-                            warn!(self.log, "a mass withdrawal is not believed"; "service" => &self.service.name, "agent" => %at, "why" => why);
+                            warn!(self.log, "a mass withdrawal is not believed"; "service" => &self.service.name, "agent" => %agent, "why" => reason);
                         }
-                        self.deadlines.sleep(pacing.again().max(keep_away)).await;
+                        self.deadlines.sleep(pacing.again().max(retry_after)).await;
                     }
                 }
             }
         }
     }
 
+    /// Returns the round whose withdrawal the catalogue has to confirm; `None` if there is none.
     pub(super) fn unconfirmed_round(&self) -> Option<u64> {
-        self.book.borrow().services.get(&self.slot).and_then(|known| known.members.unconfirmed_round())
+        self.services.borrow().by_slot.get(&self.slot).and_then(|service| service.members.unconfirmed_round())
     }
 }
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -1,4 +1,4 @@
-//! Reads Consul's answers: instances of a service with their node and checks, and the catalogue's list of them.
+//! Parses Consul's answers: the health of a service's instances, and the catalogue's list of them.
 
 use crate::backends::entries::{Places, ServiceEntry, backend_id};
 use crate::backends::membership::{Observation, Reason};
@@ -8,60 +8,63 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// What can be read of an answer, and what was passed over: the instance and the key at fault.
+/// A parsed health answer.
 #[derive(Debug, Default, PartialEq)]
-pub struct Read {
-    /// The instances.
-    pub seen: Vec<Observation>,
-    /// What was passed over.
-    pub faults: BTreeSet<(String, &'static str)>,
+pub struct HealthAnswer {
+    /// The valid instances.
+    pub instances: Vec<Observation>,
+    /// The skipped instances: the name of each (`?` if unknown) and its invalid key.
+    pub skipped: BTreeSet<(String, &'static str)>,
 }
 
-/// Reads an answer of `/v1/health/service/NAME`; an error where it is none, or nothing of it can be read.
-pub fn health(body: &[u8], service: &ConsulService, places: &Places) -> Result<Read, String> {
-    let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
-    let instances = answer.as_array().ok_or("its answer is no list")?;
-    let (mut read, mut ids) = (Read::default(), BTreeSet::new());
-    for instance in instances {
+/// Parses an answer of `/v1/health/service/NAME`. It is an error if the answer is not a JSON list, or if it has instances but
+/// no valid one.
+pub fn health(body: &[u8], service: &ConsulService, places: &Places) -> Result<HealthAnswer, String> {
+    let answer: Value = serde_json::from_slice(body).map_err(|e| format!("the answer is not JSON: {e}"))?;
+    let listed = answer.as_array().ok_or("the answer is not a list")?;
+    let (mut parsed, mut ids) = (HealthAnswer::default(), BTreeSet::new());
+    for instance in listed {
         match observation(instance, service, places) {
-            // Of two with one id the first counts.
-            Ok(seen) if !ids.insert(seen.id()) => drop(read.faults.insert((seen.name, "Service.ID"))),
-            Ok(seen) => read.seen.push(seen),
+            // Of several instances with the same id, only the first is taken.
+            Ok(seen) if !ids.insert(seen.id()) => drop(parsed.skipped.insert((seen.name, "Service.ID"))),
+            Ok(seen) => parsed.instances.push(seen),
             Err(key) => {
                 let name = name(instance, "/Node/Node", "/Service/ID", service);
-                read.faults.insert((name.unwrap_or_else(|| "?".into()), key));
+                parsed.skipped.insert((name.unwrap_or_else(|| "?".into()), key));
             }
         }
     }
-    match read.faults.first() {
-        Some((_, key)) if read.seen.is_empty() => Err(format!("no instance can be read, as of {key}")),
-        _ => Ok(read),
+    match parsed.skipped.first() {
+        Some((_, key)) if parsed.instances.is_empty() => Err(format!("no instance is valid (invalid {key})")),
+        _ => Ok(parsed),
     }
 }
 
-/// Reads the ids that an answer of `/v1/catalog/service/NAME` holds.
+/// Parses the instance ids of an answer of `/v1/catalog/service/NAME`. One unreadable instance makes the whole answer an
+/// error, so that it is not taken as a confirmation that instances are gone.
 pub fn catalogue(body: &[u8], service: &ConsulService) -> Result<BTreeSet<BackendId>, String> {
-    let answer: Value = serde_json::from_slice(body).map_err(|e| format!("its answer is no JSON: {e}"))?;
-    let instances = answer.as_array().ok_or("its answer is no list")?;
-    // Prevents an answer that cannot be read from being taken for word that all are gone.
+    let answer: Value = serde_json::from_slice(body).map_err(|e| format!("the answer is not JSON: {e}"))?;
+    let instances = answer.as_array().ok_or("the answer is not a list")?;
     let id = |instance| name(instance, "/Node", "/ServiceID", service).map(|name| backend_id(&name));
     instances.iter().map(id).collect::<Option<_>>().ok_or_else(|| "ServiceID or Node cannot be read".into())
 }
 
+/// Returns the non-empty text at a JSON pointer.
 fn text<'a>(value: &'a Value, path: &str) -> Option<&'a str> {
     value.pointer(path).and_then(Value::as_str).filter(|text| !text.is_empty())
 }
 
-/// Ids of services are unique on their node only, and nodes in their datacenter.
+/// Builds an instance's name from its node and id, since service ids are unique only on their node, and nodes only in their
+/// datacenter. `node` and `id` are JSON pointers. Returns `None` if either is missing.
 fn name(instance: &Value, node: &str, id: &str, service: &ConsulService) -> Option<String> {
     let (node, id) = (text(instance, node)?, text(instance, id)?);
     Some(format!("{}{node}/{id}", service.prefix))
 }
 
-/// Reads an instance; an error is the key at fault.
+/// Parses an instance; the error is the invalid key.
 ///
-/// One whose checks pass or warn is ready. One with a critical check, as maintenance sets it, or without weight drains: it
-/// finishes what it has. One that is no longer listed is gone.
+/// An instance whose checks are passing or warning is ready. One with a critical check (maintenance mode sets one) or with
+/// weight 0 drains: it finishes its requests in flight. One that is no longer listed is gone.
 fn observation(value: &Value, service: &ConsulService, places: &Places) -> Result<Observation, &'static str> {
     let meta = |name: &str| text(value, &format!("/Service/Meta/{name}"));
     text(value, "/Node/Node").ok_or("Node.Node")?;
@@ -109,10 +112,10 @@
             None => CellId(0),
         },
         last_start: match meta("started_at_ms") {
-            Some(at) => Some(at.parse::<f64>().map_err(|_| "Service.Meta.started_at_ms")?),
+            Some(start) => Some(start.parse::<f64>().map_err(|_| "Service.Meta.started_at_ms")?),
             None => None,
         }
-        .filter(|at| *at > 0.0),
+        .filter(|start| *start > 0.0),
     };
     let registered = value.pointer("/Service/CreateIndex").and_then(Value::as_u64).unwrap_or(0);
     let entry = ServiceEntry { entry, address: Some(SocketAddr::new(host, port)) };
--- a/src/consul/read/tests.rs
+++ b/src/consul/read/tests.rs
@@ -2,7 +2,7 @@
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 
-fn good() -> Value {
+fn valid_instance() -> Value {
     json!({
         "Node": {"Node": "n1", "Address": "127.0.0.9"},
         "Service": {"ID": "a", "Address": "127.0.0.1", "Port": 80, "CreateIndex": 7,
@@ -12,9 +12,9 @@
     })
 }
 
-/// The good instance with one value replaced, or taken away.
+/// The valid instance with the value at `path` replaced, or removed if `value` is `None`.
 fn with(path: &str, value: Option<Value>) -> Value {
-    let mut instance = good();
+    let mut instance = valid_instance();
     let (parent, key) = path.rsplit_once('/').unwrap();
     match (instance.pointer_mut(parent).unwrap(), value) {
         (Value::Object(fields), Some(value)) => drop(fields.insert(key.into(), value)),
@@ -25,18 +25,18 @@
     instance
 }
 
-fn read(instances: Vec<Value>) -> Result<Read, String> {
+fn read(instances: Vec<Value>) -> Result<HealthAnswer, String> {
     let places = Places { zones: vec!["west".into(), "east".into()], kinds: vec!["big".into()] };
     health(Value::from(instances).to_string().as_bytes(), &ConsulService::default(), &places)
 }
 
 fn one(instance: Value) -> Observation {
-    read(vec![instance]).unwrap().seen.remove(0)
+    read(vec![instance]).unwrap().instances.remove(0)
 }
 
 #[test]
-fn an_instance_is_read_with_its_node_place_start_and_weight() {
-    let seen = one(good());
+fn reads_node_zone_kind_cell_start_and_weight_of_an_instance() {
+    let seen = one(valid_instance());
     let BackendEntry { weight, zone, kind, cell, last_start, state, .. } = seen.entry.entry;
     assert_eq!((seen.name.as_str(), seen.registered, seen.reason), ("n1/a", 7, Reason::Passing));
     assert_eq!((weight, zone.0, kind.0, cell.0, last_start), (3.0, 1, 0, 4, Some(99.0)));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn checks_maintenance_and_weights_say_who_drains() {
+fn critical_checks_maintenance_and_zero_weight_drain_an_instance() {
     let check = |id: &str, status: &str| Some(json!({"CheckID": id, "Status": status}));
     for (extra, why) in [
         (check("d", "passing"), Reason::Passing),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn one_that_cannot_be_read_is_passed_over_with_its_key_and_the_others_count() {
+fn skips_invalid_instances_with_their_key_and_keeps_the_others() {
     for (path, value, key) in [
         ("/Service/ID", None, "Service.ID"),
         ("/Service/ID", Some(7.into()), "Service.ID"),
@@ -85,34 +85,35 @@
         ("/Checks", None, "Checks"),
         ("/Checks/-", Some(json!({"CheckID": "d"})), "Checks.Status"),
     ] {
-        let mut other = good();
+        let mut other = valid_instance();
         other["Service"]["ID"] = "b".into();
         let read = read(vec![with(path, value), other]).unwrap();
-        assert_eq!(read.seen.len(), 1, "{path}");
-        assert_eq!(read.faults.first().unwrap().1, key, "{path}");
+        assert_eq!(read.instances.len(), 1, "{path}");
+        assert_eq!(read.skipped.first().unwrap().1, key, "{path}");
     }
-    let twice = read(vec![good(), with("/Service/Port", Some(81.into()))]).unwrap();
-    assert_eq!((twice.seen.len(), twice.faults.len()), (1, 1));
-    assert_eq!(twice.seen[0].entry.address.unwrap().port(), 80);
-    assert!(read(vec![with("/Checks", None)]).is_err(), "not one: that is no list of none");
+    let twice = read(vec![valid_instance(), with("/Service/Port", Some(81.into()))]).unwrap();
+    assert_eq!((twice.instances.len(), twice.skipped.len()), (1, 1));
+    assert_eq!(twice.instances[0].entry.address.unwrap().port(), 80);
+    assert!(read(vec![with("/Checks", None)]).is_err(), "no valid instance is an error, not an empty list");
     assert!(catalogue(b"[{\"Node\": \"n1\"}]", &ConsulService::default()).is_err());
 }
 
 #[test]
-fn cut_and_garbled_answers_are_errors_or_passed_over_and_never_more() {
-    fn holds(at: usize, with: u8, cut: bool) -> bool {
-        let mut body = Value::from(vec![good()]).to_string().into_bytes();
+fn truncated_and_corrupted_answers_yield_errors_or_skipped_instances() {
+    fn holds(at: usize, byte: u8, truncate: bool) -> bool {
+        let mut body = Value::from(vec![valid_instance()]).to_string().into_bytes();
         let at = at % body.len();
-        if cut {
+        if truncate {
             body.truncate(at);
         } else {
-            body[at] = with;
+            body[at] = byte;
         }
         let service = ConsulService::default();
         let _ = catalogue(&body, &service);
         match health(&body, &service, &Places::default()) {
             Ok(read) => {
-                !cut && read.seen.iter().all(|seen| seen.entry.address.is_some_and(|at| at.port() > 0))
+                !truncate
+                    && read.instances.iter().all(|seen| seen.entry.address.is_some_and(|at| at.port() > 0))
             }
             Err(why) => !why.is_empty(),
         }
--- a/src/node.rs
+++ b/src/node.rs
@@ -9,8 +9,8 @@
 use crate::config::{
     AuthzConfig, BackendSource, Config, ConnectionLimits, ConsulConfig, InstanceConfig, ReloadableConfig,
 };
-use crate::consul::agent::Counts;
-use crate::consul::{START, Watch};
+use crate::consul::agent::QueryCounts;
+use crate::consul::{MAX_START_DELAY, Watch};
 use crate::deadlines::{Clock, Deadlines};
 use crate::engine::{Bounds, Engine, Outlets};
 use crate::entries::BackendList;
@@ -387,20 +387,20 @@
     ) {
         let watch = Watch {
             consul,
-            ways: ways.clone(),
+            config_updates: ways.clone(),
             places: instance.site.places.clone(),
-            instances: instance.site.settings.ingress_count,
+            ingress_count: instance.site.settings.ingress_count,
             deadlines: self.deadlines.clone(),
             seed: instance.seed,
             witness,
             stats: self.stats.clone(),
-            counts: Rc::<Counts>::default(),
+            counts: Rc::<QueryCounts>::default(),
             log: log.clone(),
         };
         let teller = self.teller();
         self.parts.spawn_local(watch.run(teller));
         // Of a fleet that starts together each asks in its turn, and none may say ready before.
-        self.list_wait = LIST_WAIT + START;
+        self.list_wait = LIST_WAIT + MAX_START_DELAY;
     }
 
     /// Serves until `stop` and then until `taking`, which watches the phase, has answered all.
