--- a/src/config/authz.rs
+++ b/src/config/authz.rs
@@ -38,10 +38,10 @@
     pub fail_open: bool,
     /// The deadline of a check without `grpc-timeout`, in milliseconds.
     pub default_timeout: Millis,
-    /// The age at which a caller's connection is closed, in milliseconds; checks in flight are answered first. Without
-    /// it, callers that keep idle connections open would use up the connection limit for good.
+    /// The age at which a caller's connection is closed, in milliseconds; checks in flight are answered
+    /// first. Without it, callers that keep idle connections open would use up the connection limit for good.
     pub max_connection_age: Millis,
-    /// Path prefixes, each with the index of the class that requests under it belong to.
+    /// Path prefixes, each with the id of the class that requests under it belong to.
     pub routes: Vec<(String, usize)>,
     /// The source of the customer's name.
     pub customer: ValueSource,
--- a/src/config/cluster.rs
+++ b/src/config/cluster.rs
@@ -10,8 +10,8 @@
 pub struct ClusterConfig {
     /// The local UDP address that receives the other ingresses' datagrams.
     pub listen: SocketAddr,
-    /// The address that the other ingresses send to. Defaults to `listen`; differs from it behind network address
-    /// translation.
+    /// The address that the other ingresses send to. Defaults to `listen`; differs from it behind network
+    /// address translation.
     pub advertise: SocketAddr,
     /// The fleet's name; datagrams of other fleets are dropped.
     pub fleet_name: String,
@@ -20,7 +20,8 @@
 }
 
 impl ClusterConfig {
-    /// Reads the section; `None` if it is absent. `instance_name` is checked as well, since datagrams carry it.
+    /// Reads the section; `None` if it is absent. `instance_name` is checked as well, since datagrams carry
+    /// it.
     pub(super) fn read(values: &KeyValues, instance_name: &str) -> Result<Option<Self>, ConfigError> {
         if !values.has_section("cluster") {
             return Ok(None);
--- a/src/config/consul.rs
+++ b/src/config/consul.rs
@@ -41,7 +41,8 @@
     pub wait: Millis,
     /// The timeout of any other query, in milliseconds.
     pub timeout: Millis,
-    /// The ACL token, from `token_file` or the environment variable `CONSUL_HTTP_TOKEN`; `None` if neither sets one.
+    /// The ACL token, from `token_file` or the environment variable `CONSUL_HTTP_TOKEN`; `None` if neither
+    /// sets one.
     pub token: Option<Token>,
     /// The TLS settings of connections to agents; `None` for plain TCP.
     pub tls: Option<Tls>,
@@ -60,10 +61,11 @@
     pub namespace: Option<String>,
     /// The filter expression of health queries.
     pub filter: Option<String>,
-    /// The filter expression of catalogue queries. It is separate because the catalogue's fields have other names.
+    /// The filter expression of catalogue queries. It is separate because the catalogue's fields have other
+    /// names.
     pub catalogue_filter: Option<String>,
-    /// The prefix of its instances' names. It keeps instances of the same id in different datacenters or namespaces
-    /// apart.
+    /// The prefix of its instances' names. It keeps instances of the same id in different datacenters or
+    /// namespaces apart.
     pub prefix: String,
 }
 
@@ -221,8 +223,8 @@
 }
 
 impl ConsulService {
-    /// Reads all services: `consul.service` names one, `consul.services` lists several. Keys that a service does not set
-    /// default to those under `consul`.
+    /// Reads all services: `consul.service` names one, `consul.services` lists several. Keys that a service
+    /// does not set default to those under `consul`.
     fn read_all(values: &KeyValues) -> Result<Vec<Self>, ConfigError> {
         let listed: usize = values.or_default("consul.services.count")?;
         let single: Option<String> = values.get("consul.service")?;
--- a/src/config/key_values.rs
+++ b/src/config/key_values.rs
@@ -17,8 +17,8 @@
         Self(pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect())
     }
 
-    /// Flattens nested JSON: an object's field `b` under `a` becomes `a.b`, a list of objects `a.count`, `a.0.b`, `a.1.b`
-    /// and so on, a list of plain values one comma-separated text. Nulls are dropped.
+    /// Flattens nested JSON: an object's field `b` under `a` becomes `a.b`, a list of objects `a.count`,
+    /// `a.0.b`, `a.1.b` and so on, a list of plain values one comma-separated text. Nulls are dropped.
     pub fn from_json(value: &Value) -> Self {
         let mut values = Self::default();
         values.flatten(String::new(), value);
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -18,25 +18,29 @@
 const DEFAULT_LIMITS: Limits = Limits { memory_mib: 192, descriptors: 1024 };
 /// The most watches on discovery that may be opening at once while it does not answer.
 pub const MAX_CONCURRENT_WATCH_ATTEMPTS: usize = 10;
-/// Descriptors reserved for the listener, discovery, the counter, peers, signals, the log and the runtime; each needs two
-/// while it is replaced.
+/// Descriptors reserved for the listener, discovery, the counter, peers, signals, the log and the runtime;
+/// each needs two while it is replaced.
 const RESERVED_DESCRIPTORS: usize = 16 + MAX_CONCURRENT_WATCH_ATTEMPTS;
 /// The most concurrent connections to the admin interface; each holds a descriptor for a few seconds at most.
 pub const MAX_ADMIN_CONNECTIONS: usize = 8;
 /// Descriptors reserved for operators: the admin listener, its connections, and those needed by an upgrade.
 pub(super) const ADMIN_DESCRIPTORS: usize = MAX_ADMIN_CONNECTIONS + 4;
-/// The fraction of the remaining descriptors for client connections. Requests in progress hold at most a third of all
-/// descriptors, so this leaves room for their client connections, for idle ones, and for a backend connection each.
+/// The fraction of the remaining descriptors for client connections. Requests in progress hold at most a
+/// third of all descriptors, so this leaves room for their client connections, for idle ones, and for a
+/// backend connection each.
 const CLIENT_SHARE: f64 = 0.45;
 /// The fraction for client connections whose requests are rejected.
 const REJECTED_CLIENT_SHARE: f64 = 0.07;
 /// The fraction for connections to backends.
 const BACKEND_SHARE: f64 = 0.45;
-/// The memory of an open connection without its message, in bytes: its task, its read buffer and its request's state.
+/// The memory of an open connection without its message, in bytes: its task, its read buffer and its
+/// request's state.
 const CONNECTION_BYTES: usize = 16 * 1024;
-/// The fraction of the memory for incomplete messages from clients, and the same again for those from backends.
+/// The fraction of the memory for incomplete messages from clients, and the same again for those from
+/// backends.
 const MESSAGE_SHARE: f64 = 1.0 / 6.0;
-/// The most memory of a connection to the authorisation front, in bytes: its flow-control window and a check in flight.
+/// The most memory of a connection to the authorisation front, in bytes: its flow-control window and a check
+/// in flight.
 const AUTHZ_CONNECTION_BYTES: usize = 2 * 80 * 1024;
 
 /// The most open connections of each kind.
@@ -91,8 +95,8 @@
         self.memory_mib << 20
     }
 
-    /// Returns the most client connections that are kept idle after a request: less than half of all, so that the others
-    /// stay free for requests.
+    /// Returns the most client connections that are kept idle after a request: less than half of all, so that
+    /// the others stay free for requests.
     pub fn max_idle_clients(&self) -> usize {
         self.connection_limits().clients / 3
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! Reads configuration, checks it and fills in defaults. Every input format (environment variables, the platform's JSON,
-//! an operator's TOML, the simulator's text) is first flattened into [`KeyValues`].
+//! Reads configuration, checks it and fills in defaults. Every input format (environment variables, the
+//! platform's JSON, an operator's TOML, the simulator's text) is first flattened into [`KeyValues`].
 
 mod authz;
 mod cluster;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,5 +1,5 @@
-//! The configuration of an ingress with the platform's HTTP front: environment variables, and the file that one of them
-//! names.
+//! The configuration of an ingress with the platform's HTTP front: environment variables, and the file that
+//! one of them names.
 
 use super::consul::ConsulConfig;
 use super::error::ConfigError;
@@ -30,7 +30,8 @@
     Consul(Arc<ConsulConfig>),
 }
 
-/// The part of the configuration that a reload applies to the running program; the rest takes effect at the next start.
+/// The part of the configuration that a reload applies to the running program; the rest takes effect at the
+/// next start.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ReloadableConfig {
     /// The address of the discovery agent; `None` if discovery is not used.
@@ -69,8 +70,8 @@
     }
 
     /// Reads the reloadable part from the text of a new configuration. The file's `discovery` goes before
-    /// `RELAY_DISCOVERY` here, since the environment is that of the program's start and would keep discovery at its old
-    /// address.
+    /// `RELAY_DISCOVERY` here, since the environment is that of the program's start and would keep discovery
+    /// at its old address.
     pub fn read_reloadable(
         text: &str,
         env: impl Fn(&str) -> Option<String>,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -34,7 +34,7 @@
     pub places: Places,
     /// The idle time after which a backend closes a connection, in milliseconds.
     pub backend_idle_timeout: Millis,
-    /// The timeout for connecting to a backend, in milliseconds.
+    /// The timeout for connecting to a backend, in milliseconds; an attempt that takes longer never succeeds.
     pub connect_timeout: Millis,
     /// The longest `Retry-After` sent to a rejected client, in milliseconds.
     pub max_retry_after: Millis,
@@ -79,21 +79,23 @@
         })
     }
 
-    /// Returns whether a request may draw this number of units: above 0 and at most `max_request_units`, if that is set.
+    /// Returns whether a request may draw this number of units: above 0 and at most `max_request_units`, if
+    /// that is set.
     pub fn allows_units(&self, units: f64) -> bool {
         let max =
             if self.settings.max_request_units > 0.0 { self.settings.max_request_units } else { f64::MAX };
         units > 0.0 && units <= max
     }
 
-    /// Checks a customer's set of `spread` ingresses from number `first`; returns `None` if the fleet has no such set.
+    /// Checks a customer's set of `spread` ingresses from number `first`; returns `None` if the fleet has no
+    /// such set.
     pub fn valid_ingress_set(&self, spread: u16, first: u16) -> Option<(u16, u16)> {
         let ingress_count = self.settings.ingress_count;
         ((1..=ingress_count).contains(&spread) && first < ingress_count).then_some((spread, first))
     }
 
-    /// Returns the settings for a daemon. Its rejections always carry `Retry-After`, since it answers rejected requests at
-    /// once; `limits.retryAfter` applies to the simulator only.
+    /// Returns the settings for a daemon. Its rejections always carry `Retry-After`, since it answers
+    /// rejected requests at once; `limits.retryAfter` applies to the simulator only.
     pub fn with_retry_after(mut self) -> Self {
         self.settings.max_retry_after = self.max_retry_after;
         self
--- a/src/consul/agent.rs
+++ b/src/consul/agent.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 client for a Consul agent, over TCP or TLS: one persistent connection for each kind of query and service, with
-//! limits on the size and the time of answers.
+//! HTTP/1.1 client for a Consul agent, over TCP or TLS: one persistent connection for each kind of query and
+//! service, with limits on the size and the time of answers.
 
 use crate::config::ConsulConfig;
 use crate::deadlines::Deadlines;
@@ -24,7 +24,8 @@
 const READ_BUFFER_BYTES: usize = 64 << 10;
 /// The timeout for connecting, TLS and HTTP handshakes included, in milliseconds.
 const CONNECT_TIMEOUT: Millis = 2000.0;
-/// The idle time before the first TCP keepalive probe. Keepalive detects an agent whose machine has disappeared.
+/// The idle time before the first TCP keepalive probe. Keepalive detects an agent whose machine has
+/// disappeared.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 /// The time between TCP keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
@@ -75,7 +76,8 @@
     pub deadlines: Deadlines,
     /// The counts that its queries are added to.
     pub counts: Rc<QueryCounts>,
-    /// The open connection and the agent's address; `None` if no connection is open, or while a query uses it.
+    /// The open connection and the agent's address; `None` if no connection is open, or while a query uses
+    /// it.
     open: Option<(SocketAddr, Sender)>,
 }
 
@@ -92,8 +94,8 @@
 
     /// Sends one query to the agent at `address` and waits up to `timeout` milliseconds for the answer.
     ///
-    /// A connection that was closed between queries is opened again. A connection that breaks during a query fails the
-    /// query, since the agent may have died; the caller's retry then times out or succeeds.
+    /// A connection that was closed between queries is opened again. A connection that breaks during a query
+    /// fails the query, since the agent may have died; the caller's retry then times out or succeeds.
     pub async fn get(
         &mut self,
         consul: &ConsulConfig,
@@ -124,8 +126,8 @@
         query.await.unwrap_or_else(|| Err("silence".to_owned().into()))
     }
 
-    /// Sends a query over a connection and reads the answer. The outer error is one of the connection, the inner one of the
-    /// answer.
+    /// Sends a query over a connection and reads the answer. The outer error is one of the connection, the
+    /// inner one of the answer.
     async fn send(
         &self,
         sender: &mut Sender,
@@ -171,8 +173,8 @@
     seconds.map_or(0.0, |seconds| (seconds * 1000.0).clamp(0.0, MAX_RETRY_AFTER))
 }
 
-/// Checks by its headers that an answer can be relied on: Consul's cluster has a leader, and the answer is no older than
-/// `max_stale` milliseconds.
+/// Checks by its headers that an answer can be relied on: Consul's cluster has a leader, and the answer is no
+/// older than `max_stale` milliseconds.
 fn check_consistency(headers: &HeaderMap, max_stale: Option<Millis>) -> Result<(), String> {
     if header_text(headers, "x-consul-knownleader") == Some("false") {
         return Err("Consul's cluster has no leader".into());
--- a/src/consul/mod.rs
+++ b/src/consul/mod.rs
@@ -1,6 +1,6 @@
-//! Finds backends through Consul: blocking queries on the health of services, and catalogue queries that confirm a mass
-//! withdrawal. [`crate::backends::membership`] decides how an answer changes the membership; this module sends the queries
-//! and reports the list.
+//! Finds backends through Consul: blocking queries on the health of services, and catalogue queries that
+//! confirm a mass withdrawal. [`crate::backends::membership`] decides how an answer changes the membership;
+//! this module sends the queries and reports the list.
 
 pub mod agent;
 mod queries;
@@ -27,13 +27,13 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-/// The longest delay, in milliseconds, before the first queries after a start or a new configuration. The delay is random,
-/// so that a fleet does not query all at once.
+/// The longest delay, in milliseconds, before the first queries after a start or a new configuration. The
+/// delay is random, so that a fleet does not query all at once.
 pub const MAX_START_DELAY: Millis = 2000.0;
 /// How long the first list waits for the answers of all services, in milliseconds.
 const FIRST_LIST_TIMEOUT: Millis = 800.0;
-/// How long a service that is no longer configured is kept at most while others have not answered, in milliseconds; longer
-/// if none of the others has instances.
+/// How long a service that is no longer configured is kept at most while others have not answered, in
+/// milliseconds; longer if none of the others has instances.
 const RETIRE_TIMEOUT: Millis = 3000.0;
 /// The longest sleep of the watch, in milliseconds.
 const MAX_SLEEP: Millis = 3_600_000.0;
@@ -51,7 +51,8 @@
     pub ingress_count: u16,
     /// The clock and timers.
     pub deadlines: Deadlines,
-    /// The seed of this ingress's random delays. Each ingress needs its own, so that a fleet does not query all at once.
+    /// The seed of this ingress's random delays. Each ingress needs its own, so that a fleet does not query
+    /// all at once.
     pub seed: u64,
     /// The failed connections of requests, by backend.
     pub witness: Rc<Witness>,
@@ -64,8 +65,8 @@
 }
 
 impl Watch {
-    /// Watches forever and reports every change of the list. Failed queries and unreadable answers leave the list as it is,
-    /// and so does a new configuration until its services have answered.
+    /// Watches forever and reports every change of the list. Failed queries and unreadable answers leave the
+    /// list as it is, and so does a new configuration until its services have answered.
     pub async fn run(self, report: impl FnMut(BackendList) + 'static) {
         let mut consul = self.consul.clone();
         let wake = Rc::new(Notify::new());
@@ -107,11 +108,13 @@
         }
     }
 
+    /// Returns the time in milliseconds on the clock.
     fn now(&self) -> Millis {
         self.deadlines.clock().now()
     }
 
-    /// Starts the queries of a configuration. Services that the `previous` configuration had too keep their state.
+    /// Starts the queries of a configuration. Services that the `previous` configuration had too keep their
+    /// state.
     fn start_queries<T: FnMut(BackendList) + 'static>(
         &self,
         services: &Rc<RefCell<WatchedServices<T>>>,
@@ -167,8 +170,8 @@
     }
 }
 
-/// Returns the time of the next event that needs no answer, in milliseconds on the clock: the first list, the end of a
-/// hold-down, or the retirement of services that are no longer configured.
+/// Returns the time of the next event that needs no answer, in milliseconds on the clock: the first list, the
+/// end of a hold-down, or the retirement of services that are no longer configured.
 fn next_due<T: FnMut(BackendList)>(
     services: &WatchedServices<T>,
     first_due: Millis,
--- a/src/consul/queries.rs
+++ b/src/consul/queries.rs
@@ -1,4 +1,5 @@
-//! The queries for one service: its health, continuously, and the catalogue when it has to confirm a mass withdrawal.
+//! The queries for one service: its health, continuously, and the catalogue when it has to confirm a mass
+//! withdrawal.
 
 use super::agent::{AgentConnection, QueryCounts, QueryError};
 use super::services::WatchedServices;
@@ -23,8 +24,8 @@
 const HEALTH_MAX_BACKOFF: Millis = 10_000.0;
 /// The shortest pause after a failed catalogue query, in milliseconds.
 const CATALOGUE_MIN_BACKOFF: Millis = 100.0;
-/// The longest pause after a failed catalogue query, in milliseconds; longer if the size of the fleet needs it. It is
-/// shorter than that for health, since a withdrawal waits for the answer.
+/// The longest pause after a failed catalogue query, in milliseconds; longer if the size of the fleet needs
+/// it. It is shorter than that for health, since a withdrawal waits for the answer.
 const CATALOGUE_MAX_BACKOFF: Millis = 2000.0;
 /// The bounds of the pause after a failed health query, in milliseconds.
 pub(super) const HEALTH_BACKOFF: [Millis; 2] = [HEALTH_MIN_BACKOFF, HEALTH_MAX_BACKOFF];
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Queries the catalogue, until it answers, whenever a health answer lacks so many instances that the withdrawal needs
-    /// confirmation. Health queries continue meanwhile.
+    /// Queries the catalogue, until it answers, whenever a health answer lacks so many instances that the
+    /// withdrawal needs confirmation. Health queries continue meanwhile.
     pub(super) async fn confirm_withdrawals(&self) {
         let mut pacing = Pacing::new(self.ingress_count, CATALOGUE_BACKOFF, !self.seed ^ self.slot);
         let mut limiter = QueryLimiter::new(self.ingress_count, self.now());
--- a/src/consul/query.rs
+++ b/src/consul/query.rs
@@ -8,11 +8,13 @@
 /// The characters that are percent-encoded: all but the unreserved ones of RFC 3986, section 2.3.
 const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
+/// Percent-encodes a path segment or a parameter's value.
 fn escaped(text: &str) -> String {
     utf8_percent_encode(text, ESCAPED).to_string()
 }
 
-/// Builds a query string such as `?a=1&b` from the parameters that have a value; an empty value leaves only the name.
+/// Builds a query string such as `?a=1&b` from the parameters that have a value; an empty value leaves only
+/// the name.
 fn query_string(parameters: impl IntoIterator<Item = (&'static str, Option<String>)>) -> String {
     let present = parameters.into_iter().filter_map(|(name, value)| Some((name, value?)));
     let present: Vec<String> = present
@@ -34,7 +36,7 @@
 /// Returns the target of a health query. The query blocks if the cursor has an index to wait on.
 pub fn health_target(consul: &ConsulConfig, service: &ConsulService, cursor: Cursor) -> String {
     let index = cursor.index();
-    // Consul parses a Go duration; milliseconds are exact enough.
+    // In whole milliseconds with a unit, since Consul parses a Go duration.
     let wait = index.map(|_| format!("{}ms", consul.wait as u64));
     let blocking = [("index", index.map(|index| index.to_string())), ("wait", wait), stale(consul)];
     let filter = [("filter", service.filter.as_deref().map(escaped))];
@@ -42,8 +44,8 @@
     format!("/v1/health/service/{}{all}", escaped(&service.name))
 }
 
-/// Returns the target of a catalogue query. It has a filter of its own, since the catalogue's fields have other names than
-/// those of health.
+/// Returns the target of a catalogue query. It has a filter of its own, since the catalogue's fields have
+/// other names than those of health.
 pub fn catalogue_target(consul: &ConsulConfig, service: &ConsulService) -> String {
     let filter = [("filter", service.catalogue_filter.as_deref().map(escaped))];
     let all = query_string([stale(consul)].into_iter().chain(service_parameters(service)).chain(filter));
@@ -55,8 +57,8 @@
     ("stale", consul.max_stale.map(|_| String::new()))
 }
 
-/// Returns the timeout of a health query, in milliseconds. Consul adds up to a sixteenth of the wait to a blocking query, to
-/// spread the answers; `consul.timeout` is added to that.
+/// Returns the timeout of a health query, in milliseconds. Consul adds up to a sixteenth of the wait to a
+/// blocking query, to spread the answers; `consul.timeout` is added to that. A later answer counts as none.
 pub fn health_timeout(consul: &ConsulConfig, cursor: Cursor) -> Millis {
     match cursor.index() {
         Some(_) => consul.wait * (1.0 + 1.0 / 16.0) + consul.timeout,
--- a/src/consul/read.rs
+++ b/src/consul/read.rs
@@ -17,8 +17,8 @@
     pub skipped: BTreeSet<(String, &'static str)>,
 }
 
-/// Parses an answer of `/v1/health/service/NAME`. It is an error if the answer is not a JSON list, or if it has instances but
-/// no valid one.
+/// Parses an answer of `/v1/health/service/NAME`. It is an error if the answer is not a JSON list, or if it
+/// has instances but no valid one.
 pub fn health(body: &[u8], service: &ConsulService, places: &Places) -> Result<HealthAnswer, String> {
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("the answer is not JSON: {e}"))?;
     let listed = answer.as_array().ok_or("the answer is not a list")?;
@@ -40,8 +40,8 @@
     }
 }
 
-/// Parses the instance ids of an answer of `/v1/catalog/service/NAME`. One unreadable instance makes the whole answer an
-/// error, so that it is not taken as a confirmation that instances are gone.
+/// Parses the instance ids of an answer of `/v1/catalog/service/NAME`. One unreadable instance makes the
+/// whole answer an error, so that it is not taken as a confirmation that instances are gone.
 pub fn catalogue(body: &[u8], service: &ConsulService) -> Result<BTreeSet<BackendId>, String> {
     let answer: Value = serde_json::from_slice(body).map_err(|e| format!("the answer is not JSON: {e}"))?;
     let instances = answer.as_array().ok_or("the answer is not a list")?;
@@ -54,8 +54,8 @@
     value.pointer(path).and_then(Value::as_str).filter(|text| !text.is_empty())
 }
 
-/// Builds an instance's name from its node and id, since service ids are unique only on their node, and nodes only in their
-/// datacenter. `node` and `id` are JSON pointers. Returns `None` if either is missing.
+/// Builds an instance's name from its node and id, since service ids are unique only on their node, and nodes
+/// only in their datacenter. `node` and `id` are JSON pointers. Returns `None` if either is missing.
 fn name(instance: &Value, node: &str, id: &str, service: &ConsulService) -> Option<String> {
     let (node, id) = (text(instance, node)?, text(instance, id)?);
     Some(format!("{}{node}/{id}", service.prefix))
@@ -63,8 +63,8 @@
 
 /// Parses an instance; the error is the invalid key.
 ///
-/// An instance whose checks are passing or warning is ready. One with a critical check (maintenance mode sets one) or with
-/// weight 0 drains: it finishes its requests in flight. One that is no longer listed is gone.
+/// An instance whose checks are passing or warning is ready. One with a critical check (maintenance mode sets
+/// one) or with weight 0 drains: it finishes its requests in flight. One that is no longer listed is gone.
 fn observation(value: &Value, service: &ConsulService, places: &Places) -> Result<Observation, &'static str> {
     let meta = |name: &str| text(value, &format!("/Service/Meta/{name}"));
     text(value, "/Node/Node").ok_or("Node.Node")?;
--- a/src/consul/services.rs
+++ b/src/consul/services.rs
@@ -22,7 +22,8 @@
 pub(super) struct WatchedService {
     /// The service's instances.
     pub(super) members: Members,
-    /// The instances that were skipped in the last answer, each with its invalid key. Logged once, while they stay.
+    /// The instances that were skipped in the last answer, each with its invalid key. Logged once, while they
+    /// stay.
     pub(super) skipped: BTreeSet<(String, &'static str)>,
     /// The agent that answered last; `None` while the query fails.
     pub(super) healthy_agent: Option<SocketAddr>,
@@ -32,7 +33,8 @@
     pub(super) answered: bool,
 }
 
-/// The state of all watched services. The tasks share it in a `RefCell`, which they must not keep borrowed across an await.
+/// The state of all watched services. The tasks share it in a `RefCell`, which they must not keep borrowed
+/// across an await.
 pub(super) struct WatchedServices<T> {
     /// Receives every change of the list.
     pub(super) report: T,
@@ -110,12 +112,13 @@
         }
     }
 
+    /// Returns the slots of all services, so that the services can be changed while iterating.
     fn all_slots(&self) -> Vec<Slot> {
         self.by_slot.keys().copied().collect()
     }
 
-    /// Retires (drops) the services that are no longer configured, if all others have answered, or if it is `overdue` and
-    /// any of the others has instances. Returns whether it did.
+    /// Retires (drops) the services that are no longer configured, if all others have answered, or if it is
+    /// `overdue` and any of the others has instances. Returns whether it did.
     pub(super) fn retire_unconfigured(&mut self, overdue: bool) -> bool {
         let current: BTreeSet<Slot> = self.slots.values().copied().collect();
         let all_answered = current.iter().all(|slot| self.by_slot[slot].answered);
@@ -131,8 +134,8 @@
         true
     }
 
-    /// Reports the changes since the last report. The first report waits until all services have answered, or until it is
-    /// `overdue`.
+    /// Reports the changes since the last report. The first report waits until all services have answered, or
+    /// until it is `overdue`.
     pub(super) fn report_changes(&mut self, overdue: bool) {
         if !self.first_reported && !overdue && !self.by_slot.values().all(|service| service.answered) {
             return;
@@ -177,7 +180,8 @@
         self.stats.consul(self.by_slot.len(), failing, answered_at.fold(f64::INFINITY, f64::min));
     }
 
-    /// Applies a health answer of `agent`. Returns whether the catalogue has to confirm that missing instances are gone.
+    /// Applies a health answer of `agent`. Returns whether the catalogue has to confirm that missing
+    /// instances are gone.
     pub(super) fn apply_answer(
         &mut self,
         slot: Slot,
