--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -18,9 +18,9 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
-use weldhub::config::{Config, Consul as ConsulConfig, Service, Ways};
+use weldhub::config::{Config, ConsulConfig, ConsulService, ReloadableConfig};
 use weldhub::consul::Watch;
-use weldhub::consul::agent::Counts;
+use weldhub::consul::agent::QueryCounts;
 use weldhub::deadlines::{Clock, Deadlines, Expiry};
 use weldhub::net::http::{MessageKind, take_message};
 use weldhub_load::run::run;
@@ -94,7 +94,7 @@
         weldhub::node::block_on(async {
             let config = Config::read(&config.to_string(), |_| None).unwrap();
             let listener = TcpListener::bind(address).await?;
-            let (_ways, ways) = watch::channel(config.ways());
+            let (_ways, ways) = watch::channel(config.reloadable());
             weldhub::node::serve(config, listener, discard_log(), ways, std::future::pending()).await
         })
     });
@@ -228,20 +228,20 @@
                     };
                     let consul = Consul::start(list(0)).await;
                     consul.longest.set(Duration::from_secs(60));
-                    let counts = Rc::<Counts>::default();
+                    let counts = Rc::<QueryCounts>::default();
                     for seed in 0..u64::from(instances) {
                         let deadlines = Deadlines::new(Clock::new());
                         let agents = vec![consul.at];
-                        let services = vec![Service { name: "boards".into(), ..Service::default() }];
+                        let services = vec![ConsulService { name: "boards".into(), ..ConsulService::default() }];
                         let (wait, timeout) = (55_000.0, 3000.0);
                         let consul_config =
                             Arc::new(ConsulConfig { agents, services, wait, timeout, ..ConsulConfig::default() });
-                        let (_ways, ways) = watch::channel(Ways::default());
+                        let (_ways, ways) = watch::channel(ReloadableConfig::default());
                         let watch = Watch {
                             consul: consul_config,
-                            ways,
+                            config_updates: ways,
                             places: Default::default(),
-                            instances,
+                            ingress_count: instances,
                             deadlines: deadlines.clone(),
                             seed,
                             witness: Rc::default(),
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: reads the configuration, starts the log and serves until SIGTERM or SIGINT. SIGHUP
 //! reloads the configuration.
 
-use crate::config::{AuthzConfig, Config, ConfigError, Ways};
+use crate::config::{AuthzConfig, Config, ConfigError, ReloadableConfig};
 use crate::node::{self, Sockets};
 use slog::{Drain, Level, Logger, crit, info, o, warn};
 use std::io;
@@ -37,10 +37,10 @@
 /// Reloads the configuration at each SIGHUP. A configuration that cannot be used changes nothing.
 fn reload_on_hangup(
     mut hangups: Signal,
-    initial: Ways,
-    reread: impl Fn() -> Result<Ways, ConfigError> + 'static,
+    initial: ReloadableConfig,
+    reread: impl Fn() -> Result<ReloadableConfig, ConfigError> + 'static,
     log: Logger,
-) -> watch::Receiver<Ways> {
+) -> watch::Receiver<ReloadableConfig> {
     let (ways, receiver) = watch::channel(initial);
     spawn_local(async move {
         while hangups.recv().await.is_some() {
@@ -70,7 +70,8 @@
                 // nor ends the program.
                 let hangups = signal(SignalKind::hangup())?;
                 let mut config = Config::from_env().map_err(io::Error::other)?;
-                let ways = reload_on_hangup(hangups, config.ways(), Config::ways_from_env, log.clone());
+                let ways =
+                    reload_on_hangup(hangups, config.reloadable(), Config::reloadable_from_env, log.clone());
                 let sockets = Sockets::acquire(&config.instance, log).await?;
                 config.instance.listen = sockets.listener.local_addr()?;
                 node::serve(config, sockets, log.clone(), ways, shutdown_signal()).await
@@ -81,8 +82,8 @@
                 let hangups = signal(SignalKind::hangup())?;
                 let mut config = AuthzConfig::from_file(path).map_err(io::Error::other)?;
                 let path = path.to_owned();
-                let reread = move || AuthzConfig::from_file(&path).map(|config| config.ways());
-                let ways = reload_on_hangup(hangups, config.ways(), reread, log.clone());
+                let reread = move || AuthzConfig::from_file(&path).map(|config| config.reloadable());
+                let ways = reload_on_hangup(hangups, config.reloadable(), reread, log.clone());
                 let listener = TcpListener::bind(config.instance.listen).await?;
                 config.instance.listen = listener.local_addr()?;
                 node::serve_authz(config, listener, log.clone(), ways, shutdown_signal()).await
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -43,7 +43,7 @@
     let class = site.classes.iter().position(|class| class.name == class_name);
     let class = class.ok_or((404, "the path names no class"))?;
     let info = &site.classes[class];
-    let needs_key = info.keyed;
+    let needs_key = info.needs_idempotency_key;
     let safe = site.settings.classes[class].retry_safety == RetrySafety::Safe;
     let is_head = safe && method == b"HEAD";
     if !is_head && method != if safe { b"GET".as_slice() } else { b"POST".as_slice() } {
@@ -71,7 +71,7 @@
         class: ClassId(class),
         plan: PlanId(*plan),
         customer: CustomerId(customer),
-        time_left: (timeout as Millis).min(info.give_up),
+        time_left: (timeout as Millis).min(info.client_timeout),
         units,
         spread,
         first_ingress: IngressId(first),
@@ -145,7 +145,7 @@
             _ => {}
         }
     }
-    let units = units.filter(|units| site.good_units(*units))?;
-    let (spread, first) = site.good_set(spread?, first?)?;
+    let units = units.filter(|units| site.allows_units(*units))?;
+    let (spread, first) = site.valid_ingress_set(spread?, first?)?;
     Some((units, spread, first))
 }
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -336,7 +336,7 @@
             Err(_) => NextStep::Close,
         },
         Ok(_) = role.wait_for(|role| *role == Role::Retiring) => NextStep::HandOver,
-        () = side.deadlines.sleep(side.site.conn_idle * IDLE_TIMEOUT_FRACTION) => NextStep::Close,
+        () = side.deadlines.sleep(side.site.backend_idle_timeout * IDLE_TIMEOUT_FRACTION) => NextStep::Close,
     };
     // A job may have been given to the connection in the moment that it closed. Nothing of it has been
     // written, so it starts on another connection.
@@ -537,7 +537,7 @@
         first: Bytes,
     ) -> CarryResult {
         let (pieces, rest) = body_channel::channel();
-        let load = parse_load(head, &self.site.load_names);
+        let load = parse_load(head, &self.site.load_report_names);
         let answer = Answer {
             body: first,
             content_type: content_type(head),
@@ -612,7 +612,7 @@
         503 | 504 if not_started => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    let load = parse_load(head, &site.load_names);
+    let load = parse_load(head, &site.load_report_names);
     // Backends send no other status, so after one the connection is not trusted with another request.
     let known_status = matches!(head.status(), 200 | 500 | 503 | 504);
     let reusable = !head.close && nothing_left && known_status;
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -250,7 +250,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::Ways;
+    use crate::config::ReloadableConfig;
     use crate::deadlines::Clock;
     use crate::interface::CounterName;
     use tokio::io::{AsyncBufReadExt, BufReader};
@@ -281,7 +281,7 @@
         let deadlines = Deadlines::new(Clock::new());
         let log = Logger::root(slog::Discard, slog::o!());
         let address = listener.local_addr().unwrap();
-        let ways = Ways::default();
+        let ways = ReloadableConfig::default();
         let (_ways, ways) = watch::channel(ways);
         let address = ReloadableAddress::new(&ways, address, |ways| ways.counter);
         let counter = CounterClient { address, deadlines, log };
@@ -359,7 +359,10 @@
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
             ];
             let [old_address, new_address] = [&old, &new].map(|at| at.local_addr().unwrap());
-            let (move_to, ways) = watch::channel(Ways { counter: Some(old_address), ..Ways::default() });
+            let (move_to, ways) = watch::channel(ReloadableConfig {
+                counter: Some(old_address),
+                ..ReloadableConfig::default()
+            });
             let address = ReloadableAddress::new(&ways, old_address, |ways| ways.counter);
             let log = Logger::root(slog::Discard, slog::o!());
             let counter = CounterClient { address, deadlines: Deadlines::new(Clock::new()), log };
@@ -370,7 +373,8 @@
             );
             calls.send(call(0)).unwrap();
             let (mut old, _) = accept_calls(&old, 1).await;
-            move_to.send_replace(Ways { counter: Some(new_address), ..Ways::default() });
+            move_to
+                .send_replace(ReloadableConfig { counter: Some(new_address), ..ReloadableConfig::default() });
             calls.send(call(1)).unwrap();
             let (mut new, _) = accept_calls(&new, 1).await;
             new.write_all(b"ok 2\r\n").await.unwrap();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::http::{self, MessageKind};
 use super::stream::{ReloadableAddress, connect, read_more};
-use crate::config::{MAX_WATCH_ATTEMPTS, Site};
+use crate::config::{MAX_CONCURRENT_WATCH_ATTEMPTS, Site};
 use crate::deadlines::Deadlines;
 use crate::entries::{BackendList, TopologyNames};
 use crate::interface::*;
@@ -39,7 +39,7 @@
 const MAX_REOPEN_DELAY: Millis = 5000.0;
 
 /// With pushed lists, a further attempt to open a watch starts at this interval, in milliseconds, until one
-/// of them has brought a line; the oldest beyond [`MAX_WATCH_ATTEMPTS`] is aborted. The agent serves this
+/// of them has brought a line; the oldest beyond [`MAX_CONCURRENT_WATCH_ATTEMPTS`] is aborted. The agent serves this
 /// machine alone, so the attempts cost nobody else anything. A change counts as known to this ingress as soon
 /// as the agent has it, so a watch must be open within the grace period of a drain.
 const ATTEMPT_INTERVAL: Millis = 120.0;
@@ -196,7 +196,7 @@
                 }
             });
             oldest_first.push_back(attempt);
-            if oldest_first.len() > MAX_WATCH_ATTEMPTS
+            if oldest_first.len() > MAX_CONCURRENT_WATCH_ATTEMPTS
                 && let Some(oldest) = oldest_first.pop_front()
             {
                 oldest.abort();
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,6 +1,6 @@
 //! Helpers for TCP streams, and an address that a reload of the configuration may change.
 
-use crate::config::Ways;
+use crate::config::ReloadableConfig;
 use bytes::BytesMut;
 use socket2::SockRef;
 use std::io;
@@ -46,8 +46,8 @@
 /// An address that a reload of the configuration may change.
 #[derive(Debug, Clone)]
 pub struct ReloadableAddress {
-    ways: watch::Receiver<Ways>,
-    select: fn(&Ways) -> Option<SocketAddr>,
+    ways: watch::Receiver<ReloadableConfig>,
+    select: fn(&ReloadableConfig) -> Option<SocketAddr>,
     initial: SocketAddr,
 }
 
@@ -55,9 +55,9 @@
     /// Creates an address that `select` picks from the current configuration. While that returns `None`, the
     /// address is `initial`.
     pub fn new(
-        ways: &watch::Receiver<Ways>,
+        ways: &watch::Receiver<ReloadableConfig>,
         initial: SocketAddr,
-        select: fn(&Ways) -> Option<SocketAddr>,
+        select: fn(&ReloadableConfig) -> Option<SocketAddr>,
     ) -> Self {
         Self { ways: ways.clone(), select, initial }
     }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -6,7 +6,7 @@
     BodyDecoder, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Message, MessageKind, ParseError, peek_head,
     take_message,
 };
-use crate::config::{Pairs, Site};
+use crate::config::{KeyValues, Site};
 use crate::fronts::platform;
 use crate::interface::CounterAnswer;
 use crate::net::server_side::ParsedRequest;
@@ -238,7 +238,7 @@
 
 #[test]
 fn accepts_only_valid_requests() {
-    let site = Site::read(&Pairs::from_text(
+    let site = Site::read(&KeyValues::from_text(
         "balancers=3\nmyNumber=0\nlimits.maxAttempts=5\nclasses.count=2\nclasses.0.aim=500.0\n\
          classes.0.name=board-state\nclasses.0.effect=read_like\nclasses.1.aim=800.0\nclasses.1.name=move-submit\n\
          classes.1.effect=idempotency_key\nclasses.1.group=cell\nclasses.1.window=4000.0\ntariffs.count=1\n\
--- a/src/node.rs
+++ b/src/node.rs
@@ -7,9 +7,11 @@
 use crate::cluster::packet::{Identity, fleet_key};
 use crate::cluster::transport::{ClusterEvent, SharedCluster, Transport};
 use crate::cluster::{Cluster, FleetId, Timing};
-use crate::config::{AuthzConfig, Config, ConnectionLimits, Consul, Instance, Source, Ways};
-use crate::consul::agent::Counts;
-use crate::consul::{START, Watch};
+use crate::config::{
+    AuthzConfig, BackendSource, Config, ConnectionLimits, ConsulConfig, InstanceConfig, ReloadableConfig,
+};
+use crate::consul::agent::QueryCounts;
+use crate::consul::{MAX_START_DELAY, Watch};
 use crate::deadlines::{Clock, Deadlines};
 use crate::engine::{Engine, EngineLimits, Outputs};
 use crate::entries::BackendList;
@@ -94,8 +96,8 @@
     /// Takes the sockets over from the process that serves at this address, or binds them. With an admin
     /// interface, both processes may be bound at once, so that an old process that hangs cannot block an
     /// upgrade.
-    pub async fn acquire(instance: &Instance, log: &Logger) -> io::Result<Self> {
-        let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
+    pub async fn acquire(instance: &InstanceConfig, log: &Logger) -> io::Result<Self> {
+        let path = instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "next"));
         let inherited = match path {
             Some(path) => rendezvous::request_sockets(&path).await.unwrap_or_else(|e| {
                 warn!(log, "no sockets from the old process"; "why" => %e);
@@ -116,7 +118,7 @@
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
         socket.set_reuseaddr(true)?;
-        if instance.management.is_some() {
+        if instance.admin_listen.is_some() {
             socket.set_reuseport(true)?;
         }
         socket.bind(instance.listen)?;
@@ -124,9 +126,9 @@
     }
 }
 
-fn bind_peers(instance: &Instance, address: SocketAddr) -> io::Result<std::net::UdpSocket> {
+fn bind_peers(instance: &InstanceConfig, address: SocketAddr) -> io::Result<std::net::UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
-    if instance.management.is_some() {
+    if instance.admin_listen.is_some() {
         socket.set_reuse_port(true)?;
     }
     socket.set_nonblocking(true)?;
@@ -213,8 +215,8 @@
 
 impl<Q: Clone + 'static, A: 'static> Core<Q, A> {
     async fn start(
-        instance: &Instance,
-        ways: &watch::Receiver<Ways>,
+        instance: &InstanceConfig,
+        ways: &watch::Receiver<ReloadableConfig>,
         known: Option<BackendList>,
         (max_requests, witness): (usize, Option<Rc<FailureMonitor>>),
         (peers, role): (Option<UdpSocket>, Role),
@@ -228,7 +230,7 @@
             recovery.record(RecoveryEvent::ListLoaded);
         }
         // Bound first, so that operators get answers whatever happens during the rest of the start.
-        let admin_listener = match instance.management {
+        let admin_listener = match instance.admin_listen {
             Some(address) => {
                 let bound = TcpListener::bind(address).await;
                 Some(bound.map_err(|e| io::Error::other(format!("management={address}: {e}")))?)
@@ -267,7 +269,7 @@
         }
         let phase = watch::Sender::new(Phase::Starting);
         let drain = watch::Sender::new(Drain::Inactive);
-        let disabled_file = instance.management.and_then(|_| rendezvous::path(instance.listen, "bans"));
+        let disabled_file = instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "bans"));
         let disabled: Vec<String> = disabled_file.iter().flat_map(|path| load_disabled(path, log)).collect();
         let cluster = instance.cluster.as_ref().map(|fleet| {
             let now = deadlines.clock().now();
@@ -277,7 +279,7 @@
                 address: fleet.advertise,
                 started_at: now as u64,
             };
-            let fleet_id = FleetId { key: fleet_key(&fleet.name), size: site.settings.ingress_count };
+            let fleet_id = FleetId { key: fleet_key(&fleet.fleet_name), size: site.settings.ingress_count };
             let cluster =
                 Cluster::new(me, fleet_id, fleet.seeds.clone(), Timing::default(), instance.seed ^ 2, now);
             let cluster: SharedCluster = Rc::new(RefCell::new(cluster));
@@ -288,7 +290,9 @@
                 phase: phase.subscribe(),
                 local_notices: notices_receiver,
                 drain: drain.clone(),
-                notices_file: instance.management.and_then(|_| rendezvous::path(instance.listen, "notices")),
+                notices_file: instance
+                    .admin_listen
+                    .and_then(|_| rendezvous::path(instance.listen, "notices")),
                 deadlines: deadlines.clone(),
                 log: log.clone(),
             };
@@ -315,8 +319,9 @@
             retry_after: site.max_retry_after,
         };
         let maintenance = Maintenance::with_disabled(disabled);
-        let subset =
-            instance.subset.map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
+        let subset = instance
+            .subset_size
+            .map(|size| Subset::new(site.settings.ingress, site.settings.ingress_count, size));
         let engine =
             Engine::new((limiter, maintenance), deadlines.clone(), events, outputs, limits, log.clone());
         let engine = engine.with_subset(subset);
@@ -359,7 +364,7 @@
             exchange,
             commands: commands_receiver,
             essential_tasks,
-            longest_deadline: site.classes.iter().map(|class| class.give_up).fold(0.0, f64::max),
+            longest_deadline: site.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max),
             max_list_wait: MAX_LIST_WAIT,
             list_received: watch::Sender::new(false),
             stats,
@@ -390,29 +395,29 @@
     /// Starts the watch on Consul for backends.
     fn watch_consul(
         &mut self,
-        instance: &Instance,
-        consul: Arc<Consul>,
-        ways: &watch::Receiver<Ways>,
+        instance: &InstanceConfig,
+        consul: Arc<ConsulConfig>,
+        ways: &watch::Receiver<ReloadableConfig>,
         witness: Rc<FailureMonitor>,
         log: &Logger,
     ) {
         let watch = Watch {
             consul,
-            ways: ways.clone(),
+            config_updates: ways.clone(),
             places: instance.site.places.clone(),
-            instances: instance.site.settings.ingress_count,
+            ingress_count: instance.site.settings.ingress_count,
             deadlines: self.deadlines.clone(),
             seed: instance.seed,
             witness,
             stats: self.stats.clone(),
-            counts: Rc::<Counts>::default(),
+            counts: Rc::<QueryCounts>::default(),
             log: log.clone(),
         };
         let list_receiver = self.list_receiver();
         self.essential_tasks.spawn_local(watch.run(list_receiver));
         // The first queries of a fleet that starts together are spread over this time, and no instance may
         // report that it is ready before its query.
-        self.max_list_wait = MAX_LIST_WAIT + START;
+        self.max_list_wait = MAX_LIST_WAIT + MAX_START_DELAY;
     }
 
     /// Serves until `stop` resolves, and then until `server`, which watches the phase, has answered all
@@ -420,7 +425,7 @@
     /// timed out.
     async fn serve(
         mut self,
-        instance: &Instance,
+        instance: &InstanceConfig,
         mut server: JoinHandle<()>,
         start_handover: impl FnOnce(),
         stop: JoinHandle<()>,
@@ -463,16 +468,16 @@
     config: Config,
     sockets: impl Into<Sockets>,
     log: Logger,
-    ways: watch::Receiver<Ways>,
+    ways: watch::Receiver<ReloadableConfig>,
     stop: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
     // Spawned first, so that a signal during the start is not lost.
     let stop = spawn_local(stop);
-    let Config { instance, source, known } = config;
+    let Config { instance, source, initial_list: known } = config;
     let (site, generation) = (&instance.site, known.as_ref().map(|known| known.generation));
-    let ConnectionLimits { clients, turned_away, backends } = instance.limits.connections();
+    let ConnectionLimits { clients, rejected_clients, backends } = instance.limits.connection_limits();
     let elsewhere = PredecessorConnections::default();
-    let budget = || MemoryBudget::new(instance.limits.messages(), elsewhere.clone());
+    let budget = || MemoryBudget::new(instance.limits.max_message_bytes(), elsewhere.clone());
     let Sockets { listener, peers, link } = sockets.into();
     let peers = match instance.peer_listen.filter(|_| site.settings.peers) {
         Some(at) if peers.is_none() => Some(bind_peers(&instance, at)?),
@@ -483,7 +488,7 @@
     let outgoing_peers = peers.as_ref().map(|peers| copy(peers.as_fd())).transpose()?;
     let role = if link.is_some() { Role::Standby } else { Role::Active };
     let peers = peers.map(UdpSocket::from_std).transpose()?;
-    let witness = matches!(source, Source::Consul(_)).then(Rc::<FailureMonitor>::default);
+    let witness = matches!(source, BackendSource::Consul(_)).then(Rc::<FailureMonitor>::default);
     let engine_options = (clients, witness.clone());
     let mut core =
         Core::<Question, Answer>::start(&instance, &ways, known, engine_options, (peers, role), &log).await?;
@@ -525,21 +530,21 @@
     let commands = std::mem::replace(&mut core.commands, mpsc::unbounded_channel().1);
     core.essential_tasks.spawn_local(client_side.run(commands, incoming_backends));
     match source {
-        Source::Discovery(agent) => {
+        BackendSource::Discovery(agent) => {
             let agent = ReloadableAddress::new(&ways, agent, |ways| ways.discovery);
             let (deadlines, seed) = (deadlines.clone(), instance.seed);
             let discovery = Discovery { agent, site: site.clone(), deadlines, seed, log: log.clone() };
             let list_receiver = core.list_receiver();
             core.essential_tasks.spawn_local(discovery.run(generation, list_receiver));
         }
-        Source::Consul(consul) => {
+        BackendSource::Consul(consul) => {
             core.watch_consul(&instance, consul, &ways, witness.unwrap_or_default(), &log)
         }
     }
-    let (idle, last) = (instance.limits.idle(), core.longest_deadline);
+    let (idle, last) = (instance.limits.max_idle_clients(), core.longest_deadline);
     let limits = ServerLimits {
         max_connections: clients,
-        max_rejected_connections: turned_away,
+        max_rejected_connections: rejected_clients,
         max_idle_connections: idle,
         memory_budget: budget(),
         drain_timeout: last,
@@ -550,7 +555,7 @@
     let bounds = (limits, site.max_retry_after);
     let server_side = ServerSide::new(read, exchange, deadlines, signals, stats, bounds, log.clone());
     let server = spawn_local(server_side.run(listener, incoming_clients));
-    let path = instance.management.and_then(|_| rendezvous::path(instance.listen, "next"));
+    let path = instance.admin_listen.and_then(|_| rendezvous::path(instance.listen, "next"));
     let ended_attempts = std::mem::replace(&mut core.ended_attempts, mpsc::unbounded_channel().1);
     let outgoing = Outgoing {
         clients: outgoing_clients,
@@ -581,14 +586,14 @@
     config: AuthzConfig,
     listener: TcpListener,
     log: Logger,
-    ways: watch::Receiver<Ways>,
+    ways: watch::Receiver<ReloadableConfig>,
     stop: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
     let stop = spawn_local(stop);
     let AuthzConfig { instance, consul, authz } = config;
     let site = &instance.site;
-    let max_connections = instance.limits.callers();
-    let room = (max_connections, Duration::from_secs_f64(authz.connection_age / 1000.0));
+    let max_connections = instance.limits.max_authz_connections();
+    let room = (max_connections, Duration::from_secs_f64(authz.max_connection_age / 1000.0));
     let max_checks = max_connections * CHECKS_PER_CONNECTION;
     let peers = instance.peer_listen.filter(|_| site.settings.peers);
     let peers = peers.map(|at| bind_peers(&instance, at)).transpose()?;
