--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -16,7 +16,7 @@
 /// It works on several side by side: so much work in hand, in milliseconds of all it can do, holds up nobody.
 const SIDE_BY_SIDE: Millis = 300.0;
 
-fn set(me: u16) -> Settings {
+fn set(ingress: u16) -> Settings {
     let plan = Plan { rate: 1e6, burst: 1e6, ..Plan::default() };
     let cold = ColdStart {
         initial_capacity: 0.21,
@@ -24,7 +24,7 @@
         overload_multiple: 2.5,
         overload_window: 1000.0,
     };
-    Settings { ingress: IngressId(me), ingress_count: GATEWAYS, cold, ..settings(plan) }
+    Settings { ingress: IngressId(ingress), ingress_count: GATEWAYS, cold, ..settings(plan) }
 }
 
 /// Gateways before servers of which number 0 is watched.
@@ -57,7 +57,7 @@
 
 impl Fleet {
     fn new(seed: u64, part: f64, weight: f64) -> Self {
-        let mut list: Vec<_> = (0..SERVERS).map(entry).collect();
+        let mut list: Vec<_> = (0..SERVERS).map(backend_entry).collect();
         list[0].weight = weight;
         let (started, recent) = (None, VecDeque::new());
         let limiters = Vec::new();
@@ -82,21 +82,21 @@
             alive,
             requests,
         };
-        for me in 0..GATEWAYS {
-            let limiter = fleet.start(me);
+        for ingress in 0..GATEWAYS {
+            let limiter = fleet.start(ingress);
             fleet.limiters.push(limiter);
         }
         fleet
     }
 
     /// A gateway that has just started, with the list as it is now.
-    fn start(&mut self, me: u16) -> Limiter {
+    fn start(&mut self, ingress: u16) -> Limiter {
         self.seed += 1;
-        let mut limiter = Limiter::new(set(me), self.seed).unwrap();
-        let mut acts = Vec::new();
-        limiter.handle(self.now, Event::Start, &mut acts);
+        let mut limiter = Limiter::new(set(ingress), self.seed).unwrap();
+        let mut actions = Vec::new();
+        limiter.handle(self.now, Event::Start, &mut actions);
         let listed = Event::BackendList(ListKind::Cached, self.list.clone());
-        limiter.handle(self.now, listed, &mut acts);
+        limiter.handle(self.now, listed, &mut actions);
         limiter
     }
 
@@ -109,9 +109,9 @@
         }
         let list = self.list.clone();
         self.list.retain(|e| e.state == BackendState::Ready);
-        for me in 0..usize::from(GATEWAYS) {
+        for ingress in 0..usize::from(GATEWAYS) {
             let listed = Event::BackendList(ListKind::Changes, list.clone());
-            self.limiters[me].handle(self.now, listed, &mut Vec::new());
+            self.limiters[ingress].handle(self.now, listed, &mut Vec::new());
         }
     }
 
@@ -122,8 +122,8 @@
 
     /// What the watched one has done by now is answered.
     fn finish(&mut self) {
-        while let Some((_, me, end)) = self.working.pop_front_if(|(at, ..)| *at <= self.now) {
-            self.limiters[me].handle(self.now, Event::AttemptEnded(end), &mut Vec::new());
+        while let Some((_, ingress, end)) = self.working.pop_front_if(|(at, ..)| *at <= self.now) {
+            self.limiters[ingress].handle(self.now, Event::AttemptEnded(end), &mut Vec::new());
         }
     }
 
@@ -143,7 +143,7 @@
         self.worst = self.worst.max(sum / most);
     }
 
-    fn request(&self, class: usize) -> Request {
+    fn new_request(&self, class: usize) -> Request {
         Request {
             id: RequestId(self.next),
             class: ClassId(class),
@@ -161,37 +161,37 @@
     fn round(&mut self, span: Millis, outcome: impl Fn(BackendId) -> Outcome) {
         let alive = self.alive.unwrap_or(|_| true);
         let requests = self.requests.unwrap_or(|_| 1);
-        for me in (0..usize::from(GATEWAYS)).filter(|me| alive(*me)) {
+        for ingress in (0..usize::from(GATEWAYS)).filter(|ingress| alive(*ingress)) {
             self.now += span / f64::from(GATEWAYS);
             self.finish();
-            self.limiters[me].handle(self.now, Event::Timer(TimerKey(1)), &mut Vec::new());
-            for _ in 0..requests(me) {
-                self.ask(me, &outcome);
+            self.limiters[ingress].handle(self.now, Event::Timer(TICK_TIMER), &mut Vec::new());
+            for _ in 0..requests(ingress) {
+                self.request(ingress, &outcome);
             }
         }
     }
 
     /// One request at a gateway; an attempt ends as `outcome` says, and so do those that follow it.
-    fn ask(&mut self, me: usize, outcome: &impl Fn(BackendId) -> Outcome) {
+    fn request(&mut self, ingress: usize, outcome: &impl Fn(BackendId) -> Outcome) {
         self.next += 1;
-        let request = self.request(0);
-        let mut acts = Vec::new();
-        self.limiters[me].handle(self.now, Event::Request(request), &mut acts);
-        let mut no = 0;
-        while let Some(server) = sent(&std::mem::take(&mut acts)) {
-            let mut end = ended(request.id, no, server, outcome(server), 50.0);
-            if server == BackendId(0) {
+        let request = self.new_request(0);
+        let mut actions = Vec::new();
+        self.limiters[ingress].handle(self.now, Event::Request(request), &mut actions);
+        let mut attempt = 0;
+        while let Some(backend) = sent_to(&std::mem::take(&mut actions)) {
+            let mut end = attempt_end(request.id, attempt, backend, outcome(backend), 50.0);
+            if backend == BackendId(0) {
                 self.watch(UNITS);
                 if self.started.is_some() && end.outcome == Outcome::Served {
                     let can = if self.warms_at_once { self.part * CAN } else { self.can() };
                     self.free_at = self.free_at.max(self.now) + 1000.0 * UNITS / can;
                     end.elapsed += (self.free_at - self.now - SIDE_BY_SIDE).max(0.0) + self.slow;
-                    self.working.push_back((self.now + end.elapsed, me, end));
+                    self.working.push_back((self.now + end.elapsed, ingress, end));
                     continue;
                 }
             }
-            no += 1;
-            self.limiters[me].handle(self.now, Event::AttemptEnded(end), &mut acts);
+            attempt += 1;
+            self.limiters[ingress].handle(self.now, Event::AttemptEnded(end), &mut actions);
         }
     }
 }
@@ -230,8 +230,8 @@
         fleet.restart_first(left);
         for step in 0..48usize {
             if restarts {
-                for me in (0..usize::from(GATEWAYS)).filter(|me| me % 24 == step % 24) {
-                    fleet.limiters[me] = fleet.start(me as u16);
+                for ingress in (0..usize::from(GATEWAYS)).filter(|ingress| ingress % 24 == step % 24) {
+                    fleet.limiters[ingress] = fleet.start(ingress as u16);
                 }
             }
             fleet.round(333.0, outcome);
@@ -301,7 +301,7 @@
     let sent = |known: bool| {
         let mut fleet = busy(1, 1.0, 1.0);
         fleet.restart_first(SERVERS);
-        let alive = |me: usize| me.is_multiple_of(13);
+        let alive = |ingress: usize| ingress.is_multiple_of(13);
         if known {
             let living: Vec<bool> = (0..usize::from(GATEWAYS)).map(alive).collect();
             fleet.limiters.iter_mut().for_each(|limiter| limiter.set_live_ingresses(Some(living.clone())));
@@ -336,7 +336,7 @@
 
 #[test]
 fn nor_by_further_attempts_that_it_turns_away() {
-    let full = |server| if server == BackendId(0) { Outcome::Rejected } else { Outcome::Error };
+    let full = |backend| if backend == BackendId(0) { Outcome::Rejected } else { Outcome::Error };
     for left in [1, 2, SERVERS] {
         let (worst, _) = worst(left, true, full);
         assert!(worst < 0.9, "{worst} of what makes it fall, of {left}");
@@ -346,19 +346,19 @@
 /// Ten servers of which nine go and one has just started, with a request out to one of the nine; what the end of
 /// that attempt comes to.
 fn end_without_a_turn(class: usize, outcome: Outcome) -> Vec<Action> {
-    let mut bench = Bench::new(set(0), 10);
+    let mut harness = Harness::new(set(0), 10);
     for customer in 0..50 {
-        bench.wait(20.0).serve(customer, 1.0, GATEWAYS);
+        harness.advance(20.0).serve(customer, 1.0, GATEWAYS);
     }
-    let (mut id, mut acts) = bench.ask(99, class, 1.0, GATEWAYS);
-    while sent(&acts) == Some(BackendId(0)) {
-        (id, acts) = bench.ask(99, class, 1.0, GATEWAYS);
+    let (mut id, mut actions) = harness.request(99, class, 1.0, GATEWAYS);
+    while sent_to(&actions) == Some(BackendId(0)) {
+        (id, actions) = harness.request(99, class, 1.0, GATEWAYS);
     }
-    let server = sent(&acts).unwrap();
-    let gone = (1..10).map(|n| BackendEntry { state: BackendState::Gone, ..entry(n) });
-    let fresh = BackendEntry { last_start: Some(bench.now), ..entry(0) };
-    bench.event(Event::BackendList(ListKind::Changes, gone.chain([fresh]).collect()));
-    bench.end(id, 0, server, outcome, 5.0)
+    let backend = sent_to(&actions).unwrap();
+    let gone = (1..10).map(|n| BackendEntry { state: BackendState::Gone, ..backend_entry(n) });
+    let fresh = BackendEntry { last_start: Some(harness.now), ..backend_entry(0) };
+    harness.handle(Event::BackendList(ListKind::Changes, gone.chain([fresh]).collect()));
+    harness.end_attempt(id, 0, backend, outcome, 5.0)
 }
 
 #[test]
@@ -367,10 +367,10 @@
     let mut fleet = busy(1, 1.0, 1.0);
     fleet.restart_first(1);
     fleet.next += 1;
-    let mut acts = Vec::new();
-    let (now, request) = (fleet.now, fleet.request(2));
-    fleet.limiters[0].handle(now, Event::Request(request), &mut acts);
-    assert!(matches!(acts[..], [Action::Reject(_, Some(wait))] if wait >= 1.0), "{acts:?}");
+    let mut actions = Vec::new();
+    let (now, request) = (fleet.now, fleet.new_request(2));
+    fleet.limiters[0].handle(now, Event::Request(request), &mut actions);
+    assert!(matches!(actions[..], [Action::Reject(_, Some(wait))] if wait >= 1.0), "{actions:?}");
     // A further one: the class, how the first ended, and whether a refusal is safe.
     for (class, outcome, refusal) in [
         (0, Outcome::Error, true),
@@ -381,19 +381,19 @@
         (2, Outcome::Error, false),
         (3, Outcome::Error, true),
     ] {
-        let acts = end_without_a_turn(class, outcome);
-        let answer = match acts[..] {
+        let actions = end_without_a_turn(class, outcome);
+        let answer = match actions[..] {
             [Action::Reject(_, Some(_))] => Some(true),
             [Action::Fail(_)] => Some(false),
             _ => None,
         };
-        assert_eq!(answer, Some(refusal), "{class} {outcome:?}: {acts:?}");
+        assert_eq!(answer, Some(refusal), "{class} {outcome:?}: {actions:?}");
     }
 }
 
 /// Four times the mean at each of the first fifth, a quarter of the mean at the others.
-fn uneven(me: usize) -> usize {
-    if me < usize::from(GATEWAYS) / 5 { 16 } else { 1 }
+fn uneven(ingress: usize) -> usize {
+    if ingress < usize::from(GATEWAYS) / 5 { 16 } else { 1 }
 }
 
 #[test]
@@ -421,7 +421,8 @@
 fn nor_by_what_was_saved_up_while_it_could_not_be_reached() {
     let mut fleet = used(0.9, 1, 1.0, 1.0);
     fleet.restart_first(SERVERS);
-    let unreachable = |server| if server == BackendId(0) { Outcome::ConnectFailed } else { Outcome::Served };
+    let unreachable =
+        |backend| if backend == BackendId(0) { Outcome::ConnectFailed } else { Outcome::Served };
     for _ in 0..18 {
         fleet.round(333.0, unreachable);
     }
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -29,26 +29,28 @@
 
 impl Fleet {
     fn new(plan: Plan) -> Self {
-        let limiter =
-            |me| Limiter::new(Settings { ingress: IngressId(me), ..set(plan) }, 3 + u64::from(me)).unwrap();
+        let limiter = |ingress| {
+            Limiter::new(Settings { ingress: IngressId(ingress), ..set(plan) }, 3 + u64::from(ingress))
+                .unwrap()
+        };
         let limiters = (0..MANY).map(limiter).collect();
         let mut fleet =
             Self { limiters, numbers: BTreeMap::new(), now: 1e6, next: 0, answers: 1e6, room: (0.0, 1e6) };
-        for me in 0..MANY {
-            fleet.event(me, Event::Start);
-            fleet.event(me, Event::BackendList(ListKind::Cached, (0..30).map(entry).collect()));
+        for ingress in 0..MANY {
+            fleet.handle(ingress, Event::Start);
+            fleet.handle(ingress, Event::BackendList(ListKind::Cached, (0..30).map(backend_entry).collect()));
         }
         fleet
     }
 
-    fn event(&mut self, me: u16, event: Event) -> Vec<Action> {
+    fn handle(&mut self, ingress: u16, event: Event) -> Vec<Action> {
         let (mut todo, mut done) = (vec![event], Vec::new());
         while let Some(event) = todo.pop() {
-            let mut acts = Vec::new();
-            self.limiters[usize::from(me)].handle(self.now, event, &mut acts);
-            for act in acts {
-                let Action::AddToCounter(name, amount, keep) = act else {
-                    done.push(act);
+            let mut actions = Vec::new();
+            self.limiters[usize::from(ingress)].handle(self.now, event, &mut actions);
+            for action in actions {
+                let Action::AddToCounter(name, amount, keep) = action else {
+                    done.push(action);
                     continue;
                 };
                 let room = self.room.0 + (self.now - self.room.1) * self.answers / 1000.0;
@@ -68,10 +70,10 @@
     }
 
     /// A try at a gateway, served at once where it is sent; tells whether it was.
-    fn serve(&mut self, me: u16, customer: u64) -> bool {
+    fn serve(&mut self, ingress: u16, customer: u64) -> bool {
         self.next += 1;
         let (id, left, units, first) = (RequestId(self.next), 2000.0, 1.0, IngressId(0));
-        let (class, plan, customer, spread) = (ClassId(0), PlanId(0), CustomerId(customer), MANY);
+        let (class, plan, customer, spread) = (ClassId(SAFE), PlanId(0), CustomerId(customer), MANY);
         let request = Request {
             id,
             class,
@@ -83,12 +85,12 @@
             first_ingress: first,
             is_retry: false,
         };
-        let acts = self.event(me, Event::Request(request));
-        let Some(server) = sent(&acts) else { return false };
+        let actions = self.handle(ingress, Event::Request(request));
+        let Some(backend) = sent_to(&actions) else { return false };
         let end = AttemptEnd {
             request: id,
             attempt: AttemptIndex(0),
-            backend: server,
+            backend,
             outcome: Outcome::Served,
             elapsed: 30.0,
             request_closed: true,
@@ -96,7 +98,7 @@
             settled_units: None,
             load: Load::default(),
         };
-        self.event(me, Event::AttemptEnded(end));
+        self.handle(ingress, Event::AttemptEnded(end));
         true
     }
 
@@ -104,9 +106,9 @@
     fn calm(&mut self, rounds: u64) -> (usize, usize) {
         let mut served = 0;
         for round in 0..rounds {
-            for me in 0..MANY {
+            for ingress in 0..MANY {
                 self.now += 2.0;
-                served += usize::from(self.serve(me, 1000 + round * 1000 + u64::from(me)));
+                served += usize::from(self.serve(ingress, 1000 + round * 1000 + u64::from(ingress)));
             }
         }
         (served, rounds as usize * usize::from(MANY))
@@ -128,9 +130,9 @@
     let mut fleet = Fleet::new(small());
     fleet.calm(160);
     let (mut sent, start) = (0, fleet.now);
-    for me in 0..MANY {
+    for ingress in 0..MANY {
         fleet.now += 20.0;
-        sent += usize::from(fleet.serve(me, 1));
+        sent += usize::from(fleet.serve(ingress, 1));
     }
     let quota = 5.0 + (fleet.now - start) / 1000.0;
     assert!((sent as f64) < 6.0 * quota, "{sent} of {MANY} for a quota of {quota}");
@@ -141,12 +143,13 @@
     for (total, inside) in [(1.0, true), (500.0, false)] {
         let mut answers = Vec::new();
         for seed in 0..40 {
-            let mut bench = Bench::new(set(small()), 30);
-            bench.wait(f64::from(seed));
-            let (_, acts) = bench.ask(u64::from(seed as u32), 0, 1.0, MANY);
-            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
+            let mut harness = Harness::new(set(small()), 30);
+            harness.advance(f64::from(seed));
+            let (_, actions) = harness.request(u64::from(seed as u32), SAFE, 1.0, MANY);
+            if let Some(Action::AddToCounter(name, ..)) = actions.first().cloned() {
                 answers.push(
-                    sent(&bench.event(Event::CounterAnswered(name, CounterAnswer::Total(total)))).is_some(),
+                    sent_to(&harness.handle(Event::CounterAnswered(name, CounterAnswer::Total(total))))
+                        .is_some(),
                 );
             }
         }
@@ -156,24 +159,25 @@
 
 /// How many of a hundred tries call, after as many whose calls took this long.
 fn calls_after(delay: Millis) -> usize {
-    let mut bench = Bench::new(set(small()), 30);
+    let mut harness = Harness::new(set(small()), 30);
     let mut customer = 0;
-    let mut round = |bench: &mut Bench, delay: Millis| {
+    let mut round = |harness: &mut Harness, delay: Millis| {
         let mut calls = 0;
         for _ in 0..200 {
             customer += 1;
-            let (id, mut acts) = bench.wait(100.0).ask(customer, 0, 1.0, MANY);
-            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
+            let (id, mut actions) = harness.advance(100.0).request(customer, SAFE, 1.0, MANY);
+            if let Some(Action::AddToCounter(name, ..)) = actions.first().cloned() {
                 calls += 1;
-                acts = bench.wait(delay).event(Event::CounterAnswered(name, CounterAnswer::Total(9.0)));
+                actions =
+                    harness.advance(delay).handle(Event::CounterAnswered(name, CounterAnswer::Total(9.0)));
             }
-            sent(&acts).map(|server| bench.end(id, 0, server, Outcome::Served, 30.0));
+            sent_to(&actions).map(|backend| harness.end_attempt(id, 0, backend, Outcome::Served, 30.0));
         }
         calls
     };
-    round(&mut bench, 2.0);
-    round(&mut bench, delay);
-    round(&mut bench, 2.0)
+    round(&mut harness, 2.0);
+    round(&mut harness, delay);
+    round(&mut harness, 2.0)
 }
 
 #[test]
@@ -184,18 +188,19 @@
 
 #[test]
 fn who_is_refused_for_want_of_news_may_come_again_at_once_and_who_is_beyond_quota_later() {
-    let mut bench = Bench::new(Settings { counter_timeout: 0.0, ..set(small()) }, 30);
-    let advice =
-        |acts: &[Action]| acts.iter().find_map(|a| if let Action::Reject(_, w) = a { *w } else { None });
+    let mut harness = Harness::new(Settings { counter_timeout: 0.0, ..set(small()) }, 30);
+    let advice = |actions: &[Action]| {
+        actions.iter().find_map(|a| if let Action::Reject(_, w) = a { *w } else { None })
+    };
     let (mut soon, mut late) = (0, 0);
     for customer in 0..200 {
-        let (_, mut acts) = bench.wait(10.0).ask(customer, 0, 1.0, MANY);
-        let told = acts.first().cloned();
+        let (_, mut actions) = harness.advance(10.0).request(customer, SAFE, 1.0, MANY);
+        let told = actions.first().cloned();
         if let Some(Action::AddToCounter(name, ..)) = told {
-            acts = bench.event(Event::CounterAnswered(name, CounterAnswer::Total(500.0)));
-            late += usize::from(advice(&acts).is_some_and(|w| w > AIM));
+            actions = harness.handle(Event::CounterAnswered(name, CounterAnswer::Total(500.0)));
+            late += usize::from(advice(&actions).is_some_and(|w| w > AIM));
         } else {
-            soon += usize::from(advice(&acts).is_some_and(|w| w <= AIM / 4.0));
+            soon += usize::from(advice(&actions).is_some_and(|w| w <= AIM / 4.0));
         }
     }
     assert!(soon > 20 && late > 5, "{soon} soon, {late} late");
@@ -205,17 +210,17 @@
 fn a_capped_customer_of_many_gateways_is_let_in_unless_its_attempts_stay_out_long() {
     let plan = Plan { rate: 10.0, burst: 200.0, max_in_flight: 4.0, excess_cost: 0.8, ..Plan::default() };
     let admitted = |spent: Millis| {
-        let mut bench = Bench::new(set(plan), 30);
+        let mut harness = Harness::new(set(plan), 30);
         let mut admitted = 0;
         for round in 0..100 {
-            let (id, mut acts) = bench.wait(200.0).ask(round % 10, 2, 1.0, 20);
-            if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
-                acts = bench.event(Event::CounterAnswered(name, CounterAnswer::Total(1.0)));
+            let (id, mut actions) = harness.advance(200.0).request(round % 10, UNSAFE, 1.0, 20);
+            if let Some(Action::AddToCounter(name, ..)) = actions.first().cloned() {
+                actions = harness.handle(Event::CounterAnswered(name, CounterAnswer::Total(1.0)));
             }
-            let Some(server) = sent(&acts) else { continue };
+            let Some(backend) = sent_to(&actions) else { continue };
             admitted += 1;
             let outcome = if spent > AIM { Outcome::Cancelled } else { Outcome::Served };
-            bench.wait(spent).end(id, 0, server, outcome, spent);
+            harness.advance(spent).end_attempt(id, 0, backend, outcome, spent);
         }
         admitted
     };
@@ -226,29 +231,29 @@
 #[test]
 fn the_floors_of_many_gateways_do_not_hold_pressed_servers_down() {
     let plan = Plan { rate: 0.1, burst: 1e6, ..Plan::default() };
-    let mut bench = Bench::new(Settings { ingress_count: 120, ..settings(plan) }, 60);
+    let mut harness = Harness::new(Settings { ingress_count: 120, ..settings(plan) }, 60);
     for _ in 0..100 {
-        let (id, acts) = bench.wait(1000.0).ask(1, 2, 1.0, 1);
-        sent(&acts).map(|server| bench.end(id, 0, server, Outcome::Served, 2.0 * AIM));
+        let (id, actions) = harness.advance(1000.0).request(1, UNSAFE, 1.0, 1);
+        sent_to(&actions).map(|backend| harness.end_attempt(id, 0, backend, Outcome::Served, 2.0 * AIM));
     }
-    let out = (0..40).filter(|_| sent(&bench.ask(1, 2, 1.0, 1).1).is_some()).count();
+    let out = (0..40).filter(|_| sent_to(&harness.request(1, UNSAFE, 1.0, 1).1).is_some()).count();
     assert!((1..=3).contains(&out), "{out} out from each of 120 gateways to 60 pressed servers");
 }
 
 #[test]
 fn a_class_that_one_zone_turns_away_goes_to_the_other_and_other_classes_go_to_both() {
-    let mut bench = Bench::new(settings(Plan { rate: 1e4, burst: 1e6, ..Plan::default() }), 60);
+    let mut harness = Harness::new(settings(Plan { rate: 1e4, burst: 1e6, ..Plan::default() }), 60);
     let mut hits = [[0; 2]; 2];
     for step in 0..800 {
         let class = 2 * (step % 2);
-        let (id, acts) = bench.wait(40.0).ask(1, class, 1.0, 1);
-        let (mut no, mut server) = (0, sent(&acts));
-        while let Some(to) = server {
+        let (id, actions) = harness.advance(40.0).request(1, class, 1.0, 1);
+        let (mut attempt, mut backend) = (0, sent_to(&actions));
+        while let Some(to) = backend {
             let bad = class == 2 && to.0 % 2 == 0;
             hits[class / 2][(to.0 % 2) as usize] += usize::from(step > 200);
             let outcome = if bad { Outcome::Rejected } else { Outcome::Served };
-            server = sent(&bench.end(id, no, to, outcome, 100.0));
-            no += 1;
+            backend = sent_to(&harness.end_attempt(id, attempt, to, outcome, 100.0));
+            attempt += 1;
         }
     }
     let [both, [bad, good]] = hits;
@@ -262,14 +267,14 @@
     for seed in 0..300 {
         let set = settings(Plan { rate: 1e4, burst: 1e6, ..Plan::default() });
         let mut limiter = Limiter::new(set, seed).unwrap();
-        let server = |n| BackendEntry { weight: 1.0 + (n % 2) as f64, ..entry(n) };
+        let backend = |n| BackendEntry { weight: 1.0 + (n % 2) as f64, ..backend_entry(n) };
         limiter.handle(0.0, Event::Start, &mut Vec::new());
         limiter.handle(
             0.0,
-            Event::BackendList(ListKind::Cached, (0..40).map(server).collect()),
+            Event::BackendList(ListKind::Cached, (0..40).map(backend).collect()),
             &mut Vec::new(),
         );
-        let (id, class, plan, customer) = (RequestId(1), ClassId(0), PlanId(0), CustomerId(1));
+        let (id, class, plan, customer) = (RequestId(1), ClassId(SAFE), PlanId(0), CustomerId(1));
         let (left, units, spread, first) = (2000.0, 1.0, 1, IngressId(0));
         let request = Request {
             id,
@@ -282,9 +287,9 @@
             first_ingress: first,
             is_retry: false,
         };
-        let mut acts = Vec::new();
-        limiter.handle(1.0, Event::Request(request), &mut acts);
-        hits[(sent(&acts).unwrap().0 % 2) as usize] += 1.0;
+        let mut actions = Vec::new();
+        limiter.handle(1.0, Event::Request(request), &mut actions);
+        hits[(sent_to(&actions).unwrap().0 % 2) as usize] += 1.0;
     }
     let share = hits[1] / (hits[0] + hits[1]);
     assert!((0.55..0.78).contains(&share), "{share} to the half that weighs two thirds");
--- a/tests/quota_pool.rs
+++ b/tests/quota_pool.rs
@@ -47,16 +47,17 @@
 
 impl Fleet {
     fn new(plan: Plan, gateways: u16, counter: bool, seed: u64) -> Self {
-        let limiter = |me| {
-            let set = Settings { ingress: IngressId(me), ingress_count: gateways, counter, ..settings(plan) };
-            Limiter::new(set, 1000 * seed + u64::from(me)).unwrap()
+        let limiter = |ingress| {
+            let set =
+                Settings { ingress: IngressId(ingress), ingress_count: gateways, counter, ..settings(plan) };
+            Limiter::new(set, 1000 * seed + u64::from(ingress)).unwrap()
         };
         let limiters = (0..gateways).map(limiter).collect();
         let (numbers, random) = (BTreeMap::new(), Random(seed));
         let mut fleet = Self { limiters, numbers, now: 1e6, next: 0, random, troubles: NONE };
-        for me in 0..gateways {
-            fleet.event(me, Event::Start);
-            fleet.event(me, Event::BackendList(ListKind::Cached, (0..30).map(entry).collect()));
+        for ingress in 0..gateways {
+            fleet.handle(ingress, Event::Start);
+            fleet.handle(ingress, Event::BackendList(ListKind::Cached, (0..30).map(backend_entry).collect()));
         }
         fleet
     }
@@ -66,18 +67,18 @@
     }
 
     /// What comes of an event, once the calls to the counter that it leads to are answered.
-    fn event(&mut self, me: u16, event: Event) -> Vec<Action> {
+    fn handle(&mut self, ingress: u16, event: Event) -> Vec<Action> {
         let (mut todo, mut done) = (vec![event], Vec::new());
         while let Some(event) = todo.pop() {
-            let mut acts = Vec::new();
-            self.limiters[usize::from(me)].handle(self.now, event, &mut acts);
-            for act in acts {
-                match act {
+            let mut actions = Vec::new();
+            self.limiters[usize::from(ingress)].handle(self.now, event, &mut actions);
+            for action in actions {
+                match action {
                     Action::AddToCounter(name, amount, _) => {
                         let answer = self.count(name, amount);
                         todo.push(Event::CounterAnswered(name, answer));
                     }
-                    act => done.push(act),
+                    action => done.push(action),
                 }
             }
         }
@@ -98,24 +99,24 @@
     }
 
     /// Lets time pass, with the regular timers of all.
-    fn wait(&mut self, span: Millis) {
+    fn advance(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
             self.now = (self.now + 200.0).min(end);
             if self.random.unit() < self.troubles.replaced {
                 self.numbers.clear();
             }
-            for me in 0..self.gateways() {
-                self.event(me, Event::Timer(TimerKey(1)));
+            for ingress in 0..self.gateways() {
+                self.handle(ingress, Event::Timer(TICK_TIMER));
             }
         }
     }
 
     /// A try of these units, served at once where it is sent on; tells whether it was.
-    fn serve(&mut self, me: u16, units: f64) -> bool {
+    fn serve(&mut self, ingress: u16, units: f64) -> bool {
         self.next += 1;
         let (id, left, spread, first) = (RequestId(self.next), 2000.0, self.gateways(), IngressId(0));
-        let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(1));
+        let (class, plan, customer) = (ClassId(SAFE), PlanId(0), CustomerId(1));
         let request = Request {
             id,
             class,
@@ -127,9 +128,9 @@
             first_ingress: first,
             is_retry: false,
         };
-        let acts = self.event(me, Event::Request(request));
-        let Some(server) = sent(&acts) else { return false };
-        self.event(me, Event::AttemptEnded(ended(id, 0, server, Outcome::Served, 20.0)));
+        let actions = self.handle(ingress, Event::Request(request));
+        let Some(backend) = sent_to(&actions) else { return false };
+        self.handle(ingress, Event::AttemptEnded(attempt_end(id, 0, backend, Outcome::Served, 20.0)));
         true
     }
 }
@@ -145,15 +146,15 @@
     fleet.troubles = troubles;
     let mut units_in = [0.0; 4];
     for step in 0..2000 {
-        fleet.wait(10.0);
+        fleet.advance(10.0);
         // The busy ones change places half way.
         let draw = fleet.random.unit();
         let busy = if draw < 0.45 { 0 } else { usize::from(draw < 0.9) };
         let rare = 2 + usize::from(draw > 0.95);
-        let me = if draw < 0.9 { (busy + if step < 1000 { 0 } else { 2 }) % 4 } else { rare };
+        let ingress = if draw < 0.9 { (busy + if step < 1000 { 0 } else { 2 }) % 4 } else { rare };
         let units = 1.0 + (3.0 * fleet.random.unit()).floor();
-        if fleet.serve(me as u16, units) {
-            units_in[me] += units;
+        if fleet.serve(ingress as u16, units) {
+            units_in[ingress] += units;
         }
     }
     units_in
@@ -190,14 +191,14 @@
 
 #[test]
 fn a_slice_is_its_gateways_own_whatever_the_counter_tells() {
-    let mut bench = Bench::new(Settings { counter: true, ..settings(quota()) }, 30);
+    let mut harness = Harness::new(Settings { counter: true, ..settings(quota()) }, 30);
     let mut units = 0.0;
     for _ in 0..40 {
-        let (_, mut acts) = bench.ask(1, 0, 1.0, 3);
-        if let Some(Action::AddToCounter(name, ..)) = acts.first().cloned() {
-            acts = bench.event(Event::CounterAnswered(name, CounterAnswer::Total(500.0)));
+        let (_, mut actions) = harness.request(1, SAFE, 1.0, 3);
+        if let Some(Action::AddToCounter(name, ..)) = actions.first().cloned() {
+            actions = harness.handle(Event::CounterAnswered(name, CounterAnswer::Total(500.0)));
         }
-        units += f64::from(u8::from(sent(&acts).is_some()));
+        units += f64::from(u8::from(sent_to(&actions).is_some()));
     }
     assert_eq!(units, 16.0, "an even slice of 48 units, and none of those that others have borrowed");
 }
@@ -205,8 +206,8 @@
 #[test]
 fn what_was_borrowed_and_is_not_used_goes_back() {
     let mut fleet = Fleet::new(quota(), 4, true, 1);
-    (0..4).for_each(|me| assert!(fleet.serve(me, 1.0)));
-    fleet.wait(10_000.0);
+    (0..4).for_each(|ingress| assert!(fleet.serve(ingress, 1.0)));
+    fleet.advance(10_000.0);
     let lent = -fleet.numbers[&CounterName(1)];
     // A quarter of the burst, and at each of four gateways the least that a call lends: half a largest request.
     assert!((6.0..=20.0).contains(&lent), "{lent} to be borrowed");
@@ -215,7 +216,7 @@
         fleet.serve(0, 2.0);
     }
     assert!(fleet.numbers[&CounterName(1)] > -lent);
-    fleet.wait(10_000.0);
+    fleet.advance(10_000.0);
     let again = -fleet.numbers[&CounterName(1)];
     assert!((6.0..=20.0).contains(&again), "{again}");
 }
@@ -223,10 +224,11 @@
 /// The time to the tick that a limiter asks for at its start.
 fn first_tick(counter: bool, seed: u64) -> Millis {
     let mut limiter = Limiter::new(Settings { counter, ..settings(quota()) }, seed).unwrap();
-    let mut acts = Vec::new();
-    limiter.handle(1e6, Event::Start, &mut acts);
-    let tick = |act: &Action| if let Action::SetTimer(wait, TimerKey(1)) = act { Some(*wait) } else { None };
-    acts.iter().find_map(tick).unwrap()
+    let mut actions = Vec::new();
+    limiter.handle(1e6, Event::Start, &mut actions);
+    let tick =
+        |action: &Action| if let Action::SetTimer(wait, TICK_TIMER) = action { Some(*wait) } else { None };
+    actions.iter().find_map(tick).unwrap()
 }
 
 #[test]
