--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Guards against an attempt that waits for a connection, or its turn, and is sent after the time in which its
-/// class may be repeated.
+/// Guards against an attempt that waits for a connection, or its turn, and is sent after the time in which
+/// its class may be repeated.
 #[test]
 fn retry_of_keyed_request_must_be_sent_within_the_rest_of_its_window() {
     let send_within = |actions: &[Action]| {
@@ -266,8 +266,9 @@
     assert_eq!(run(&mut harness, &|_| true), 200, "all fail, so all are still tried");
 }
 
-/// Guards against a backend that drains before the list says so: its rejections come at once, so it looks idle
-/// and would attract the traffic, and they would be taken for a sign that all backends are at capacity.
+/// Guards against a backend that drains before the list says so: its rejections come at once, so it looks
+/// idle and would attract the traffic, and they would be taken for a sign that all backends are at
+/// capacity.
 #[test]
 fn backend_that_rejects_everything_is_skipped_and_does_not_cut_the_capacity() {
     let mut harness = Harness::new(settings(Plan { rate: 0.1, burst: 1e6, ..Plan::default() }), 3);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Many gateways and a server that has just started: all together must not push it over.
+//! A backend that has just started, before many ingresses: all together must not overload it.
 
 mod common;
 
@@ -7,16 +7,22 @@
 use weldhub::interface::*;
 use weldhub::{Action, Event, Limiter, Settings};
 
-const GATEWAYS: u16 = 130;
-const SERVERS: u64 = 20;
-/// Units a second that a warm server can do, and the part that is asked of it.
-const CAN: f64 = 40.0;
-const UNITS: f64 = 2.0;
+/// The number of ingresses.
+const INGRESSES: u16 = 130;
+/// The number of backends before the restart.
+const BACKENDS: u64 = 20;
+/// Units a second that a warm backend can serve.
+const CAPACITY: f64 = 40.0;
+/// Units of each request.
+const REQUEST_UNITS: f64 = 2.0;
+/// The number of seeds with which a scenario is run.
 const SEEDS: u64 = 3;
-/// It works on several side by side: so much work in hand, in milliseconds of all it can do, holds up nobody.
-const SIDE_BY_SIDE: Millis = 300.0;
+/// Work in hand, as time at full capacity, up to which the watched backend answers without delay: it serves
+/// several requests concurrently.
+const CONCURRENT_WORK: Millis = 300.0;
 
-fn set(ingress: u16) -> Settings {
+/// Returns the settings of an ingress; the quota is never exhausted.
+fn fleet_settings(ingress: u16) -> Settings {
     let plan = Plan { rate: 1e6, burst: 1e6, ..Plan::default() };
     let cold = ColdStart {
         initial_capacity: 0.21,
@@ -24,146 +30,163 @@
         overload_multiple: 2.5,
         overload_window: 1000.0,
     };
-    Settings { ingress: IngressId(ingress), ingress_count: GATEWAYS, cold, ..settings(plan) }
+    Settings { ingress: IngressId(ingress), ingress_count: INGRESSES, cold, ..settings(plan) }
 }
 
-/// Gateways before servers of which number 0 is watched.
+/// Ingresses and their backends, of which number 0 is watched.
 struct Fleet {
+    /// The limiters of the ingresses.
     limiters: Vec<Limiter>,
+    /// The backend list.
     list: Vec<BackendEntry>,
+    /// The simulated time.
     now: Millis,
-    next: u64,
+    /// The id of the last request.
+    last_request: u64,
+    /// The seed of the limiter that was started last.
     seed: u64,
-    /// What the watched one can do, beside the others.
-    part: f64,
-    /// When it started, and what it was sent in the last fall window.
-    started: Option<Millis>,
-    recent: VecDeque<(Millis, f64)>,
-    sent: f64,
-    /// The most that a window held, as a part of what makes the server fall.
-    worst: f64,
-    /// When it will be free, and what it is at work on.
+    /// Capacity of the watched backend relative to the others.
+    capacity_factor: f64,
+    /// When the watched backend restarted; `None` before that.
+    started_at: Option<Millis>,
+    /// Times and units of what it was sent in the last overload window.
+    recent_units: VecDeque<(Millis, f64)>,
+    /// Units that it was sent since the restart.
+    units_sent: f64,
+    /// The most units that a window held, as a fraction of the overload threshold.
+    max_overload: f64,
+    /// When the watched backend will have finished all its work.
     free_at: Millis,
-    /// The gateways that are asked, where not all are.
-    alive: Option<fn(usize) -> bool>,
-    /// How many requests come to a gateway in a round, where it is not one.
-    requests: Option<fn(usize) -> usize>,
-    /// What each answer of it takes beside.
-    slow: Millis,
-    /// It can do its full work from the start, which the settings do not tell.
-    warms_at_once: bool,
-    working: VecDeque<(Millis, usize, AttemptEnd)>,
+    /// Selects the live ingresses; `None` if all are live.
+    is_live: Option<fn(usize) -> bool>,
+    /// Returns the requests of an ingress in a round; `None` for one each.
+    requests_per_round: Option<fn(usize) -> usize>,
+    /// Latency of each answer of the watched backend in addition to its work.
+    extra_latency: Millis,
+    /// The watched backend has its full capacity from the start, contrary to the settings.
+    starts_warm: bool,
+    /// What the watched backend works on: when each attempt ends, its ingress, and its end.
+    in_progress: VecDeque<(Millis, usize, AttemptEnd)>,
 }
 
 impl Fleet {
-    fn new(seed: u64, part: f64, weight: f64) -> Self {
-        let mut list: Vec<_> = (0..SERVERS).map(backend_entry).collect();
+    /// Starts all ingresses. The watched backend has this capacity relative to the others, and this listed
+    /// weight.
+    fn new(seed: u64, capacity_factor: f64, weight: f64) -> Self {
+        let mut list: Vec<_> = (0..BACKENDS).map(backend_entry).collect();
         list[0].weight = weight;
-        let (started, recent) = (None, VecDeque::new());
+        let (started_at, recent_units) = (None, VecDeque::new());
         let limiters = Vec::new();
-        let (now, next, sent, worst) = (1_000_000.0, 0, 0.0, 0.0);
-        let (free_at, slow, working, alive, requests) = (now, 0.0, VecDeque::new(), None, None);
-        let warms_at_once = false;
+        let (now, last_request, units_sent, max_overload) = (1_000_000.0, 0, 0.0, 0.0);
+        let (free_at, extra_latency, in_progress, is_live, requests_per_round) =
+            (now, 0.0, VecDeque::new(), None, None);
+        let starts_warm = false;
         let mut fleet = Self {
             limiters,
             list,
             now,
-            next,
+            last_request,
             seed,
-            part,
-            started,
-            recent,
-            sent,
-            worst,
+            capacity_factor,
+            started_at,
+            recent_units,
+            units_sent,
+            max_overload,
             free_at,
-            slow,
-            warms_at_once,
-            working,
-            alive,
-            requests,
+            extra_latency,
+            starts_warm,
+            in_progress,
+            is_live,
+            requests_per_round,
         };
-        for ingress in 0..GATEWAYS {
-            let limiter = fleet.start(ingress);
+        for ingress in 0..INGRESSES {
+            let limiter = fleet.start_limiter(ingress);
             fleet.limiters.push(limiter);
         }
         fleet
     }
 
-    /// A gateway that has just started, with the list as it is now.
-    fn start(&mut self, ingress: u16) -> Limiter {
+    /// Returns the limiter of an ingress that has just started, with the current list.
+    fn start_limiter(&mut self, ingress: u16) -> Limiter {
         self.seed += 1;
-        let mut limiter = Limiter::new(set(ingress), self.seed).unwrap();
+        let mut limiter = Limiter::new(fleet_settings(ingress), self.seed).unwrap();
         let mut actions = Vec::new();
         limiter.handle(self.now, Event::Start, &mut actions);
-        let listed = Event::BackendList(ListKind::Cached, self.list.clone());
-        limiter.handle(self.now, listed, &mut actions);
+        let list_event = Event::BackendList(ListKind::Cached, self.list.clone());
+        limiter.handle(self.now, list_event, &mut actions);
         limiter
     }
 
-    /// All are told that the first of the list is as new, and that all but `left` are gone.
-    fn restart_first(&mut self, left: u64) {
-        self.started = Some(self.now);
+    /// Notifies all ingresses that the watched backend has restarted and all but the first `remaining` are
+    /// gone.
+    fn restart_watched(&mut self, remaining: u64) {
+        self.started_at = Some(self.now);
         self.list[0].last_start = Some(self.now);
-        for entry in self.list.iter_mut().skip(left as usize) {
+        for entry in self.list.iter_mut().skip(remaining as usize) {
             entry.state = BackendState::Gone;
         }
         let list = self.list.clone();
         self.list.retain(|e| e.state == BackendState::Ready);
-        for ingress in 0..usize::from(GATEWAYS) {
-            let listed = Event::BackendList(ListKind::Changes, list.clone());
-            self.limiters[ingress].handle(self.now, listed, &mut Vec::new());
+        for ingress in 0..usize::from(INGRESSES) {
+            let list_event = Event::BackendList(ListKind::Changes, list.clone());
+            self.limiters[ingress].handle(self.now, list_event, &mut Vec::new());
         }
     }
 
-    /// Units a second that the watched one can do now.
-    fn can(&self) -> f64 {
-        self.part * CAN * self.started.map_or(1.0, |at| set(0).cold.warmth(self.now - at))
+    /// Returns the units a second that the watched backend can serve now.
+    fn current_capacity(&self) -> f64 {
+        self.capacity_factor
+            * CAPACITY
+            * self.started_at.map_or(1.0, |at| fleet_settings(0).cold.warmth(self.now - at))
     }
 
-    /// What the watched one has done by now is answered.
-    fn finish(&mut self) {
-        while let Some((_, ingress, end)) = self.working.pop_front_if(|(at, ..)| *at <= self.now) {
+    /// Delivers the ends of the attempts that the watched backend has finished by now.
+    fn deliver_ends(&mut self) {
+        while let Some((_, ingress, end)) = self.in_progress.pop_front_if(|(at, ..)| *at <= self.now) {
             self.limiters[ingress].handle(self.now, Event::AttemptEnded(end), &mut Vec::new());
         }
     }
 
-    fn watch(&mut self, units: f64) {
-        if self.started.is_none() {
+    /// Records units sent to the watched backend, and how close the window is to the overload threshold.
+    fn record_sent(&mut self, units: f64) {
+        if self.started_at.is_none() {
             return;
         }
-        let cold = set(0).cold;
-        self.sent += units;
-        self.recent.push_back((self.now, units));
-        while self.recent.front().is_some_and(|(at, _)| self.now - at > cold.overload_window) {
-            self.recent.pop_front();
+        let cold = fleet_settings(0).cold;
+        self.units_sent += units;
+        self.recent_units.push_back((self.now, units));
+        while self.recent_units.front().is_some_and(|(at, _)| self.now - at > cold.overload_window) {
+            self.recent_units.pop_front();
         }
-        let sum: f64 = self.recent.iter().map(|(_, units)| units).sum();
-        // The work of the whole window must fit what it could do when the window ended.
-        let most = cold.overload_multiple * self.can() * cold.overload_window / 1000.0;
-        self.worst = self.worst.max(sum / most);
+        let sum: f64 = self.recent_units.iter().map(|(_, units)| units).sum();
+        // The threshold is that of the capacity at the end of the window.
+        let threshold = cold.overload_multiple * self.current_capacity() * cold.overload_window / 1000.0;
+        self.max_overload = self.max_overload.max(sum / threshold);
     }
 
+    /// Returns a request of the class with the id `last_request`.
     fn new_request(&self, class: usize) -> Request {
         Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             class: ClassId(class),
             plan: PlanId(0),
-            customer: CustomerId(self.next % 500),
+            customer: CustomerId(self.last_request % 500),
             time_left: 2000.0,
-            units: UNITS,
-            spread: GATEWAYS,
+            units: REQUEST_UNITS,
+            spread: INGRESSES,
             first_ingress: IngressId(0),
             is_retry: false,
         }
     }
 
-    /// One request at each gateway; an attempt ends as `outcome` says, and so do those that follow it.
+    /// Submits the requests of a round at each live ingress, spread over `span`. Attempts and their retries
+    /// end with the `outcome` of their backend.
     fn round(&mut self, span: Millis, outcome: impl Fn(BackendId) -> Outcome) {
-        let alive = self.alive.unwrap_or(|_| true);
-        let requests = self.requests.unwrap_or(|_| 1);
-        for ingress in (0..usize::from(GATEWAYS)).filter(|ingress| alive(*ingress)) {
-            self.now += span / f64::from(GATEWAYS);
-            self.finish();
+        let is_live = self.is_live.unwrap_or(|_| true);
+        let requests = self.requests_per_round.unwrap_or(|_| 1);
+        for ingress in (0..usize::from(INGRESSES)).filter(|ingress| is_live(*ingress)) {
+            self.now += span / f64::from(INGRESSES);
+            self.deliver_ends();
             self.limiters[ingress].handle(self.now, Event::Timer(TICK_TIMER), &mut Vec::new());
             for _ in 0..requests(ingress) {
                 self.request(ingress, &outcome);
@@ -171,22 +194,26 @@
         }
     }
 
-    /// One request at a gateway; an attempt ends as `outcome` says, and so do those that follow it.
+    /// Submits a request at an ingress. Attempts and their retries end with the `outcome` of their backend.
     fn request(&mut self, ingress: usize, outcome: &impl Fn(BackendId) -> Outcome) {
-        self.next += 1;
-        let request = self.new_request(0);
+        self.last_request += 1;
+        let request = self.new_request(SAFE);
         let mut actions = Vec::new();
         self.limiters[ingress].handle(self.now, Event::Request(request), &mut actions);
         let mut attempt = 0;
         while let Some(backend) = sent_to(&std::mem::take(&mut actions)) {
             let mut end = attempt_end(request.id, attempt, backend, outcome(backend), 50.0);
             if backend == BackendId(0) {
-                self.watch(UNITS);
-                if self.started.is_some() && end.outcome == Outcome::Served {
-                    let can = if self.warms_at_once { self.part * CAN } else { self.can() };
-                    self.free_at = self.free_at.max(self.now) + 1000.0 * UNITS / can;
-                    end.elapsed += (self.free_at - self.now - SIDE_BY_SIDE).max(0.0) + self.slow;
-                    self.working.push_back((self.now + end.elapsed, ingress, end));
+                self.record_sent(REQUEST_UNITS);
+                if self.started_at.is_some() && end.outcome == Outcome::Served {
+                    let capacity = if self.starts_warm {
+                        self.capacity_factor * CAPACITY
+                    } else {
+                        self.current_capacity()
+                    };
+                    self.free_at = self.free_at.max(self.now) + 1000.0 * REQUEST_UNITS / capacity;
+                    end.elapsed += (self.free_at - self.now - CONCURRENT_WORK).max(0.0) + self.extra_latency;
+                    self.in_progress.push_back((self.now + end.elapsed, ingress, end));
                     continue;
                 }
             }
@@ -196,163 +223,181 @@
     }
 }
 
-/// Half a minute at three fifths of what the servers can do, in which the servers take what they are sent.
-fn busy(seed: u64, part: f64, weight: f64) -> Fleet {
-    used(0.6, seed, part, weight)
+/// Returns a fleet after 30 s at 0.6 of the capacity of the backends, which served everything.
+fn warmed_up(seed: u64, capacity_factor: f64, weight: f64) -> Fleet {
+    warmed_up_at(0.6, seed, capacity_factor, weight)
 }
 
-/// The same at another part of what they can do.
-fn used(load: f64, seed: u64, part: f64, weight: f64) -> Fleet {
-    let mut fleet = Fleet::new(1000 * seed, part, weight);
-    let round = 1000.0 * UNITS * f64::from(GATEWAYS) / (load * CAN * SERVERS as f64);
+/// Returns the same at another fraction of their capacity.
+fn warmed_up_at(load: f64, seed: u64, capacity_factor: f64, weight: f64) -> Fleet {
+    let mut fleet = Fleet::new(1000 * seed, capacity_factor, weight);
+    let round = 1000.0 * REQUEST_UNITS * f64::from(INGRESSES) / (load * CAPACITY * BACKENDS as f64);
     while fleet.now < 1_030_000.0 {
         fleet.round(round, |_| Outcome::Served);
     }
     fleet
 }
 
-/// Then the first server starts anew, all but `left` are gone, and for 16 s each gateway is asked thrice a second.
-fn worst(left: u64, restarts: bool, outcome: impl Fn(BackendId) -> Outcome + Copy) -> (f64, f64) {
-    sized(1.0, 1.0, left, restarts, outcome)
+/// Restarts the watched backend of such a fleet, with `remaining` backends in all, and submits three
+/// requests a second at each ingress for 16 s. The ingresses restart in turn if `ingresses_restart`.
+/// Returns the largest fraction of the overload threshold, and the mean of the units sent.
+fn overload_after_restart(
+    remaining: u64,
+    ingresses_restart: bool,
+    outcome: impl Fn(BackendId) -> Outcome + Copy,
+) -> (f64, f64) {
+    overload_after_sized_restart(1.0, 1.0, remaining, ingresses_restart, outcome)
 }
 
-/// The same with a server that can do `part` of what the others can, and is listed with this weight.
-fn sized(
-    part: f64,
+/// Does the same with a watched backend of this capacity relative to the others, and this listed weight.
+fn overload_after_sized_restart(
+    capacity_factor: f64,
     weight: f64,
-    left: u64,
-    restarts: bool,
+    remaining: u64,
+    ingresses_restart: bool,
     outcome: impl Fn(BackendId) -> Outcome + Copy,
 ) -> (f64, f64) {
-    let (mut worst, mut sent) = (0.0f64, 0.0);
+    let (mut max_overload, mut units_sent) = (0.0f64, 0.0);
     for seed in 1..=SEEDS {
-        let mut fleet = busy(seed, part, weight);
-        fleet.restart_first(left);
+        let mut fleet = warmed_up(seed, capacity_factor, weight);
+        fleet.restart_watched(remaining);
         for step in 0..48usize {
-            if restarts {
-                for ingress in (0..usize::from(GATEWAYS)).filter(|ingress| ingress % 24 == step % 24) {
-                    fleet.limiters[ingress] = fleet.start(ingress as u16);
+            if ingresses_restart {
+                for ingress in (0..usize::from(INGRESSES)).filter(|ingress| ingress % 24 == step % 24) {
+                    fleet.limiters[ingress] = fleet.start_limiter(ingress as u16);
                 }
             }
             fleet.round(333.0, outcome);
         }
-        (worst, sent) = (worst.max(fleet.worst), sent + fleet.sent / SEEDS as f64);
+        (max_overload, units_sent) =
+            (max_overload.max(fleet.max_overload), units_sent + fleet.units_sent / SEEDS as f64);
     }
-    (worst, sent)
+    (max_overload, units_sent)
 }
 
-/// What the watched server could have done of its start, in units.
-fn could() -> f64 {
-    16.0 * CAN * (0.21 + 1.0) / 2.0
+/// Returns the units that the watched backend could serve in the 16 s after its start.
+fn possible_units() -> f64 {
+    16.0 * CAPACITY * (0.21 + 1.0) / 2.0
 }
 
 #[test]
-fn one_that_starts_beside_many_is_not_pushed_over() {
-    let (worst, sent) = worst(SERVERS, false, |_| Outcome::Served);
-    assert!(worst < 0.9, "{worst} of what makes it fall");
-    // Nor left idle beside others that carry its part: where most have just started, theirs would be too much.
-    assert!(sent > could() * 0.6, "{sent} of {}", could());
+fn backend_that_starts_beside_many_is_not_overloaded() {
+    let (max_overload, units_sent) = overload_after_restart(BACKENDS, false, |_| Outcome::Served);
+    assert!(max_overload < 0.9, "{max_overload} of the overload threshold");
+    // Nor is it left idle while the others serve its part: if most had just started, the rest would get too
+    // much.
+    assert!(units_sent > possible_units() * 0.6, "{units_sent} of {}", possible_units());
 }
 
 #[test]
-fn the_only_one_left_is_not_pushed_over() {
-    let (worst, sent) = worst(1, false, |_| Outcome::Served);
-    assert!(worst < 0.9, "{worst} of what makes it fall");
-    assert!(sent > could() * 0.3, "{sent} of {}", could());
+fn only_remaining_backend_is_not_overloaded() {
+    let (max_overload, units_sent) = overload_after_restart(1, false, |_| Outcome::Served);
+    assert!(max_overload < 0.9, "{max_overload} of the overload threshold");
+    assert!(units_sent > possible_units() * 0.3, "{units_sent} of {}", possible_units());
 }
 
-/// Its answers may not add more than the fleet's budget allows, which is reckoned from what the others took: at a tenth of
-/// what they can do, as this test once had it, 0.18 would be nearly all of that budget.
+/// The answers of the backend may not add more than the fleet's budget allows, which follows from what the
+/// others served. The load is 0.18 of their capacity, since at a tenth the bound of 0.18 would be nearly
+/// all of that budget.
 #[test]
-fn the_only_one_left_is_filled_where_the_others_took_little() {
-    let mut fleet = used(0.18, 1, 1.0, 1.0);
-    fleet.restart_first(1);
+fn only_remaining_backend_is_used_though_the_others_served_little() {
+    let mut fleet = warmed_up_at(0.18, 1, 1.0, 1.0);
+    fleet.restart_watched(1);
     for _ in 0..48 {
         fleet.round(333.0, |_| Outcome::Served);
     }
-    assert!(fleet.worst < 0.9, "{} of what makes it fall", fleet.worst);
-    assert!(fleet.sent > could() * 0.18, "{} of {}", fleet.sent, could());
-    // One that is late with all gets what the others' word allows, and no more.
-    let mut late = used(0.18, 1, 1.0, 1.0);
-    late.restart_first(1);
-    late.slow = 2000.0;
+    assert!(fleet.max_overload < 0.9, "{} of the overload threshold", fleet.max_overload);
+    assert!(fleet.units_sent > possible_units() * 0.18, "{} of {}", fleet.units_sent, possible_units());
+    // A slow one gets what follows from the others, and no more.
+    let mut slow = warmed_up_at(0.18, 1, 1.0, 1.0);
+    slow.restart_watched(1);
+    slow.extra_latency = 2000.0;
     for _ in 0..48 {
-        late.round(333.0, |_| Outcome::Served);
+        slow.round(333.0, |_| Outcome::Served);
     }
-    assert!(late.sent <= fleet.sent, "{} and {}", late.sent, fleet.sent);
+    assert!(slow.units_sent <= fleet.units_sent, "{} and {}", slow.units_sent, fleet.units_sent);
 }
 
 #[test]
-fn one_that_is_warmer_than_the_settings_tell_gets_no_more_than_these_allow() {
-    for left in [1, SERVERS] {
-        let mut fleet = used(0.95, 1, 1.0, 1.0);
-        fleet.restart_first(left);
-        fleet.warms_at_once = true;
+fn backend_warmer_than_the_settings_say_gets_no_more_than_they_allow() {
+    for remaining in [1, BACKENDS] {
+        let mut fleet = warmed_up_at(0.95, 1, 1.0, 1.0);
+        fleet.restart_watched(remaining);
+        fleet.starts_warm = true;
         for _ in 0..48 {
             fleet.round(333.0, |_| Outcome::Served);
         }
-        assert!(fleet.worst < 0.9, "{} of what makes it fall, of {left}", fleet.worst);
-        assert!(fleet.sent > could() * 0.3, "{} of {}, of {left}", fleet.sent, could());
+        assert!(
+            fleet.max_overload < 0.9,
+            "{} of the overload threshold, {remaining} remaining",
+            fleet.max_overload
+        );
+        assert!(
+            fleet.units_sent > possible_units() * 0.3,
+            "{} of {}, {remaining} remaining",
+            fleet.units_sent,
+            possible_units()
+        );
     }
 }
 
 #[test]
-fn where_most_gateways_are_dead_the_living_ones_fill_it() {
-    let sent = |known: bool| {
-        let mut fleet = busy(1, 1.0, 1.0);
-        fleet.restart_first(SERVERS);
-        let alive = |ingress: usize| ingress.is_multiple_of(13);
+fn live_ingresses_use_the_slices_of_dead_ones() {
+    let units_sent = |known: bool| {
+        let mut fleet = warmed_up(1, 1.0, 1.0);
+        fleet.restart_watched(BACKENDS);
+        let is_live = |ingress: usize| ingress.is_multiple_of(13);
         if known {
-            let living: Vec<bool> = (0..usize::from(GATEWAYS)).map(alive).collect();
-            fleet.limiters.iter_mut().for_each(|limiter| limiter.set_live_ingresses(Some(living.clone())));
+            let live: Vec<bool> = (0..usize::from(INGRESSES)).map(is_live).collect();
+            fleet.limiters.iter_mut().for_each(|limiter| limiter.set_live_ingresses(Some(live.clone())));
         }
-        fleet.alive = Some(alive);
-        // A tenth of the gateways take a tenth of a round.
+        fleet.is_live = Some(is_live);
+        // A thirteenth of the ingresses is live, so a round lasts a thirteenth of its span.
         for _ in 0..48 {
             fleet.round(3333.0, |_| Outcome::Served);
         }
-        assert!(fleet.worst < 0.9, "{} of what makes it fall", fleet.worst);
-        fleet.sent
+        assert!(fleet.max_overload < 0.9, "{} of the overload threshold", fleet.max_overload);
+        fleet.units_sent
     };
-    let (unknown, known) = (sent(false), sent(true));
+    let (unknown, known) = (units_sent(false), units_sent(true));
     assert!(known > 1.2 * unknown, "{known} and {unknown}");
 }
 
 #[test]
-fn nor_while_the_gateways_restart_in_turn() {
-    let (worst, sent) = worst(1, true, |_| Outcome::Served);
-    assert!(worst < 0.9, "{worst} of what makes it fall");
-    assert!(sent > 0.0);
+fn only_remaining_backend_is_not_overloaded_while_ingresses_restart() {
+    let (max_overload, units_sent) = overload_after_restart(1, true, |_| Outcome::Served);
+    assert!(max_overload < 0.9, "{max_overload} of the overload threshold");
+    assert!(units_sent > 0.0);
 }
 
 #[test]
-fn nor_by_its_listed_weight() {
-    let small = sized(0.4, 0.4, 1, false, |_| Outcome::Served);
-    assert!(small.0 < 0.9, "{} of what makes a small one fall", small.0);
-    let odd = sized(1.0, 50.0, 1, false, |_| Outcome::Served);
-    assert!(odd.0 < 0.9, "{} of what makes it fall, listed fifty times as heavy", odd.0);
-    assert!(small.1 < odd.1, "a small one gets less: {} and {}", small.1, odd.1);
+fn listed_weight_does_not_overload_a_backend() {
+    let small = overload_after_sized_restart(0.4, 0.4, 1, false, |_| Outcome::Served);
+    assert!(small.0 < 0.9, "{} of the overload threshold of a small one", small.0);
+    let overrated = overload_after_sized_restart(1.0, 50.0, 1, false, |_| Outcome::Served);
+    assert!(overrated.0 < 0.9, "{} of the overload threshold, listed at fifty times its weight", overrated.0);
+    assert!(small.1 < overrated.1, "a small one gets less: {} and {}", small.1, overrated.1);
 }
 
 #[test]
-fn nor_by_further_attempts_that_it_turns_away() {
+fn rejected_retries_do_not_overload_a_backend() {
     let full = |backend| if backend == BackendId(0) { Outcome::Rejected } else { Outcome::Error };
-    for left in [1, 2, SERVERS] {
-        let (worst, _) = worst(left, true, full);
-        assert!(worst < 0.9, "{worst} of what makes it fall, of {left}");
+    for remaining in [1, 2, BACKENDS] {
+        let (max_overload, _) = overload_after_restart(remaining, true, full);
+        assert!(max_overload < 0.9, "{max_overload} of the overload threshold, {remaining} remaining");
     }
 }
 
-/// Ten servers of which nine go and one has just started, with a request out to one of the nine; what the end of
-/// that attempt comes to.
-fn end_without_a_turn(class: usize, outcome: Outcome) -> Vec<Action> {
-    let mut harness = Harness::new(set(0), 10);
+/// Returns the actions after an attempt whose backend is gone ended like this, and the only backend that
+/// remains has just started and accepts no request yet.
+fn end_without_backend(class: usize, outcome: Outcome) -> Vec<Action> {
+    let mut harness = Harness::new(fleet_settings(0), 10);
     for customer in 0..50 {
-        harness.advance(20.0).serve(customer, 1.0, GATEWAYS);
+        harness.advance(20.0).serve(customer, 1.0, INGRESSES);
     }
-    let (mut id, mut actions) = harness.request(99, class, 1.0, GATEWAYS);
+    let (mut id, mut actions) = harness.request(99, class, 1.0, INGRESSES);
     while sent_to(&actions) == Some(BackendId(0)) {
-        (id, actions) = harness.request(99, class, 1.0, GATEWAYS);
+        (id, actions) = harness.request(99, class, 1.0, INGRESSES);
     }
     let backend = sent_to(&actions).unwrap();
     let gone = (1..10).map(|n| BackendEntry { state: BackendState::Gone, ..backend_entry(n) });
@@ -362,73 +407,74 @@
 }
 
 #[test]
-fn without_a_turn_the_answer_does_not_wait() {
+fn answers_at_once_if_the_slow_start_admits_no_request() {
     // A first attempt.
-    let mut fleet = busy(1, 1.0, 1.0);
-    fleet.restart_first(1);
-    fleet.next += 1;
+    let mut fleet = warmed_up(1, 1.0, 1.0);
+    fleet.restart_watched(1);
+    fleet.last_request += 1;
     let mut actions = Vec::new();
-    let (now, request) = (fleet.now, fleet.new_request(2));
+    let (now, request) = (fleet.now, fleet.new_request(UNSAFE));
     fleet.limiters[0].handle(now, Event::Request(request), &mut actions);
     assert!(matches!(actions[..], [Action::Reject(_, Some(wait))] if wait >= 1.0), "{actions:?}");
-    // A further one: the class, how the first ended, and whether a refusal is safe.
-    for (class, outcome, refusal) in [
-        (0, Outcome::Error, true),
-        (0, Outcome::Rejected, true),
-        (1, Outcome::Rejected, true),
-        (1, Outcome::Error, false), // Its group is one zone.
-        (2, Outcome::Rejected, true),
-        (2, Outcome::Error, false),
-        (3, Outcome::Error, true),
+    // A retry: the class, how the first attempt ended, and whether the request is rejected or failed.
+    for (class, outcome, is_rejected) in [
+        (SAFE, Outcome::Error, true),
+        (SAFE, Outcome::Rejected, true),
+        (KEYED_BY_ZONE, Outcome::Rejected, true),
+        (KEYED_BY_ZONE, Outcome::Error, false), // Its scope is one zone.
+        (UNSAFE, Outcome::Rejected, true),
+        (UNSAFE, Outcome::Error, false),
+        (KEYED, Outcome::Error, true),
     ] {
-        let actions = end_without_a_turn(class, outcome);
+        let actions = end_without_backend(class, outcome);
         let answer = match actions[..] {
             [Action::Reject(_, Some(_))] => Some(true),
             [Action::Fail(_)] => Some(false),
             _ => None,
         };
-        assert_eq!(answer, Some(refusal), "{class} {outcome:?}: {actions:?}");
+        assert_eq!(answer, Some(is_rejected), "{class} {outcome:?}: {actions:?}");
     }
 }
 
-/// Four times the mean at each of the first fifth, a quarter of the mean at the others.
-fn uneven(ingress: usize) -> usize {
-    if ingress < usize::from(GATEWAYS) / 5 { 16 } else { 1 }
+/// Returns the requests of an ingress in a round: four times the mean at the first fifth of the ingresses, a
+/// quarter of the mean at the others.
+fn uneven_requests(ingress: usize) -> usize {
+    if ingress < usize::from(INGRESSES) / 5 { 16 } else { 1 }
 }
 
 #[test]
-fn nor_where_neighbours_see_four_times_the_mean() {
-    let mut sent = 0.0;
+fn uneven_load_of_neighbouring_ingresses_does_not_overload_a_backend() {
+    let mut units_sent = 0.0;
     for seed in 1..=SEEDS {
         let mut fleet = Fleet::new(1000 * seed, 1.0, 1.0);
-        fleet.requests = Some(uneven);
-        let requests: usize = (0..usize::from(GATEWAYS)).map(uneven).sum();
-        let round = 1000.0 * UNITS * requests as f64 / (0.8 * CAN * SERVERS as f64);
+        fleet.requests_per_round = Some(uneven_requests);
+        let requests: usize = (0..usize::from(INGRESSES)).map(uneven_requests).sum();
+        let round = 1000.0 * REQUEST_UNITS * requests as f64 / (0.8 * CAPACITY * BACKENDS as f64);
         while fleet.now < 1_030_000.0 {
             fleet.round(round, |_| Outcome::Served);
         }
-        fleet.restart_first(SERVERS);
+        fleet.restart_watched(BACKENDS);
         while fleet.now < 1_046_000.0 {
             fleet.round(round, |_| Outcome::Served);
         }
-        assert!(fleet.worst < 0.9, "{} of what makes it fall", fleet.worst);
-        sent += fleet.sent / SEEDS as f64;
+        assert!(fleet.max_overload < 0.9, "{} of the overload threshold", fleet.max_overload);
+        units_sent += fleet.units_sent / SEEDS as f64;
     }
-    assert!(sent > could() * 0.25, "{sent} of {}", could());
+    assert!(units_sent > possible_units() * 0.25, "{units_sent} of {}", possible_units());
 }
 
 #[test]
-fn nor_by_what_was_saved_up_while_it_could_not_be_reached() {
-    let mut fleet = used(0.9, 1, 1.0, 1.0);
-    fleet.restart_first(SERVERS);
+fn units_saved_while_a_backend_was_unreachable_do_not_overload_it() {
+    let mut fleet = warmed_up_at(0.9, 1, 1.0, 1.0);
+    fleet.restart_watched(BACKENDS);
     let unreachable =
         |backend| if backend == BackendId(0) { Outcome::ConnectFailed } else { Outcome::Served };
     for _ in 0..18 {
         fleet.round(333.0, unreachable);
     }
-    fleet.worst = 0.0;
+    fleet.max_overload = 0.0;
     for _ in 0..12 {
         fleet.round(333.0, |_| Outcome::Served);
     }
-    assert!(fleet.worst < 0.9, "{} of what makes it fall", fleet.worst);
+    assert!(fleet.max_overload < 0.9, "{} of the overload threshold", fleet.max_overload);
 }
