--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn units_counted_for_a_client_that_left_are_lent() {
+fn units_counted_for_a_client_that_left_are_returned() {
     let mut harness = Harness::new(Settings { counter: true, ..settings(plan()) }, 10);
     harness.advance(60_000.0);
     let (id, _) = harness.request(1, SAFE, 4.0, 2);
