--- a/emulator/src/check.rs
+++ b/emulator/src/check.rs
@@ -1,90 +1,116 @@
-//! The rules that must hold whatever happens, checked on what the decisions do and on what becomes of it.
+//! Invariants that must hold in every run, checked on the actions of the ingresses and on their effects.
 
 use crate::script::{Repeat, Script};
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// After word that a real server drains or is gone, new work may still go to it for so long.
-const GRACE: f64 = 250.0;
-/// What ceilings may be passed by, as a part, or by one of the largest requests.
-const SLACK: f64 = 0.1;
+/// An ingress may send new attempts to a backend for this long after it was notified that the backend drains or is gone,
+/// in milliseconds.
+const DRAIN_GRACE_MS: f64 = 250.0;
+/// The fraction by which limits may be exceeded, since ingresses share usage with a delay. One request of the largest
+/// size, or one attempt, is always allowed.
+const LIMIT_SLACK: f64 = 0.1;
+/// The refill that a ceiling allows on top of its burst and the slack, in seconds.
+const CEILING_EXTRA_REFILL_S: f64 = 0.15;
 
-/// A rule.
+/// An invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each request that was taken by an ingress that lives has one final answer before its client gives up.
+    /// Each request accepted by an ingress that stays up gets one final answer before its client times out.
     Answer,
-    /// No new work later than 250 ms after word of a drain.
+    /// No new attempt goes to a backend later than 250 ms after the ingress was notified that it drains.
     Drain,
-    /// No cold real server is pushed over.
+    /// No cold backend is overloaded until it crashes.
     Cold,
-    /// Ceilings and caps hold, by all ingresses together.
+    /// Ceilings and caps on attempts in flight hold over all ingresses together.
     Ceiling,
-    /// A request that may have run is sent again only as its class allows.
+    /// A request that may have been executed is sent again only if its class allows it.
     Resend,
 }
 
-/// What was broken.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which rule.
+    /// The invariant that was violated.
     pub rule: Rule,
-    /// When, in milliseconds.
+    /// The simulated time, in milliseconds.
     pub at: f64,
-    /// How.
+    /// A description with the ids and amounts involved.
     pub what: String,
 }
 
-/// So many breaches are kept with their texts; all are counted.
-const KEPT: usize = 20;
+/// The number of breaches that are kept with a description. All are counted.
+const MAX_DESCRIBED_BREACHES: usize = 20;
 
-/// Watches the rules.
+/// The usage of one customer above the refill of its ceiling.
+#[derive(Debug)]
+struct CeilingLevel {
+    units: f64,
+    /// When `units` was last updated, in milliseconds.
+    updated_at: f64,
+}
+
+/// Checks the invariants over a run.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// The first ones.
+    /// The first breaches, up to 20.
     pub breaches: Vec<Breach>,
-    /// How many there were of each.
+    /// The number of breaches of each invariant.
     pub counts: HashMap<Rule, u64>,
-    ceilings: HashMap<u64, (f64, f64)>,
-    out: HashMap<u64, u32>,
+    /// By customer id.
+    ceiling_levels: HashMap<u64, CeilingLevel>,
+    /// Attempts in flight, by customer id.
+    in_flight: HashMap<u64, u32>,
 }
 
 impl Checker {
-    /// A rule is broken.
-    pub fn breach(&mut self, rule: Rule, at: f64, what: impl FnOnce() -> String) {
+    /// Records a violation of `rule` at `at`. `what` is called only if the description is kept.
+    pub fn record(&mut self, rule: Rule, at: f64, what: impl FnOnce() -> String) {
         *self.counts.entry(rule).or_default() += 1;
-        if self.breaches.len() < KEPT {
+        if self.breaches.len() < MAX_DESCRIBED_BREACHES {
             self.breaches.push(Breach { rule, at, what: what() });
         }
     }
 
-    /// An ingress sends to a real server that it knows to be no longer ready since `told`.
-    pub fn sends(&mut self, now: f64, ingress: usize, server: u64, told: Option<f64>) {
-        if let Some(told) = told.filter(|told| now - told > GRACE) {
-            self.breach(Rule::Drain, now, || {
-                format!("ingress {ingress} sends to {server} {:.0} ms after the word", now - told)
+    /// Checks [`Rule::Drain`] when an ingress sends an attempt. `unready_since` is when the ingress was notified that the
+    /// backend is no longer ready, `None` if it knows the backend as ready or not at all.
+    pub fn attempt_sent(&mut self, now: f64, ingress: usize, backend: u64, unready_since: Option<f64>) {
+        if let Some(since) = unready_since.filter(|since| now - since > DRAIN_GRACE_MS) {
+            self.record(Rule::Drain, now, || {
+                format!("ingress {ingress} sends to {backend} {:.0} ms after the word", now - since)
             });
         }
     }
 
-    /// A further attempt goes out; `risky` is when the first one went that may have run, and where.
-    pub fn again(&mut self, now: f64, repeat: Repeat, risky: Option<(f64, u16)>, cell: u16, request: u64) {
-        let Some((first, home)) = risky else { return };
-        let good = match repeat {
+    /// Checks [`Rule::Resend`] when an ingress sends an attempt of `request` to `cell`. `maybe_executed` is the send time
+    /// and the cell of the earliest attempt that may have been executed, `None` if there is none.
+    pub fn attempt_repeats(
+        &mut self,
+        now: f64,
+        repeat: Repeat,
+        maybe_executed: Option<(f64, u16)>,
+        cell: u16,
+        request: u64,
+    ) {
+        let Some((first, first_cell)) = maybe_executed else { return };
+        let allowed = match repeat {
             Repeat::Safe => true,
-            Repeat::Keyed { window } => home == cell && now - first < window,
+            Repeat::Keyed { window } => first_cell == cell && now - first < window,
             Repeat::Unsafe => false,
         };
-        if !good {
-            self.breach(Rule::Resend, now, || {
-                format!("request {request} is sent again {:.0} ms after it may have run, to pod {cell} after {home}", now - first)
+        if !allowed {
+            self.record(Rule::Resend, now, || {
+                format!(
+                    "request {request} is sent again {:.0} ms after it may have run, to pod {cell} after {first_cell}",
+                    now - first
+                )
             });
         }
     }
 
-    /// A try's first attempt has reached a real server.
-    pub fn reaches(&mut self, now: f64, customer: u64, plan: usize, units: f64, script: &Script) {
+    /// Checks the rate of [`Rule::Ceiling`] when the first attempt of a try reaches a backend.
+    pub fn try_reached_backend(&mut self, now: f64, customer: u64, plan: usize, units: f64, script: &Script) {
         let plan = &script.plans[plan];
         if plan.ceiling <= 0.0 {
             return;
@@ -92,30 +118,40 @@
         let largest = f64::from(script.load.largest);
         let rate = plan.rate * plan.ceiling;
         let burst = plan.rate * plan.burst * plan.ceiling;
-        let slack = (burst * SLACK).max(largest) + rate * 0.15;
-        let (level, at) = self.ceilings.entry(customer).or_insert((0.0, now));
-        *level = (*level - (now - *at) / 1000.0 * rate * (1.0 + SLACK)).max(0.0) + units;
-        *at = now;
-        if *level > burst + slack {
-            let over = *level - burst;
-            self.breach(Rule::Ceiling, now, || {
+        let slack = (burst * LIMIT_SLACK).max(largest) + rate * CEILING_EXTRA_REFILL_S;
+        let level =
+            self.ceiling_levels.entry(customer).or_insert(CeilingLevel { units: 0.0, updated_at: now });
+        level.units =
+            (level.units - (now - level.updated_at) / 1000.0 * rate * (1.0 + LIMIT_SLACK)).max(0.0) + units;
+        level.updated_at = now;
+        if level.units > burst + slack {
+            let over = level.units - burst;
+            self.record(Rule::Ceiling, now, || {
                 format!("customer {customer} is {over:.1} units over its ceiling")
             });
         }
     }
 
-    /// An attempt of a capped customer is out, or no longer.
-    pub fn out(&mut self, now: f64, customer: u64, plan: usize, more: bool, script: &Script) {
+    /// Checks the cap on attempts in flight of [`Rule::Ceiling`] when a backend accepts an attempt (`started`) or the
+    /// attempt ends (not `started`).
+    pub fn attempt_in_flight(
+        &mut self,
+        now: f64,
+        customer: u64,
+        plan: usize,
+        started: bool,
+        script: &Script,
+    ) {
         let plan = &script.plans[plan];
         if plan.at_once <= 0.0 || plan.ceiling <= 0.0 {
             return;
         }
-        let out = self.out.entry(customer).or_default();
-        *out = if more { *out + 1 } else { out.saturating_sub(1) };
-        let most = plan.at_once * plan.ceiling + (plan.at_once * SLACK).max(1.0);
-        if more && f64::from(*out) > most {
-            let out = *out;
-            self.breach(Rule::Ceiling, now, || format!("customer {customer} has {out} out at once"));
+        let in_flight = self.in_flight.entry(customer).or_default();
+        *in_flight = if started { *in_flight + 1 } else { in_flight.saturating_sub(1) };
+        let max = plan.at_once * plan.ceiling + (plan.at_once * LIMIT_SLACK).max(1.0);
+        if started && f64::from(*in_flight) > max {
+            let in_flight = *in_flight;
+            self.record(Rule::Ceiling, now, || format!("customer {customer} has {in_flight} out at once"));
         }
     }
 }
--- a/emulator/src/shared.rs
+++ b/emulator/src/shared.rs
@@ -1,91 +1,110 @@
-//! What instances share: the quota counter, and the intake of their messages.
+//! State that the whole fleet shares, and the rate limit on peer messages: the quota counter and [`RateLimiter`].
 
 use crate::script;
 use std::collections::HashMap;
 
-/// What comes of a call.
+/// The outcome of a call to the counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Counted {
-    /// The total, and when it was read there.
-    At(f64, f64),
-    /// Turned away.
+pub enum CounterReply {
+    /// The amount was added.
+    Total {
+        /// The total after the addition.
+        total: f64,
+        /// When the reply leaves the counter, in milliseconds of simulated time.
+        ready_at: f64,
+    },
+    /// The call was rejected because the queue of its partition is full.
     Busy,
-    /// Nothing comes.
-    Nothing,
+    /// No reply is sent, since the counter is unavailable.
+    Lost,
 }
 
-/// A counter of parts, each of which serves calls in turn, also those that nobody waits for any more.
+/// The total that is kept under one name.
+#[derive(Debug, Clone)]
+struct Entry {
+    total: f64,
+    /// The total restarts at 0 after this time, in milliseconds.
+    expires_at: f64,
+}
+
+/// The quota counter: partitions that each process calls in order of arrival, including calls whose caller has timed
+/// out.
 #[derive(Debug, Clone)]
 pub struct Counter {
-    free: Vec<f64>,
-    numbers: HashMap<u64, (f64, f64)>,
-    /// It answers nothing until then.
-    pub lost_until: f64,
-    /// Calls that came.
+    /// When each partition has processed its queue, in milliseconds.
+    free_at: Vec<f64>,
+    entries: HashMap<u64, Entry>,
+    /// Calls that arrive before this time get no reply, in milliseconds of simulated time.
+    pub unavailable_until: f64,
+    /// The number of calls that arrived, including rejected and lost ones.
     pub calls: u64,
 }
 
 impl Counter {
-    /// One that is whole and empty.
-    pub fn new(how: &script::Counter) -> Self {
-        Self { free: vec![0.0; how.parts], numbers: HashMap::new(), lost_until: 0.0, calls: 0 }
+    /// Returns an available counter without entries.
+    pub fn new(config: &script::Counter) -> Self {
+        Self { free_at: vec![0.0; config.parts], entries: HashMap::new(), unavailable_until: 0.0, calls: 0 }
     }
 
-    /// A call arrives.
-    pub fn takes(
+    /// Handles a call that arrives at `now` and adds `amount` under `name`. A new total is kept for `lifetime`
+    /// milliseconds, limited to 1 to 60,000; `service_time` is the processing time of this call in milliseconds.
+    pub fn add(
         &mut self,
         now: f64,
         name: u64,
         amount: f64,
-        keep: f64,
-        how: &script::Counter,
-        time: f64,
-    ) -> Counted {
+        lifetime: f64,
+        config: &script::Counter,
+        service_time: f64,
+    ) -> CounterReply {
         self.calls += 1;
-        if now < self.lost_until {
-            return Counted::Nothing;
+        if now < self.unavailable_until {
+            return CounterReply::Lost;
         }
-        let part = (name % self.free.len() as u64) as usize;
-        let each = 1000.0 / how.calls_per_second;
-        let begins = self.free[part].max(now);
-        if (begins - now) / each > how.line {
-            return Counted::Busy;
+        let partition = (name % self.free_at.len() as u64) as usize;
+        let interval = 1000.0 / config.calls_per_second;
+        let starts_at = self.free_at[partition].max(now);
+        if (starts_at - now) / interval > config.line {
+            return CounterReply::Busy;
         }
-        self.free[part] = begins + each;
-        let number = self.numbers.entry(name).or_insert((0.0, now + keep.clamp(1.0, 60_000.0)));
-        if number.1 < now {
-            *number = (0.0, now + keep.clamp(1.0, 60_000.0));
+        self.free_at[partition] = starts_at + interval;
+        let fresh = Entry { total: 0.0, expires_at: now + lifetime.clamp(1.0, 60_000.0) };
+        let entry = self.entries.entry(name).or_insert(fresh.clone());
+        if entry.expires_at < now {
+            *entry = fresh;
         }
-        number.0 += amount;
-        Counted::At(number.0, begins + time)
+        entry.total += amount;
+        CounterReply::Total { total: entry.total, ready_at: starts_at + service_time }
     }
 
-    /// It is replaced by an empty one.
-    pub fn replaced(&mut self) {
-        self.numbers.clear();
+    /// Drops all entries, as a replacement of the counter process does.
+    pub fn clear(&mut self) {
+        self.entries.clear();
     }
 }
 
-/// A limit on how many messages a second are taken in.
+/// A token bucket that limits how many peer messages an ingress accepts, with a burst of a quarter of a second.
 #[derive(Debug, Clone, Copy)]
-pub struct Intake {
-    store: f64,
-    at: f64,
+pub struct RateLimiter {
+    tokens: f64,
+    /// When `tokens` was last updated, in milliseconds.
+    updated_at: f64,
 }
 
-impl Intake {
-    /// A full one.
+impl RateLimiter {
+    /// Returns a full bucket for a limit of `per_second` messages.
     pub fn new(per_second: f64, now: f64) -> Self {
-        Self { store: per_second / 4.0, at: now }
+        Self { tokens: per_second / 4.0, updated_at: now }
     }
 
-    /// Whether one more is taken in now.
-    pub fn takes(&mut self, now: f64, per_second: f64) -> bool {
-        self.store = (self.store + (now - self.at) * per_second / 1000.0).min((per_second / 4.0).max(1.0));
-        self.at = now;
-        let takes = self.store >= 1.0;
-        self.store -= f64::from(takes);
-        takes
+    /// Returns whether one more message is accepted at `now`, and takes a token if it is.
+    pub fn admit(&mut self, now: f64, per_second: f64) -> bool {
+        self.tokens =
+            (self.tokens + (now - self.updated_at) * per_second / 1000.0).min((per_second / 4.0).max(1.0));
+        self.updated_at = now;
+        let admitted = self.tokens >= 1.0;
+        self.tokens -= f64::from(admitted);
+        admitted
     }
 }
 
--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -59,9 +59,9 @@
         let told = self.nodes[i].told.get(&to).copied();
         let late = told.filter(|told| told.state != BackendState::Ready).map(|told| told.since);
         let Some(&s) = self.ids.get(&to) else { return own.push_back(end(Outcome::ConnectFailed)) };
-        self.check.sends(now, i, s as u64, late);
+        self.check.attempt_sent(now, i, s as u64, late);
         let (class, cell) = (self.asked[n].class, self.servers[s].cell);
-        self.check.again(now, script.classes[class].repeat, risky, cell, request);
+        self.check.attempt_repeats(now, script.classes[class].repeat, risky, cell, request);
         // As the client side does it: nothing starts on a real server that is not ready.
         if told.is_none_or(|told| told.state != BackendState::Ready) {
             return own.push_back(end(Outcome::ConnectFailed));
@@ -129,7 +129,7 @@
         let (id, plan) = (self.customers[c].id, self.customers[c].plan);
         if first {
             let (class, units) = (self.asked[n].class, f64::from(self.asked[n].units));
-            self.check.reaches(self.now, id, plan, units, script);
+            self.check.try_reached_backend(self.now, id, plan, units, script);
             self.asked[n].inside = self.judge.sent(self.now, id, plan, class, units, script);
         }
         if self.servers[s].drains {
@@ -140,13 +140,13 @@
         match taken {
             Taken::Yes => {
                 self.attempts[a].came = Some(self.now);
-                self.check.out(self.now, id, plan, true, script);
+                self.check.attempt_in_flight(self.now, id, plan, true, script);
                 self.foresee(s);
             }
             Taken::Full => self.after(way, What::Replies(a, Outcome::Rejected, shown)),
             Taken::Falls => {
                 if breaks {
-                    self.check.breach(Rule::Cold, self.now, || format!("real server {s} was pushed over"));
+                    self.check.record(Rule::Cold, self.now, || format!("real server {s} was pushed over"));
                 }
                 self.stops(s);
             }
@@ -225,7 +225,7 @@
             let flow = self.nodes[i].flows.get(&request);
             if let Some(c) = flow.map(|flow| self.asked[flow.asked].customer) {
                 let (id, plan) = (self.customers[c].id, self.customers[c].plan);
-                self.check.out(self.now, id, plan, false, self.script);
+                self.check.attempt_in_flight(self.now, id, plan, false, self.script);
             }
         }
         if self.nodes[i].life != life {
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -7,7 +7,7 @@
 use crate::check::Rule;
 use crate::script::By;
 use crate::server::AttemptAt;
-use crate::shared::{Counted, Intake};
+use crate::shared::{CounterReply, RateLimiter};
 use std::collections::HashMap;
 use weldhub::interface::{
     BackendId, BackendState, CounterAnswer, CounterName, IngressId, ListKind, Load, MAX_PEER_MESSAGE_BYTES,
@@ -52,7 +52,7 @@
     pub(super) told: HashMap<BackendId, Told>,
     pub(super) flows: HashMap<u64, Flow>,
     pub(super) idle: HashMap<(BackendId, u64), u32>,
-    pub(super) intake: Intake,
+    pub(super) message_limiter: RateLimiter,
     pub(super) calls: HashMap<u64, u64>,
     pub(super) counts: [u64; 3],
 }
@@ -181,7 +181,7 @@
                 if !std::mem::replace(&mut self.attempts[a].over, true) && self.attempts[a].came.is_some() {
                     let c = self.asked[flow.asked].customer;
                     let (id, plan) = (self.customers[c].id, self.customers[c].plan);
-                    self.check.out(now, id, plan, false, self.script);
+                    self.check.attempt_in_flight(now, id, plan, false, self.script);
                 }
             }
             if flow.open {
@@ -201,7 +201,7 @@
         let now = self.now;
         let node = &mut self.nodes[i];
         (node.brain, node.up, node.noticed, node.subscribed) = (brain, true, f64::INFINITY, false);
-        (node.intake, node.counts, node.up_since) = (Intake::new(per_second, now), [0; 3], now);
+        (node.message_limiter, node.counts, node.up_since) = (RateLimiter::new(per_second, now), [0; 3], now);
         node.members = Members::new(MembershipPolicy::default());
         self.begin(i);
     }
@@ -215,7 +215,7 @@
                 .get(&id)
                 .map_or(0.0, |f| self.script.classes[self.asked[f.asked].class].give_up);
             if left >= HARD {
-                self.check.breach(Rule::Answer, self.now, || {
+                self.check.record(Rule::Answer, self.now, || {
                     format!("ingress {i} has no answer to request {id} of its own")
                 });
             }
@@ -228,7 +228,7 @@
     pub(super) fn mail_comes(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
         let (now, per_second) = (self.now, self.script.peers.as_ref().map_or(0.0, |p| p.per_second));
         if self.nodes[to].up {
-            if self.nodes[to].intake.takes(now, per_second) {
+            if self.nodes[to].message_limiter.admit(now, per_second) {
                 self.feed(to, Event::PeerMessage(IngressId(from as u16), bytes));
             } else {
                 self.totals.dropped += 1;
@@ -248,10 +248,10 @@
         let Some(how) = &self.script.counter else { return };
         let (time, way) = (self.draw(how.time), self.hop(self.nodes[i].hall, 0));
         let Some(counter) = &mut self.counter else { return };
-        let (at, answer) = match counter.takes(self.now, name, amount, keep, how, time) {
-            Counted::At(total, at) => (at, CounterAnswer::Total(total)),
-            Counted::Busy => (self.now, CounterAnswer::NotAdded),
-            Counted::Nothing => return,
+        let (at, answer) = match counter.add(self.now, name, amount, keep, how, time) {
+            CounterReply::Total { total, ready_at } => (ready_at, CounterAnswer::Total(total)),
+            CounterReply::Busy => (self.now, CounterAnswer::NotAdded),
+            CounterReply::Lost => return,
         };
         if !self.cut_between(self.nodes[i].hall, 0) {
             self.at(at + way, What::CallEnds(i, life, call, name, answer));
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -19,7 +19,7 @@
 use crate::report::{Report, Second, Tally};
 use crate::script::{Script, Span};
 use crate::server::{Reported, Server};
-use crate::shared::{Counter, Intake};
+use crate::shared::{Counter, RateLimiter};
 use attempts::Attempt;
 use clients::{Asked, Asker, Customer};
 use event::{Entry, What};
@@ -190,7 +190,7 @@
                 told: HashMap::new(),
                 flows: HashMap::new(),
                 idle: HashMap::new(),
-                intake: Intake::new(per_second, 0.0),
+                message_limiter: RateLimiter::new(per_second, 0.0),
                 calls: HashMap::new(),
                 counts: [0; 3],
             });
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -80,12 +80,12 @@
             }
             Trouble::CounterLost { lasting } => {
                 if let Some(counter) = &mut self.counter {
-                    counter.lost_until = now + lasting;
+                    counter.unavailable_until = now + lasting;
                 }
             }
             Trouble::CounterReplaced => {
                 if let Some(counter) = &mut self.counter {
-                    counter.replaced();
+                    counter.clear();
                 }
             }
             Trouble::Silence { loss, lasting } => self.loss_until = (loss, now + lasting),
