--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -1,7 +1,7 @@
 //! What came of a run, as a table, JSON or CSV. The same run gives the same bytes.
 
 use crate::check::Breach;
-use crate::judge::Worth;
+use crate::score::Worth;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt;
@@ -55,7 +55,7 @@
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// One figure: see `judge`.
+    /// One figure: see `score`.
     pub service: f64,
     /// The share of the whole run.
     pub whole: f64,
--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -130,7 +130,7 @@
         if first {
             let (class, units) = (self.asked[n].class, f64::from(self.asked[n].units));
             self.check.try_reached_backend(self.now, id, plan, units, script);
-            self.asked[n].inside = self.judge.sent(self.now, id, plan, class, units, script);
+            self.asked[n].inside = self.score.record_sent(self.now, id, plan, class, units, script);
         }
         if self.servers[s].drains {
             return self.after(way, What::Replies(a, Outcome::Rejected, shown));
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -3,7 +3,7 @@
 use super::event::What;
 use super::ingresses::{Flow, Node};
 use super::{EPOCH, SLACK, SLACK_PART, World};
-use crate::judge::Judge;
+use crate::score::Score;
 use crate::script::{Clients, Repeat};
 use weldhub::Event;
 use weldhub::interface::{ClassId, CustomerId, IngressId, PlanId, Request, RequestId};
@@ -147,7 +147,7 @@
         let units = self.pick(&sizes) as u32 + 1;
         self.units = sizes;
         let (id, plan) = (self.customers[c].id, self.customers[c].plan);
-        let worth = self.judge.asked(self.now, id, plan, class, f64::from(units), script);
+        let worth = self.score.record_demand(self.now, id, plan, class, f64::from(units), script);
         self.second().asked += worth;
         let kind = &script.classes[class];
         let call = (script.load.clients == Clients::Library).then(|| {
@@ -318,8 +318,8 @@
             self.tallies[class].served(self.now - at);
             if self.asked[n].inside && self.now - at <= kind.aim {
                 let (plan, units) = (self.customers[c].plan, f64::from(self.asked[n].units));
-                let worth = Judge::worth(plan, class, units, script);
-                self.judge.served(at, plan, class, worth);
+                let worth = Score::request_worth(plan, class, units, script);
+                self.score.record_served(at, plan, class, worth);
                 let step = ((at / 1000.0) as usize).min(self.seconds.len().saturating_sub(1));
                 if let Some(second) = self.seconds.get_mut(step) {
                     second.served += worth;
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -15,8 +15,8 @@
 
 use crate::check::Checker;
 use crate::cold::ColdWatch;
-use crate::judge::Judge;
 use crate::report::{Report, Second, Tally};
+use crate::score::Score;
 use crate::script::{Script, Span};
 use crate::server::{Reported, Server};
 use crate::shared::{Counter, RateLimiter};
@@ -78,7 +78,7 @@
     loss_until: (f64, f64),
     surge: (f64, f64),
     check: Checker,
-    judge: Judge,
+    score: Score,
     tallies: Vec<Tally>,
     seconds: Vec<Second>,
     next_request: u64,
@@ -163,7 +163,7 @@
             loss_until: (0.0, 0.0),
             surge: (1.0, 0.0),
             check: Checker::default(),
-            judge: Judge::new(script),
+            score: Score::new(script),
             tallies,
             seconds: Vec::new(),
             next_request: 0,
--- a/emulator/src/world/watching.rs
+++ b/emulator/src/world/watching.rs
@@ -108,19 +108,19 @@
         for asked in self.asked.iter().filter(|asked| !asked.done) {
             self.tallies[asked.class].ends[2] += 1;
         }
-        let (whole, (worst, worst_at)) = (self.judge.whole(), self.judge.worst());
-        let classes = self.script.classes.iter().zip(&self.tallies).zip(&self.judge.classes);
-        let plans = self.script.plans.iter().zip(&self.judge.plans);
+        let (whole, (worst, worst_at)) = (self.score.total(), self.score.worst_window());
+        let classes = self.script.classes.iter().zip(&self.tallies).zip(&self.score.classes);
+        let plans = self.script.plans.iter().zip(&self.score.plans);
         let mut broken: Vec<(String, u64)> =
             self.check.counts.iter().map(|(rule, n)| (format!("{rule:?}").to_lowercase(), *n)).collect();
         broken.sort();
         let report = Report {
             seed,
-            service: self.judge.service(),
+            service: self.score.service(),
             whole: whole.share(),
             worst,
             worst_at,
-            beyond: self.judge.beyond / whole.asked.max(1e-9),
+            beyond: self.score.excess_cost / whole.asked.max(1e-9),
             classes: classes.map(|((class, tally), worth)| tally.report(&class.name, worth)).collect(),
             plans: plans.map(|(plan, worth)| (plan.name.clone(), worth.share())).collect(),
             seconds: self.seconds,
