--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -6,6 +6,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod backend;
 pub mod check;
 pub mod cold;
 pub mod cold_sweep;
@@ -15,6 +16,5 @@
 pub mod report;
 pub mod score;
 pub mod script;
-pub mod server;
 pub mod shared;
 pub mod world;
--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -2,9 +2,9 @@
 
 use super::event::What;
 use super::{World, name};
+use crate::backend::{Admission, AttemptId, LoadReport};
 use crate::check::Rule;
 use crate::cold::Arrival;
-use crate::server::{AttemptAt, Reported, Taken};
 use weldhub::Event;
 use weldhub::entries::backend_id;
 use weldhub::interface::{AttemptEnd, AttemptIndex, BackendId, BackendState, Load, Outcome, RequestId};
@@ -69,7 +69,7 @@
         let units = f64::from(self.asked[n].units);
         let mean = self.mean_units();
         let mut work = script.classes[class].work * units / mean * (0.5 + self.rng.f64());
-        let (here, there) = (self.nodes[i].hall, self.servers[s].hall);
+        let (here, there) = (self.nodes[i].hall, self.servers[s].zone);
         let way = self.hop(here, there);
         let key = (to, self.lives[s]);
         let kept = self.nodes[i].idle.get_mut(&key).filter(|idle| **idle > 0);
@@ -112,15 +112,15 @@
     }
 
     /// The attempt reaches its real server.
-    pub(super) fn comes(&mut self, a: AttemptAt) {
+    pub(super) fn comes(&mut self, a: AttemptId) {
         let Attempt { node: i, life, request, server: s, of, work, over, .. } = self.attempts[a];
         if over || self.nodes[i].life != life {
             return;
         }
-        let way = self.hop(self.nodes[i].hall, self.servers[s].hall);
+        let way = self.hop(self.nodes[i].hall, self.servers[s].zone);
         let shown = self.shown[s];
         if !self.servers[s].up || self.lives[s] != of {
-            return self.after(way, What::Replies(a, Outcome::ConnectFailed, Reported::default()));
+            return self.after(way, What::Replies(a, Outcome::ConnectFailed, LoadReport::default()));
         }
         let script = self.script;
         let Some(flow) = self.nodes[i].flows.get_mut(&request) else { return };
@@ -132,19 +132,19 @@
             self.check.try_reached_backend(self.now, id, plan, units, script);
             self.asked[n].inside = self.score.record_sent(self.now, id, plan, class, units, script);
         }
-        if self.servers[s].drains {
+        if self.servers[s].draining {
             return self.after(way, What::Replies(a, Outcome::Rejected, shown));
         }
-        let taken = self.servers[s].takes(self.now, a, work, &script.servers);
-        let breaks = self.watch_cold(a, taken);
-        match taken {
-            Taken::Yes => {
+        let admission = self.servers[s].admit(self.now, a, work, &script.servers);
+        let breaks = self.watch_cold(a, admission);
+        match admission {
+            Admission::Accepted => {
                 self.attempts[a].came = Some(self.now);
                 self.check.attempt_in_flight(self.now, id, plan, true, script);
                 self.foresee(s);
             }
-            Taken::Full => self.after(way, What::Replies(a, Outcome::Rejected, shown)),
-            Taken::Falls => {
+            Admission::Rejected => self.after(way, What::Replies(a, Outcome::Rejected, shown)),
+            Admission::Crashed => {
                 if breaks {
                     self.check.record(Rule::Cold, self.now, || format!("real server {s} was pushed over"));
                 }
@@ -154,10 +154,10 @@
     }
 
     /// Notes what a cold backend got; true where it fell by those that were told of its start.
-    pub(super) fn watch_cold(&mut self, a: AttemptAt, taken: Taken) -> bool {
+    pub(super) fn watch_cold(&mut self, a: AttemptId, admission: Admission) -> bool {
         let Attempt { node, server: s, no, work, sent, .. } = self.attempts[a];
         let (now, how, server) = (self.now, &self.script.servers, &self.servers[s]);
-        if !server.may_fall(now, how) {
+        if !server.can_crash(now, how) {
             return false;
         }
         let arrival = Arrival {
@@ -168,11 +168,17 @@
             waited: now - sent,
             ingress_age: now - self.nodes[node].up_since,
         };
-        self.cold.arrives(s, server.started, arrival, server.bears(now, how), taken == Taken::Falls)
+        self.cold.arrives(
+            s,
+            server.started_at,
+            arrival,
+            server.overload_limit(now, how),
+            admission == Admission::Crashed,
+        )
     }
 
     pub(super) fn foresee(&mut self, s: usize) {
-        if let Some(at) = self.servers[s].next_end(self.now, &self.script.servers) {
+        if let Some(at) = self.servers[s].next_completion(self.now, &self.script.servers) {
             let version = self.servers[s].version;
             self.at(at, What::Works(s, version));
         }
@@ -182,15 +188,15 @@
         if self.servers[s].version != version {
             return;
         }
-        let ended = self.servers[s].ended(self.now, &self.script.servers);
+        let ended = self.servers[s].take_completed(self.now, &self.script.servers);
         for a in ended {
             let Attempt { node: i, over, .. } = self.attempts[a];
             if over {
                 continue;
             }
             let outcome =
-                if self.rng.f64() < self.servers[s].errors { Outcome::Error } else { Outcome::Served };
-            let (here, there) = (self.nodes[i].hall, self.servers[s].hall);
+                if self.rng.f64() < self.servers[s].error_rate { Outcome::Error } else { Outcome::Served };
+            let (here, there) = (self.nodes[i].hall, self.servers[s].zone);
             let lost = self.rng.f64() < self.script.network.lost_answers || self.cut_between(here, there);
             let (way, shown) = (self.hop(here, there), self.shown[s]);
             if !lost {
@@ -200,8 +206,8 @@
         self.foresee(s);
     }
 
-    pub(super) fn load_of(&mut self, shown: Reported) -> Load {
-        if !shown.told || !self.script.servers.reports {
+    pub(super) fn load_of(&mut self, shown: LoadReport) -> Load {
+        if !shown.measured || !self.script.servers.reports {
             return Load::default();
         }
         let noise = self.script.servers.report_noise;
@@ -215,7 +221,7 @@
     }
 
     /// An attempt has ended for its ingress, by whatever; told once.
-    pub(super) fn ends(&mut self, a: AttemptAt, outcome: Outcome, shown: Reported) {
+    pub(super) fn ends(&mut self, a: AttemptId, outcome: Outcome, shown: LoadReport) {
         let Attempt { node: i, life, request, no, server: s, of, sent, over, came, .. } = self.attempts[a];
         if over {
             return;
@@ -280,11 +286,11 @@
     }
 
     /// An ingress gives an attempt up.
-    pub(super) fn gives_up(&mut self, a: AttemptAt, outcome: Outcome) {
+    pub(super) fn gives_up(&mut self, a: AttemptId, outcome: Outcome) {
         let Attempt { server: s, over, .. } = self.attempts[a];
         if !over {
-            self.ends(a, outcome, Reported::default());
-            if self.script.servers.drops_cancelled && self.servers[s].drops(a) {
+            self.ends(a, outcome, LoadReport::default());
+            if self.script.servers.drops_cancelled && self.servers[s].cancel_queued(a) {
                 self.foresee(s);
             }
         }
@@ -294,7 +300,7 @@
     pub(super) fn refresh(&mut self, s: usize) {
         let (every, delay) =
             (self.draw(self.script.servers.report_every), self.draw(self.script.servers.report_delay));
-        let shown = self.servers[s].report();
+        let shown = self.servers[s].load_report();
         self.after(delay, What::Shown(s, shown));
         if self.servers[s].up || self.now < self.script.length {
             self.after(every, What::Refresh(s));
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -18,7 +18,7 @@
             backend: backend_id(&name(s)),
             state,
             weight: 1.0,
-            zone: ZoneId(server.hall),
+            zone: ZoneId(server.zone),
             cell: CellId(server.cell),
             kind: KindId(server.kind),
             last_start: Some(self.known_starts[s]).filter(|at| *at >= 0.0).map(|at| EPOCH + at),
@@ -67,7 +67,7 @@
         if self.lives[s] != of {
             return;
         }
-        self.known_starts[s] = self.servers[s].started;
+        self.known_starts[s] = self.servers[s].started_at;
         match state {
             BackendState::Gone => drop(self.published.remove(&s)),
             _ => drop(self.published.insert(s, state)),
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -1,7 +1,7 @@
 //! Events in their order.
 
 use super::World;
-use crate::server::{AttemptAt, Reported};
+use crate::backend::{AttemptId, LoadReport};
 use std::cmp::{Ordering, Reverse};
 use weldhub::entries::ServiceEntry;
 use weldhub::interface::{BackendState, CounterAnswer, ListKind, Outcome, TimerKey};
@@ -23,12 +23,12 @@
     Mail(usize, usize, Vec<u8>),
     CallComes(usize, u32, u64, u64, f64, f64),
     CallEnds(usize, u32, u64, u64, CounterAnswer),
-    Comes(AttemptAt),
+    Comes(AttemptId),
     Works(usize, u64),
-    Replies(AttemptAt, Outcome, Reported),
-    GivesUp(AttemptAt, Outcome),
+    Replies(AttemptId, Outcome, LoadReport),
+    GivesUp(AttemptId, Outcome),
     Refresh(usize),
-    Shown(usize, Reported),
+    Shown(usize, LoadReport),
     Shift(usize),
     Trouble(usize),
     Down(usize, f64),
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -4,9 +4,9 @@
 use super::event::What;
 use super::settings::settings;
 use super::{ASK_FAILS, EPOCH, HARD, World};
+use crate::backend::AttemptId;
 use crate::check::Rule;
 use crate::script::By;
-use crate::server::AttemptAt;
 use crate::shared::{CounterReply, RateLimiter};
 use std::collections::HashMap;
 use weldhub::interface::{
@@ -24,7 +24,7 @@
     pub(super) no: u32,
     pub(super) until: f64,
     pub(super) started: u16,
-    pub(super) out: Vec<AttemptAt>,
+    pub(super) out: Vec<AttemptId>,
     pub(super) open: bool,
     pub(super) reached: bool,
     pub(super) risky: Option<(f64, u16)>,
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -13,12 +13,12 @@
 pub use decide::{Decide, Maker, shipped};
 pub use watching::{Outcomes, Sample, ServerSample, Trace};
 
+use crate::backend::{Backend, LoadReport};
 use crate::check::Checker;
 use crate::cold::ColdWatch;
 use crate::report::{Report, Second, Tally};
 use crate::score::Score;
 use crate::script::{Script, Span};
-use crate::server::{Reported, Server};
 use crate::shared::{Counter, RateLimiter};
 use attempts::Attempt;
 use clients::{Asked, Asker, Customer};
@@ -58,9 +58,9 @@
     seq: u64,
     events: u64,
     nodes: Vec<Node>,
-    servers: Vec<Server>,
+    servers: Vec<Backend>,
     lives: Vec<u64>,
-    shown: Vec<Reported>,
+    shown: Vec<LoadReport>,
     /// The last start of each that discovery knows of; long ago where below 0.
     known_starts: Vec<f64>,
     cold: ColdWatch,
@@ -121,15 +121,15 @@
         for (k, kind) in script.kinds.iter().enumerate() {
             for _ in 0..kind.count {
                 let speed = kind.speed[0] + rng.f64() * (kind.speed[1] - kind.speed[0]);
-                let mut server = Server::new(kind.cores, speed, kind.slots, kind.queue, -1.0);
-                (server.kind, server.errors) = (k as u16, kind.errors);
+                let mut server = Backend::new(kind.cores, speed, kind.slots, kind.queue, -1.0);
+                (server.kind, server.error_rate) = (k as u16, kind.errors);
                 server.mean_work = script.mean_work();
                 servers.push(server);
             }
         }
         // Kinds are spread over halls and pods.
         for (i, server) in servers.iter_mut().enumerate() {
-            server.hall = (i % usize::from(halls)) as u8;
+            server.zone = (i % usize::from(halls)) as u8;
             server.cell = (i / usize::from(script.servers.cell)) as u16;
         }
         let tallies = script.classes.iter().map(|_| Tally::new()).collect::<Result<_, _>>()?;
@@ -146,7 +146,7 @@
             events: 0,
             nodes: Vec::new(),
             lives: vec![0; all],
-            shown: vec![Reported::default(); all],
+            shown: vec![LoadReport::default(); all],
             known_starts: vec![-1.0; all],
             cold: ColdWatch::new(script),
             pulls: Vec::new(),
@@ -268,7 +268,7 @@
     /// A part of the backends that are up and stay so, group after group, each with its time.
     fn in_groups(&mut self, share: f64, at_once: f64, over: f64) -> Vec<(usize, f64)> {
         let alive: Vec<usize> =
-            (0..self.servers.len()).filter(|s| self.servers[*s].up && !self.servers[*s].drains).collect();
+            (0..self.servers.len()).filter(|s| self.servers[*s].up && !self.servers[*s].draining).collect();
         let group = Self::part_of(at_once, alive.len());
         let picked = self.chosen(alive.len(), Self::part_of(share, alive.len()));
         let groups = picked.len().div_ceil(group).max(1);
@@ -278,10 +278,10 @@
 
     /// A backend drains and ends; false where it does so already.
     fn drains(&mut self, s: usize, grace: f64) -> bool {
-        if !self.servers[s].up || self.servers[s].drains {
+        if !self.servers[s].up || self.servers[s].draining {
             return false;
         }
-        self.servers[s].drains = true;
+        self.servers[s].draining = true;
         let notice = self.draw(self.script.discovery.notice);
         self.announces(s, BackendState::Draining, notice.min(grace));
         self.after(grace, What::Stops(s));
@@ -333,7 +333,7 @@
             What::Retires(s, grace) => self.retires(s, grace),
             What::Leaves(s, grace) => drop(self.drains(s, grace)),
             What::Stops(s) => {
-                let drained = self.servers[s].drains;
+                let drained = self.servers[s].draining;
                 self.stops(s);
                 if drained {
                     self.announces(s, BackendState::Gone, 100.0);
@@ -341,7 +341,7 @@
             }
             What::Ready(s) => {
                 let now = self.now;
-                self.servers[s].starts(now);
+                self.servers[s].start(now);
                 let add = self.draw(self.script.discovery.add);
                 self.announces(s, BackendState::Ready, add);
             }
@@ -349,10 +349,10 @@
             What::Banned(i, s, out) => self.banned(i, s, out),
             What::Slows(s, times) => {
                 let now = self.now;
-                self.servers[s].slows(now, times, &self.script.servers);
+                self.servers[s].slow_down(now, times, &self.script.servers);
                 self.foresee(s);
             }
-            What::Errs(s, errors) => self.servers[s].errors = errors,
+            What::Errs(s, errors) => self.servers[s].error_rate = errors,
             What::Healed(hall) => drop(self.cut.remove(&hall)),
             What::Sample => self.sample(),
         }
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -3,8 +3,8 @@
 use super::event::What;
 use super::settings::settings;
 use super::{EPOCH, World, name};
+use crate::backend::{Backend, LoadReport};
 use crate::script::{Span, What as Trouble};
-use crate::server::{Reported, Server};
 use weldhub::Event;
 use weldhub::entries::backend_id;
 use weldhub::interface::{BackendState, ListKind, Outcome};
@@ -15,12 +15,12 @@
         if !self.servers[s].up {
             return;
         }
-        let held = self.servers[s].dies(self.now, &self.script.servers);
+        let held = self.servers[s].stop(self.now, &self.script.servers);
         self.lives[s] += 1;
         for a in held {
             let i = self.attempts[a].node;
-            let way = self.hop(self.nodes[i].hall, self.servers[s].hall);
-            self.after(way, What::Replies(a, Outcome::Reset, Reported::default()));
+            let way = self.hop(self.nodes[i].hall, self.servers[s].zone);
+            self.after(way, What::Replies(a, Outcome::Reset, LoadReport::default()));
         }
     }
 
@@ -150,7 +150,7 @@
     fn turn_bad(&mut self, servers: u32, times: f64, errors: f64, lasting: f64) {
         let now = self.now;
         for s in self.chosen(self.servers.len(), servers as usize) {
-            let usual = self.servers[s].errors;
+            let usual = self.servers[s].error_rate;
             self.at(now, What::Slows(s, times));
             self.at(now, What::Errs(s, errors));
             self.after(lasting, What::Slows(s, 1.0 / times));
@@ -166,17 +166,17 @@
         let add = self.draw(self.script.discovery.add);
         let old = &self.servers[s];
         let kind = &self.script.kinds[usize::from(old.kind)];
-        let (hall, cell, of) = (old.hall, old.cell, old.kind);
+        let (hall, cell, of) = (old.zone, old.cell, old.kind);
         let speed = self.draw(kind.speed);
-        let mut new = Server::new(kind.cores, speed, kind.slots, kind.queue, self.now);
-        (new.hall, new.cell, new.kind, new.errors) = (hall, cell, of, kind.errors);
-        new.starts(self.now);
-        new.slow = self.servers[s].slow;
+        let mut new = Backend::new(kind.cores, speed, kind.slots, kind.queue, self.now);
+        (new.zone, new.cell, new.kind, new.error_rate) = (hall, cell, of, kind.errors);
+        new.start(self.now);
+        new.slowdown = self.servers[s].slowdown;
         new.mean_work = self.servers[s].mean_work;
         let at = self.servers.len();
         self.servers.push(new);
         self.lives.push(0);
-        self.shown.push(Reported::default());
+        self.shown.push(LoadReport::default());
         self.known_starts.push(self.now);
         self.ids.insert(backend_id(&name(at)), at);
         self.announces(at, BackendState::Ready, add);
@@ -185,8 +185,8 @@
 
     /// A real server that died is back; discovery knows of its start later.
     pub(super) fn restarted(&mut self, s: usize, told: f64) {
-        if !self.servers[s].up && !self.servers[s].drains && !self.servers[s].fallen {
-            self.servers[s].starts(self.now);
+        if !self.servers[s].up && !self.servers[s].draining && !self.servers[s].crashed {
+            self.servers[s].start(self.now);
             self.announces(s, BackendState::Ready, told);
         }
     }
--- a/emulator/src/world/watching.rs
+++ b/emulator/src/world/watching.rs
@@ -91,11 +91,11 @@
                 at: now,
                 server: s,
                 up: server.up,
-                drains: server.drains,
+                drains: server.draining,
                 warmth: server.warmth(now, how),
-                holds: server.holds(),
-                waits: server.waits(),
-                done: server.done,
+                holds: server.in_flight(),
+                waits: server.queued(),
+                done: server.work_done,
             });
         }
         if now + self.trace.every <= self.script.length {
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -3,10 +3,10 @@
 use weldhub::interface::{BackendId, BackendState};
 use weldhub::view::View;
 use weldhub::{Action, Event, Limiter, Settings};
+use weldhub_emulator::backend::Backend;
 use weldhub_emulator::cold::{Arrival, ColdWatch};
 use weldhub_emulator::cold_sweep::{FallTable, sum_up, sweep};
 use weldhub_emulator::script::{Script, Servers};
-use weldhub_emulator::server::Server;
 use weldhub_emulator::world::{Decide, Maker, Trace, run, shipped};
 
 const DAYS: [&str; 3] = [
@@ -132,17 +132,17 @@
         fall_as_told: true,
         ..Servers::default()
     };
-    let mut server = Server::new(4, 1.0, 4.0, 20.0, -1.0);
-    server.starts(0.0);
+    let mut server = Backend::new(4, 1.0, 4.0, 20.0, -1.0);
+    server.start(0.0);
     server.mean_work = 100.0;
-    let requests = |server: &Server, how: &Servers| server.bears(0.0, how) / server.mean_work;
+    let requests = |server: &Backend, how: &Servers| server.overload_limit(0.0, how) / server.mean_work;
     let near = |allowed: f64, n: f64| (allowed - (n + 2.0 * n.sqrt() + 2.0)).abs() < 1e-9;
     // 2 times a quarter of 4 cores for 3 s, in requests of 100 ms.
     assert!(near(requests(&server, &how), 60.0));
     let by_its_own = Servers { fall_as_told: false, ..how.clone() };
     assert!(near(requests(&server, &by_its_own), 120.0));
     assert_eq!(requests(&server, &Servers { fall_slack: 0.0, ..how.clone() }), 60.0);
-    server.slows(0.0, 3.0, &how);
+    server.slow_down(0.0, 3.0, &how);
     assert!(near(requests(&server, &how), 60.0) && near(requests(&server, &by_its_own), 40.0));
-    assert!(server.may_fall(17_999.0, &how) && !server.may_fall(18_000.0, &how));
+    assert!(server.can_crash(17_999.0, &how) && !server.can_crash(18_000.0, &how));
 }
