--- a/emulator/src/backend.rs
+++ b/emulator/src/backend.rs
@@ -1,7 +1,8 @@
-//! A simulated backend: requests in service share its cores, others queue, and those beyond the queue are rejected.
+//! A simulated backend: requests in service share its cores, others queue, and those beyond the queue are
+//! rejected.
 //!
-//! Progress is kept as a virtual time that advances at the rate at which each request in service is processed, so that a
-//! change of that rate takes the same time however many requests there are.
+//! Progress is kept as a virtual time that advances at the rate at which each request in service is
+//! processed, so that a change of that rate takes the same time however many requests there are.
 
 use crate::script::Servers;
 use std::cmp::Reverse;
@@ -69,8 +70,8 @@
     pub crashed: bool,
     /// The mean work of a request, in which the overload limit allows for chance, in milliseconds.
     pub mean_work: f64,
-    /// Incremented whenever the next completion may have changed. A completion that was scheduled for an earlier version
-    /// is ignored.
+    /// Incremented whenever the next completion may have changed. A completion that was scheduled for an
+    /// earlier version is ignored.
     pub version: u64,
     /// The most requests in service.
     slots: usize,
@@ -90,7 +91,8 @@
     cold_arrivals: VecDeque<(f64, f64)>,
     /// The sum of the work of `cold_arrivals`.
     cold_work: f64,
-    /// The moving average of the time in service, in milliseconds; 0 if none was measured since the last start.
+    /// The moving average of the time in service, in milliseconds; 0 if none was measured since the last
+    /// start.
     latency: f64,
     /// The work done, in milliseconds of a core of speed 1.
     pub work_done: f64,
@@ -98,15 +100,15 @@
     work_done_before_start: f64,
 }
 
-/// Returns the fraction of full capacity at `age` milliseconds for a linear ramp from `initial` to 1 over `warm_after`
-/// milliseconds.
+/// Returns the fraction of full capacity at `age` milliseconds for a linear ramp from `initial` to 1 over
+/// `warm_after` milliseconds.
 fn ramp(age: f64, initial: f64, warm_after: f64) -> f64 {
     (initial + (1.0 - initial) * age / warm_after).clamp(initial, 1.0)
 }
 
 impl Backend {
-    /// Returns a running backend that started at `started_at`, and is warm if that is below 0. `slots_per_core` requests
-    /// are in service and `queue_per_core` wait for each core.
+    /// Returns a running backend that started at `started_at`, and is warm if that is below 0.
+    /// `slots_per_core` requests are in service and `queue_per_core` wait for each core.
     pub fn new(cores: u32, speed: f64, slots_per_core: f64, queue_per_core: f64, started_at: f64) -> Self {
         let for_all_cores = |per_core: f64| (per_core * f64::from(cores)).round() as usize;
         Self {
@@ -150,7 +152,8 @@
         ramp(age, config.cold_from, config.cold)
     }
 
-    /// Returns how long it would take a fully busy backend to do the work done since the last start, in milliseconds.
+    /// Returns how long it would take a fully busy backend to do the work done since the last start, in
+    /// milliseconds.
     fn busy_time(&self, config: &Servers) -> f64 {
         let mean_warmth = f64::midpoint(config.cold_from, 1.0);
         (self.work_done - self.work_done_before_start) / (self.cores * self.speed * mean_warmth)
@@ -164,7 +167,8 @@
         }
     }
 
-    /// Returns the rate at which each request in service is processed, in milliseconds of work per millisecond.
+    /// Returns the rate at which each request in service is processed, in milliseconds of work per
+    /// millisecond.
     fn service_rate(&self, now: f64, config: &Servers) -> f64 {
         let in_service = self.in_service.len() as f64;
         self.speed * self.warmth(now, config) / self.slowdown * (self.cores / in_service.max(1.0)).min(1.0)
@@ -233,7 +237,8 @@
         Admission::Accepted
     }
 
-    /// Returns the work that may arrive within the overload window at its present warmth, in milliseconds. More crashes it.
+    /// Returns the work that may arrive within the overload window at its present warmth, in milliseconds.
+    /// More crashes it.
     pub fn overload_limit(&self, now: f64, config: &Servers) -> f64 {
         let warmth = match config.fall_as_told {
             true => ramp(now - self.started_at, config.told_cold_from, config.told_cold),
@@ -266,8 +271,8 @@
         completed
     }
 
-    /// Returns when to call [`Self::take_completed`] next: at the next completion at the present rate, or earlier while
-    /// the backend warms up. `None` if no request is in service.
+    /// Returns when to call [`Self::take_completed`] next: at the next completion at the present rate, or
+    /// earlier while the backend warms up. `None` if no request is in service.
     pub fn next_completion(&self, now: f64, config: &Servers) -> Option<f64> {
         let Reverse((ends, _)) = self.in_service.peek()?;
         let left = (*ends as f64 / NANOS_PER_MS - self.virtual_time).max(0.0);
--- a/emulator/src/backend/tests.rs
+++ b/emulator/src/backend/tests.rs
@@ -45,7 +45,8 @@
     let ends = play(&mut cold, &[(0.0, 100.0)], &config);
     assert!((370.0..400.0).contains(&ends[0].1), "{ends:?}");
     let mut overloaded = Backend::new(1, 1.0, 1.0, 1000.0, 0.0);
-    // Its capacity is some 0.25 to 0.48 ms of work a ms over the window: twice that for 3 s is 1.5 to 2.9 s of work.
+    // Its capacity is some 0.25 to 0.48 ms of work a ms over the window: twice that for 3 s is 1.5 to 2.9 s
+    // of work.
     let crash =
         (0..300).position(|i| overloaded.admit(10.0 * f64::from(i), 0, 20.0, &config) == Admission::Crashed);
     assert!(crash.is_some_and(|i| (75..145).contains(&i)), "{crash:?}");
--- a/emulator/src/check.rs
+++ b/emulator/src/check.rs
@@ -4,11 +4,11 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// An ingress may send new attempts to a backend for this long after it was notified that the backend drains or is gone,
-/// in milliseconds.
+/// An ingress may send new attempts to a backend for this long after it was notified that the backend drains
+/// or is gone, in milliseconds.
 const DRAIN_GRACE_MS: f64 = 250.0;
-/// The fraction by which limits may be exceeded, since ingresses share usage with a delay. One request of the largest
-/// size, or one attempt, is always allowed.
+/// The fraction by which limits may be exceeded, since ingresses share usage with a delay. One request of the
+/// largest size, or one attempt, is always allowed.
 const LIMIT_SLACK: f64 = 0.1;
 /// The refill that a ceiling allows on top of its burst and the slack, in seconds.
 const CEILING_EXTRA_REFILL_S: f64 = 0.15;
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Checks [`Rule::Drain`] when an ingress sends an attempt. `unready_since` is when the ingress was notified that the
-    /// backend is no longer ready, `None` if it knows the backend as ready or not at all.
+    /// Checks [`Rule::Drain`] when an ingress sends an attempt. `unready_since` is when the ingress was
+    /// notified that the backend is no longer ready, `None` if it knows the backend as ready or not at all.
     pub fn attempt_sent(&mut self, now: f64, ingress: usize, backend: u64, unready_since: Option<f64>) {
         if let Some(since) = unready_since.filter(|since| now - since > DRAIN_GRACE_MS) {
             self.record(Rule::Drain, now, || {
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Checks [`Rule::Resend`] when an ingress sends an attempt of `request` to `cell`. `maybe_executed` is the send time
-    /// and the cell of the earliest attempt that may have been executed, `None` if there is none.
+    /// Checks [`Rule::Resend`] when an ingress sends an attempt of `request` to `cell`. `maybe_executed` is
+    /// the send time and the cell of the earliest attempt that may have been executed, `None` if there is
+    /// none.
     pub fn attempt_repeats(
         &mut self,
         now: f64,
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Checks the cap on attempts in flight of [`Rule::Ceiling`] when a backend accepts an attempt (`started`) or the
-    /// attempt ends (not `started`).
+    /// Checks the cap on attempts in flight of [`Rule::Ceiling`] when a backend accepts an attempt
+    /// (`started`) or the attempt ends (not `started`).
     pub fn attempt_in_flight(
         &mut self,
         now: f64,
--- a/emulator/src/cold_sweep.rs
+++ b/emulator/src/cold_sweep.rs
@@ -2,7 +2,7 @@
 
 use crate::cold::{ColdReport, ColdWindow, Sender};
 use crate::script::Script;
-use crate::world::{Maker, Trace, run};
+use crate::world::{DecisionModuleFactory, Trace, run};
 use rayon::prelude::*;
 use serde::Serialize;
 use std::fmt;
@@ -69,7 +69,11 @@
 }
 
 /// Plays scripts over seeds and looks at their cold backends; the same runs in the same order whatever the machine.
-pub fn sweep(scripts: &[(String, Script)], seeds: &[u64], maker: Maker<'_>) -> Result<Vec<ColdRun>, String> {
+pub fn sweep(
+    scripts: &[(String, Script)],
+    seeds: &[u64],
+    maker: DecisionModuleFactory<'_>,
+) -> Result<Vec<ColdRun>, String> {
     let jobs: Vec<(&String, &Script, u64)> = scripts
         .iter()
         .flat_map(|(value, script)| seeds.iter().map(move |seed| (value, script, *seed)))
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,8 +1,11 @@
-//! A discrete-event emulator of a whole weldhub fleet: ingresses, real servers, discovery, counter, peers' messages and
-//! clients in simulated time, over the shipped [`weldhub::Limiter`], [`weldhub::maintenance`], [`weldhub::membership`] and
-//! [`weldhub_client`], none of them changed for it. The same script and seed give the same bytes.
+//! A discrete-event emulator of a whole weldhub fleet in simulated time: ingresses, backends, discovery, the
+//! counter, peer messages and clients.
 //!
-//! `docs/emulator.md` tells what is modelled and what is not; `docs/on-call-emulator.md` how it is used.
+//! The ingresses run the shipped [`weldhub::Limiter`], [`weldhub::maintenance`] and [`weldhub::membership`],
+//! the clients [`weldhub_client`], all of them unmodified. The same script and seed give the same bytes.
+//!
+//! `docs/emulator.md` says what is modelled and what is not, `docs/on-call-emulator.md` how to use the
+//! emulator.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -9,7 +9,7 @@
 use weldhub_emulator::members::{self, Setup};
 use weldhub_emulator::report::rows;
 use weldhub_emulator::script::Script;
-use weldhub_emulator::world::{Trace, run, shipped};
+use weldhub_emulator::world::{Trace, run, shipped_limiter};
 use weldhub_emulator::{plot, script};
 
 /// Plays a whole weldhub fleet in simulated time, over the shipped decisions.
@@ -232,7 +232,7 @@
 fn carried_out(command: Command) -> Result<String, String> {
     match command {
         Command::Run { of, json, csv, plot } => {
-            let report = run(&of.read()?, of.seed, &shipped, Trace::default())?.report;
+            let report = run(&of.read()?, of.seed, &shipped_limiter, Trace::default())?.report;
             write(&csv, || report.csv())?;
             let title = format!("{}, seed {}", of.script.display(), of.seed);
             write(&plot, || plot::run(&report, &title))?;
@@ -275,12 +275,12 @@
             ))
         }
         Command::Cold { of, over: None, seeds: 1, csv: None } => {
-            let outcomes = run(&of.read()?, of.seed, &shipped, Trace::default())?;
+            let outcomes = run(&of.read()?, of.seed, &shipped_limiter, Trace::default())?;
             Ok(FallTable(&outcomes.cold).to_string())
         }
         Command::Cold { of, over, seeds, csv } => {
             let (_, scripts) = over_values(of.read()?, over.as_deref())?;
-            let runs = cold_sweep::sweep(&scripts, &of.seeds(seeds), &shipped)?;
+            let runs = cold_sweep::sweep(&scripts, &of.seeds(seeds), &shipped_limiter)?;
             write(&csv, || rows(&runs))?;
             Ok(ColdTable(&cold_sweep::sum_up(&runs)).to_string())
         }
@@ -289,13 +289,14 @@
             if !(every.is_finite() && every >= 1.0) {
                 return Err("--every must be 1 or more".into());
             }
-            let outcomes = run(&of.read()?, of.seed, &shipped, Trace { every })?;
+            let outcomes = run(&of.read()?, of.seed, &shipped_limiter, Trace { interval_ms: every })?;
             let text = match server {
                 Some(server) => {
-                    rows(&outcomes.servers.into_iter().filter(|s| s.server == server).collect::<Vec<_>>())
+                    rows(&outcomes.backends.into_iter().filter(|s| s.backend == server).collect::<Vec<_>>())
                 }
                 None => {
-                    let one = |s: &weldhub_emulator::world::Sample| ingress.is_none_or(|i| s.ingress == i);
+                    let one =
+                        |s: &weldhub_emulator::world::IngressSample| ingress.is_none_or(|i| s.ingress == i);
                     rows(&outcomes.ingresses.into_iter().filter(one).map(Row::from).collect::<Vec<_>>())
                 }
             };
@@ -329,16 +330,16 @@
     requests: usize,
 }
 
-impl From<weldhub_emulator::world::Sample> for Row {
-    fn from(s: weldhub_emulator::world::Sample) -> Self {
+impl From<weldhub_emulator::world::IngressSample> for Row {
+    fn from(s: weldhub_emulator::world::IngressSample) -> Self {
         let v = s.view;
         Self {
             at: s.at,
             ingress: s.ingress,
             up: s.up,
             tries: s.tries,
-            no_room: s.no_room,
-            no_way: s.no_way,
+            no_room: s.rejected_for_capacity,
+            no_way: s.rejected_otherwise,
             capacity: v.capacity,
             in_flight: v.in_flight,
             pinned: v.silent_units,
--- a/emulator/src/score.rs
+++ b/emulator/src/score.rs
@@ -1,8 +1,8 @@
 //! The score of a run: the worth that was served as a share of the worth that was demanded.
 //!
-//! The demand is what one token bucket per customer admits if it sees the first try of every request. A request counts as
-//! served if it is answered within the aim of its class and its last try was inside the quota when its first attempt
-//! reached a backend, whichever try that was.
+//! The demand is what one token bucket per customer admits if it sees the first try of every request. A
+//! request counts as served if it is answered within the aim of its class and its last try was inside the
+//! quota when its first attempt reached a backend, whichever try that was.
 
 use crate::script::Script;
 use serde::Serialize;
@@ -59,7 +59,8 @@
     sent_in_flight: HashMap<u64, IdealInFlight>,
 }
 
-/// When the requests of a customer that are in flight would end if each ran on an idle backend, in milliseconds.
+/// When the requests of a customer that are in flight would end if each ran on an idle backend, in
+/// milliseconds.
 #[derive(Debug, Default)]
 struct IdealInFlight(Vec<f64>);
 
@@ -84,8 +85,8 @@
 }
 
 impl TokenBucket {
-    /// Refills the bucket by `rate` units a second up to `burst`. Returns whether it holds `units`, and takes them if it
-    /// does.
+    /// Refills the bucket by `rate` units a second up to `burst`. Returns whether it holds `units`, and takes
+    /// them if it does.
     fn take(&mut self, now: f64, units: f64, rate: f64, burst: f64) -> bool {
         let level = (self.units + (now - self.updated_at).max(0.0) / 1000.0 * rate).min(burst);
         let fits = level >= units;
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Records the arrival of a request at its client. Returns its worth if it is inside the quota, 0 otherwise.
+    /// Records the arrival of a request at its client. Returns its worth if it is inside the quota, 0
+    /// otherwise.
     pub fn record_demand(
         &mut self,
         now: f64,
@@ -156,8 +158,8 @@
         self.plans[plan].served += worth;
     }
 
-    /// Records that the first attempt of a try reached a backend. Returns whether the try is inside the quota; its cost is
-    /// added to [`Self::excess_cost`] if not.
+    /// Records that the first attempt of a try reached a backend. Returns whether the try is inside the
+    /// quota; its cost is added to [`Self::excess_cost`] if not.
     pub fn record_sent(
         &mut self,
         now: f64,
@@ -203,8 +205,9 @@
         shares.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((1.0, 0.0))
     }
 
-    /// Returns the service score: the weighted mean of the shares of the whole run, the worst window, the worst class and
-    /// the worst plan, less the cost of requests beyond the quotas as a fraction of the worth demanded.
+    /// Returns the service score: the weighted mean of the shares of the whole run, the worst window, the
+    /// worst class and the worst plan, less the cost of requests beyond the quotas as a fraction of the worth
+    /// demanded.
     pub fn service(&self) -> f64 {
         let least = |all: &[Worth]| all.iter().map(Worth::share).fold(1.0, f64::min);
         let total = self.total();
--- a/emulator/src/shared.rs
+++ b/emulator/src/shared.rs
@@ -1,4 +1,5 @@
-//! State that the whole fleet shares, and the rate limit on peer messages: the quota counter and [`RateLimiter`].
+//! State that the whole fleet shares, and the rate limit on peer messages: the quota counter and
+//! [`RateLimiter`].
 
 use crate::script;
 use std::collections::HashMap;
@@ -27,8 +28,8 @@
     expires_at: f64,
 }
 
-/// The quota counter: partitions that each process calls in order of arrival, including calls whose caller has timed
-/// out.
+/// The quota counter: partitions that each process calls in order of arrival, including calls whose caller
+/// has timed out.
 #[derive(Debug, Clone)]
 pub struct Counter {
     /// When each partition has processed its queue, in milliseconds.
@@ -46,8 +47,9 @@
         Self { free_at: vec![0.0; config.parts], entries: HashMap::new(), unavailable_until: 0.0, calls: 0 }
     }
 
-    /// Handles a call that arrives at `now` and adds `amount` under `name`. A new total is kept for `lifetime`
-    /// milliseconds, limited to 1 to 60,000; `service_time` is the processing time of this call in milliseconds.
+    /// Handles a call that arrives at `now` and adds `amount` under `name`. A new total is kept for
+    /// `lifetime` milliseconds, limited to 1 to 60,000; `service_time` is the processing time of this call in
+    /// milliseconds.
     pub fn add(
         &mut self,
         now: f64,
@@ -83,7 +85,8 @@
     }
 }
 
-/// A token bucket that limits how many peer messages an ingress accepts, with a burst of a quarter of a second.
+/// A token bucket that limits how many peer messages an ingress accepts, with a burst of a quarter of a
+/// second.
 #[derive(Debug, Clone, Copy)]
 pub struct RateLimiter {
     tokens: f64,
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -1,8 +1,9 @@
-//! Discovery: what ingresses are told of backends, and what of it they believe.
+//! Service discovery: when changes of backends reach the ingresses, and how they pass the shipped membership
+//! policy and the operators' maintenance list.
 
-use super::event::What;
-use super::ingresses::Told;
-use super::{CATALOGUE, EPOCH, World, name};
+use super::event::EventKind;
+use super::ingresses::KnownState;
+use super::{CATALOGUE_DELAY_MS, EPOCH_MS, World, backend_name};
 use crate::script::By;
 use std::collections::BTreeSet;
 use weldhub::Event;
@@ -12,157 +13,184 @@
 use weldhub::membership::{Observation, Reason};
 
 impl World<'_> {
-    pub(super) fn entry(&self, s: usize, state: BackendState) -> ServiceEntry {
-        let server = &self.servers[s];
+    /// Returns the list entry of a backend in `state`.
+    pub(super) fn service_entry(&self, index: usize, state: BackendState) -> ServiceEntry {
+        let backend = &self.backends[index];
         let entry = BackendEntry {
-            backend: backend_id(&name(s)),
+            backend: backend_id(&backend_name(index)),
             state,
             weight: 1.0,
-            zone: ZoneId(server.zone),
-            cell: CellId(server.cell),
-            kind: KindId(server.kind),
-            last_start: Some(self.known_starts[s]).filter(|at| *at >= 0.0).map(|at| EPOCH + at),
+            zone: ZoneId(backend.zone),
+            cell: CellId(backend.cell),
+            kind: KindId(backend.kind),
+            last_start: Some(self.published_starts[index]).filter(|at| *at >= 0.0).map(|at| EPOCH_MS + at),
         };
-        // An address stands for the real server; nobody connects to it.
-        let at = (state != BackendState::Gone).then(|| ([127, 0, 0, 1], 1 + (s % 65_535) as u16).into());
-        ServiceEntry { entry, address: at }
+        // A placeholder: the emulator opens no sockets.
+        let address =
+            (state != BackendState::Gone).then(|| ([127, 0, 0, 1], 1 + (index % 65_535) as u16).into());
+        ServiceEntry { entry, address }
     }
 
-    /// An ingress is told a list, through the bans that lie over it.
-    pub(super) fn listed(&mut self, i: usize, kind: ListKind, entries: Vec<ServiceEntry>) {
+    /// Passes a list from discovery to an ingress, without the backends that operators have disabled there.
+    pub(super) fn list_received(&mut self, ingress: usize, kind: ListKind, entries: Vec<ServiceEntry>) {
         if kind == ListKind::Failed {
-            return self.feed(i, Event::BackendList(kind, Vec::new()));
+            return self.dispatch(ingress, Event::BackendList(kind, Vec::new()));
         }
-        let whole = kind != ListKind::Changes;
-        let list = self.nodes[i].maintenance.listed(BackendList { generation: 0, complete: whole, entries });
-        self.believes(i, kind, list);
+        let complete = kind != ListKind::Changes;
+        let list =
+            self.ingresses[ingress].maintenance.listed(BackendList { generation: 0, complete, entries });
+        self.apply_list(ingress, kind, list);
     }
 
-    pub(super) fn believes(&mut self, i: usize, kind: ListKind, list: BackendList) {
-        let (now, node) = (self.now, &mut self.nodes[i]);
+    /// Records the states in a list as known to an ingress, and passes the list to its decision module.
+    pub(super) fn apply_list(&mut self, ingress: usize, kind: ListKind, list: BackendList) {
+        let (now, node) = (self.now, &mut self.ingresses[ingress]);
         if kind != ListKind::Changes {
+            // A backend that a complete list does not name is gone.
             let named: BTreeSet<BackendId> = list.entries.iter().map(|e| e.entry.backend).collect();
-            for (_, told) in node.told.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                if told.state == BackendState::Ready {
-                    *told = Told { state: BackendState::Gone, since: now };
+            for (_, known) in node.known_states.iter_mut().filter(|(id, _)| !named.contains(id)) {
+                if known.state == BackendState::Ready {
+                    *known = KnownState { state: BackendState::Gone, since: now };
                 }
             }
         }
         for e in &list.entries {
-            if let (Some(s), Some(start)) = (self.ids.get(&e.entry.backend), e.entry.last_start) {
-                self.cold.told(i, *s, start - EPOCH);
+            if let (Some(backend), Some(start)) =
+                (self.backend_by_id.get(&e.entry.backend), e.entry.last_start)
+            {
+                self.cold.told(ingress, *backend, start - EPOCH_MS);
             }
-            let told = node.told.entry(e.entry.backend).or_insert(Told { state: e.entry.state, since: now });
-            if (told.state == BackendState::Ready) != (e.entry.state == BackendState::Ready) {
-                told.since = now;
+            let known = node
+                .known_states
+                .entry(e.entry.backend)
+                .or_insert(KnownState { state: e.entry.state, since: now });
+            if (known.state == BackendState::Ready) != (e.entry.state == BackendState::Ready) {
+                known.since = now;
             }
-            told.state = e.entry.state;
+            known.state = e.entry.state;
         }
         let entries = list.entries.iter().map(|e| e.entry).collect();
-        self.feed(i, Event::BackendList(kind, entries));
+        self.dispatch(ingress, Event::BackendList(kind, entries));
     }
 
-    /// Discovery has learnt of a change.
-    pub(super) fn publishes(&mut self, s: usize, state: BackendState, of: u64) {
-        if self.lives[s] != of {
+    /// Discovery learns the state of a backend, and passes it on to each ingress after a delay. News of an
+    /// earlier incarnation is ignored.
+    pub(super) fn publish(&mut self, backend: usize, state: BackendState, incarnation: u64) {
+        if self.backend_incarnations[backend] != incarnation {
             return;
         }
-        self.known_starts[s] = self.servers[s].started_at;
+        self.published_starts[backend] = self.backends[backend].started_at;
         match state {
-            BackendState::Gone => drop(self.published.remove(&s)),
-            _ => drop(self.published.insert(s, state)),
+            BackendState::Gone => drop(self.published.remove(&backend)),
+            _ => drop(self.published.insert(backend, state)),
         }
         let by = self.script.discovery.by;
-        for i in 0..self.nodes.len() {
-            let late = self.draw(self.script.discovery.spread);
-            let life = self.nodes[i].life;
+        for ingress in 0..self.ingresses.len() {
+            let delay = self.draw(self.script.discovery.spread);
+            let incarnation = self.ingresses[ingress].incarnation;
             match by {
-                By::Consul => self.after(late, What::Asked(i, life)),
+                By::Consul => self.schedule_after(delay, EventKind::CompleteListRead(ingress, incarnation)),
                 _ => {
-                    let entry = self.entry(s, state);
-                    self.after(late, What::News(i, life, ListKind::Changes, vec![entry]));
+                    let entry = self.service_entry(backend, state);
+                    self.schedule_after(
+                        delay,
+                        EventKind::ListArrives(ingress, incarnation, ListKind::Changes, vec![entry]),
+                    );
                 }
             }
         }
     }
 
-    /// The whole list comes, by whatever was asked.
-    pub(super) fn asked(&mut self, i: usize, life: u32) {
-        if !self.nodes[i].up || self.nodes[i].life != life {
+    /// The complete list arrives at an ingress: directly, or with Consul as health observations through the
+    /// membership policy.
+    pub(super) fn complete_list_read(&mut self, ingress: usize, incarnation: u32) {
+        if !self.ingresses[ingress].is_live(incarnation) {
             return;
         }
-        self.nodes[i].subscribed = true;
-        let all: Vec<(usize, BackendState)> = self.published.iter().map(|(s, state)| (*s, *state)).collect();
-        let entries = all.into_iter().map(|(s, state)| self.entry(s, state));
+        self.ingresses[ingress].subscribed = true;
+        let published: Vec<(usize, BackendState)> =
+            self.published.iter().map(|(backend, state)| (*backend, *state)).collect();
+        let entries = published.into_iter().map(|(backend, state)| self.service_entry(backend, state));
         if self.script.discovery.by != By::Consul {
             let entries = entries.collect();
-            return self.listed(i, ListKind::Full, entries);
+            return self.list_received(ingress, ListKind::Full, entries);
         }
-        let seen = entries.map(|entry| Observation {
+        let observations = entries.map(|entry| Observation {
             name: String::new(),
             reason: if entry.entry.state == BackendState::Ready { Reason::Passing } else { Reason::Critical },
             entry,
             registered: 0,
         });
-        let (seen, now) = (seen.collect(), self.now);
-        let members = &mut self.nodes[i].members;
-        let told = match members.health(now, seen) {
-            Step::Report(told) => told,
-            Step::Confirm(told) => {
+        let (observations, now) = (observations.collect(), self.now);
+        let members = &mut self.ingresses[ingress].members;
+        let changes = match members.health(now, observations) {
+            Step::Report(changes) => changes,
+            Step::Confirm(changes) => {
                 let round = members.unconfirmed_round().unwrap_or(0);
-                self.after(CATALOGUE, What::Catalogue(i, life, round));
-                told
+                self.schedule_after(
+                    CATALOGUE_DELAY_MS,
+                    EventKind::CatalogueAnswered(ingress, incarnation, round),
+                );
+                changes
             }
         };
-        self.tells(i, told);
+        self.report_changes(ingress, changes);
     }
 
-    pub(super) fn tells(&mut self, i: usize, told: Vec<Observation>) {
-        let life = self.nodes[i].life;
-        if !told.is_empty() {
-            self.listed(i, ListKind::Changes, told.into_iter().map(|s| s.entry).collect());
+    /// Passes on the changes that the membership policy reports, and schedules its next deadline.
+    pub(super) fn report_changes(&mut self, ingress: usize, changes: Vec<Observation>) {
+        let incarnation = self.ingresses[ingress].incarnation;
+        if !changes.is_empty() {
+            self.list_received(ingress, ListKind::Changes, changes.into_iter().map(|s| s.entry).collect());
         }
-        if let Some(at) = self.nodes[i].members.next_due() {
-            self.at(at, What::Due(i, life));
+        if let Some(at) = self.ingresses[ingress].members.next_due() {
+            self.schedule_at(at, EventKind::MembershipDue(ingress, incarnation));
         }
     }
 
-    /// A change of a real server becomes known.
-    pub(super) fn announces(&mut self, s: usize, state: BackendState, after: f64) {
-        let of = self.lives[s];
-        self.after(after, What::Published(s, state, of));
+    /// Discovery will learn the state of a backend after `delay` milliseconds, unless its process ends first.
+    pub(super) fn schedule_publication(&mut self, backend: usize, state: BackendState, delay: f64) {
+        let incarnation = self.backend_incarnations[backend];
+        self.schedule_after(delay, EventKind::StatePublished(backend, state, incarnation));
     }
 
-    /// Discovery's news arrives at an ingress.
-    pub(super) fn news(&mut self, i: usize, life: u32, kind: ListKind, entries: Vec<ServiceEntry>) {
-        let node = &self.nodes[i];
+    /// A list pushed by discovery, or the failure of a query, arrives at an ingress.
+    pub(super) fn list_arrives(
+        &mut self,
+        ingress: usize,
+        incarnation: u32,
+        kind: ListKind,
+        entries: Vec<ServiceEntry>,
+    ) {
+        let node = &self.ingresses[ingress];
+        // Delays vary, so an entry may arrive after a later one: only those that still hold are passed on.
         let current = |e: &ServiceEntry| {
-            let s = self.ids.get(&e.entry.backend).copied();
-            // Older news than what was told since says nothing.
-            s.and_then(|s| self.published.get(&s).copied()).unwrap_or(BackendState::Gone) == e.entry.state
+            let backend = self.backend_by_id.get(&e.entry.backend).copied();
+            backend.and_then(|backend| self.published.get(&backend).copied()).unwrap_or(BackendState::Gone)
+                == e.entry.state
         };
-        if node.up && node.life == life && (node.subscribed || kind == ListKind::Failed) {
+        if node.is_live(incarnation) && (node.subscribed || kind == ListKind::Failed) {
             let entries = entries.into_iter().filter(current).collect();
-            self.listed(i, kind, entries);
+            self.list_received(ingress, kind, entries);
         }
     }
 
-    /// The catalogue's answer arrives at an ingress.
-    pub(super) fn catalogue(&mut self, i: usize, life: u32, round: u64) {
-        if self.nodes[i].up && self.nodes[i].life == life {
-            let held = self.published.keys().map(|s| backend_id(&name(*s))).collect();
-            let told = self.nodes[i].members.catalogue(self.now, round, &held);
-            self.tells(i, told);
+    /// Consul's catalogue confirms or refutes a mass withdrawal at an ingress.
+    pub(super) fn catalogue_answered(&mut self, ingress: usize, incarnation: u32, round: u64) {
+        if self.ingresses[ingress].is_live(incarnation) {
+            let registered = self.published.keys().map(|s| backend_id(&backend_name(*s))).collect();
+            let changes = self.ingresses[ingress].members.catalogue(self.now, round, &registered);
+            self.report_changes(ingress, changes);
         }
     }
 
-    /// An operator disables a real server at an ingress, or enables it again.
-    pub(super) fn banned(&mut self, i: usize, s: usize, out: bool) {
-        let name = name(s);
-        let maintenance = &mut self.nodes[i].maintenance;
-        let change = if out { maintenance.disable(&name) } else { maintenance.enable(&name) };
-        if let (true, Ok(Some(change))) = (self.nodes[i].up, change) {
-            self.believes(i, ListKind::Changes, change);
+    /// An operator disables a backend at an ingress, or enables it again.
+    pub(super) fn set_backend_disabled(&mut self, ingress: usize, backend: usize, disabled: bool) {
+        let name = backend_name(backend);
+        let maintenance = &mut self.ingresses[ingress].maintenance;
+        let change = if disabled { maintenance.disable(&name) } else { maintenance.enable(&name) };
+        if let (true, Ok(Some(change))) = (self.ingresses[ingress].up, change) {
+            self.apply_list(ingress, ListKind::Changes, change);
         }
     }
 }
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -1,4 +1,4 @@
-//! Events in their order.
+//! The event queue of a run, ordered by simulated time.
 
 use super::World;
 use crate::backend::{AttemptId, LoadReport};
@@ -7,77 +7,120 @@
 use weldhub::interface::{BackendState, CounterAnswer, ListKind, Outcome, TimerKey};
 use weldhub_client::policy::TryOutcome;
 
-pub(super) enum What {
-    Arrives(usize),
-    Tries(usize),
-    Reaches(usize, u32, usize, u32),
-    Answered(usize, u32, TryOutcome),
-    TryEnds(usize, u32),
+/// What happens at an event. Ingresses, backends, customers and client requests are indices into the lists of
+/// [`World`]. An event with an incarnation is ignored by a later incarnation of its process.
+pub(super) enum EventKind {
+    /// A request of a customer arrives at its client. `usize::MAX - customer` begins or ends a flood of the
+    /// customer.
+    RequestArrives(usize),
+    /// The client starts the next try of a request.
+    TryStarts(usize),
+    /// A try arrives at an ingress: request, number of the try, ingress, incarnation.
+    TryArrives(usize, u32, usize, u32),
+    /// The outcome of a try reaches the client: request, number of the try, outcome.
+    TryAnswered(usize, u32, TryOutcome),
+    /// The client's timeout of a try expires: request, number of the try.
+    TryTimesOut(usize, u32),
+    /// A timer of the decision module expires: ingress, incarnation, key.
     Timer(usize, u32, TimerKey),
-    Guard(usize, u32, u64),
-    News(usize, u32, ListKind, Vec<ServiceEntry>),
-    Published(usize, BackendState, u64),
-    Catalogue(usize, u32, u64),
-    Due(usize, u32),
-    Asked(usize, u32),
-    Mail(usize, usize, Vec<u8>),
-    CallComes(usize, u32, u64, u64, f64, f64),
-    CallEnds(usize, u32, u64, u64, CounterAnswer),
-    Comes(AttemptId),
-    Works(usize, u64),
-    Replies(AttemptId, Outcome, LoadReport),
-    GivesUp(AttemptId, Outcome),
-    Refresh(usize),
-    Shown(usize, LoadReport),
-    Shift(usize),
-    Trouble(usize),
-    Down(usize, f64),
-    Up(usize),
-    Retires(usize, f64),
-    Leaves(usize, f64),
-    Stops(usize),
-    Ready(usize),
-    Restarted(usize, f64),
-    Banned(usize, usize, bool),
-    Slows(usize, f64),
-    Errs(usize, f64),
-    Healed(u8),
+    /// The answer to a request is due at the latest: ingress, incarnation, request id.
+    AnswerDue(usize, u32, u64),
+    /// A backend list from discovery reaches an ingress: ingress, incarnation, kind, entries.
+    ListArrives(usize, u32, ListKind, Vec<ServiceEntry>),
+    /// Discovery learns the state of a backend: backend, state, incarnation of the backend.
+    StatePublished(usize, BackendState, u64),
+    /// Consul's catalogue answers: ingress, incarnation, round of the confirmation.
+    CatalogueAnswered(usize, u32, u64),
+    /// The membership policy has something due: ingress, incarnation.
+    MembershipDue(usize, u32),
+    /// Discovery answers a query for the complete list: ingress, incarnation.
+    CompleteListRead(usize, u32),
+    /// A peer message arrives: receiving ingress, sending ingress, message.
+    PeerMessageArrives(usize, usize, Vec<u8>),
+    /// A call arrives at the counter: ingress, incarnation, call, name, amount, lifetime of the total.
+    CounterCallArrives(usize, u32, u64, u64, f64, f64),
+    /// A call to the counter is answered or times out: ingress, incarnation, call, name, answer.
+    CounterCallEnds(usize, u32, u64, u64, CounterAnswer),
+    /// An attempt arrives at its backend.
+    AttemptArrives(AttemptId),
+    /// Attempts complete at a backend: backend, version of its schedule.
+    AttemptsComplete(usize, u64),
+    /// The reply to an attempt arrives at its ingress.
+    ReplyArrives(AttemptId, Outcome, LoadReport),
+    /// The ingress ends an attempt without a reply, by a timeout or cancellation.
+    AttemptAbandoned(AttemptId, Outcome),
+    /// A backend takes its next load report.
+    LoadReportDue(usize),
+    /// A load report is carried by answers from now on.
+    LoadReportVisible(usize, LoadReport),
+    /// A customer redistributes its requests over its ingresses.
+    CustomerShifts(usize),
+    /// A trouble of the script begins.
+    TroubleBegins(usize),
+    /// An ingress dies: ingress, time until it restarts.
+    IngressDies(usize, f64),
+    /// An ingress restarts.
+    IngressRestarts(usize),
+    /// A backend drains and its replacement starts: backend, time until it stops.
+    BackendReplaced(usize, f64),
+    /// A backend drains and is not replaced: backend, time until it stops.
+    BackendRemoved(usize, f64),
+    /// A backend's process ends.
+    BackendStops(usize),
+    /// A backend's process starts again, and discovery is notified.
+    BackendStarts(usize),
+    /// A backend restarts after a crash: backend, delay until discovery knows.
+    BackendRestarts(usize, f64),
+    /// An operator disables a backend at an ingress (`true`) or enables it again: ingress, backend.
+    BackendDisabled(usize, usize, bool),
+    /// A backend becomes slower by a factor.
+    BackendSlowed(usize, f64),
+    /// The error rate of a backend changes.
+    ErrorRateChanges(usize, f64),
+    /// The network partition of a zone ends.
+    PartitionHeals(u8),
+    /// The state of all ingresses and backends is sampled.
     Sample,
 }
 
-pub(super) struct Entry {
-    pub(super) at: u64,
+/// An event in the queue. Events at the same time are handled in the order in which they were scheduled.
+pub(super) struct ScheduledEvent {
+    /// In microseconds of simulated time.
+    pub(super) at_us: u64,
     pub(super) seq: u64,
-    pub(super) what: What,
+    pub(super) kind: EventKind,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.seq) == (other.at, other.seq)
+        (self.at_us, self.seq) == (other.at_us, other.seq)
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.seq).cmp(&(other.at, other.seq))
+        (self.at_us, self.seq).cmp(&(other.at_us, other.seq))
     }
 }
 
 impl World<'_> {
-    pub(super) fn at(&mut self, at: f64, what: What) {
+    /// Schedules an event at `at` milliseconds of simulated time, and now if that is in the past.
+    pub(super) fn schedule_at(&mut self, at: f64, kind: EventKind) {
         self.seq += 1;
-        self.heap.push(Reverse(Entry { at: (at.max(self.now) * 1000.0).ceil() as u64, seq: self.seq, what }));
+        let at_us = (at.max(self.now) * 1000.0).ceil() as u64;
+        self.event_queue.push(Reverse(ScheduledEvent { at_us, seq: self.seq, kind }));
     }
 
-    pub(super) fn after(&mut self, span: f64, what: What) {
-        self.at(self.now + span, what);
+    /// Schedules an event `delay` milliseconds from now.
+    pub(super) fn schedule_after(&mut self, delay: f64, kind: EventKind) {
+        self.schedule_at(self.now + delay, kind);
     }
 }
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -1,14 +1,15 @@
-//! Ingresses: what their limiters are told and what they ask for, how they die and come back.
+//! Ingresses: the events that their decision modules get, the actions that they carry out, and their
+//! restarts.
 
-use super::decide::Decide;
-use super::event::What;
-use super::settings::settings;
-use super::{ASK_FAILS, EPOCH, HARD, World};
+use super::decisions::DecisionModule;
+use super::event::EventKind;
+use super::settings::ingress_settings;
+use super::{DISCOVERY_TIMEOUT_MS, EPOCH_MS, MIN_CHECKED_TIMEOUT_MS, World};
 use crate::backend::AttemptId;
 use crate::check::Rule;
 use crate::script::By;
 use crate::shared::{CounterReply, RateLimiter};
-use std::collections::HashMap;
+use std::collections::{HashMap, VecDeque};
 use weldhub::interface::{
     BackendId, BackendState, CounterAnswer, CounterName, IngressId, ListKind, Load, MAX_PEER_MESSAGE_BYTES,
     Outcome, RequestId,
@@ -19,242 +20,339 @@
 use weldhub::{Action, Event};
 use weldhub_client::policy::TryOutcome;
 
-pub(super) struct Flow {
-    pub(super) asked: usize,
-    pub(super) no: u32,
-    pub(super) until: f64,
-    pub(super) started: u16,
-    pub(super) out: Vec<AttemptId>,
+/// A try of a client request at an ingress, which is one request to the decision module.
+pub(super) struct IngressRequest {
+    /// The index of the client request.
+    pub(super) client_request: usize,
+    pub(super) try_number: u32,
+    /// When the last attempt must end, in milliseconds.
+    pub(super) deadline: f64,
+    /// The number of attempts that were started, including those that were not sent.
+    pub(super) attempts_started: u16,
+    pub(super) in_flight: Vec<AttemptId>,
+    /// Whether the client still waits for an answer.
     pub(super) open: bool,
-    pub(super) reached: bool,
-    pub(super) risky: Option<(f64, u16)>,
+    /// Whether an attempt has reached its backend.
+    pub(super) reached_backend: bool,
+    /// The send time and the cell of the earliest attempt that ended and may have been executed.
+    pub(super) maybe_executed: Option<(f64, u16)>,
 }
 
-/// As an ingress was told of a real server: its state, since when, and in which of its lives.
+/// The state of a backend as an ingress was notified of it.
 #[derive(Clone, Copy)]
-pub(super) struct Told {
+pub(super) struct KnownState {
     pub(super) state: BackendState,
+    /// When the backend last became ready or stopped being ready, in milliseconds.
     pub(super) since: f64,
 }
 
-pub(super) struct Node {
-    pub(super) brain: Box<dyn Decide>,
-    pub(super) life: u32,
+/// The tries that arrived at an ingress since the previous sample.
+#[derive(Default)]
+pub(super) struct TryCounts {
+    pub(super) arrived: u64,
+    /// Tries inside the quota that were rejected on arrival for lack of capacity.
+    pub(super) rejected_for_capacity: u64,
+    /// Tries inside the quota that were rejected on arrival for another reason.
+    pub(super) rejected_otherwise: u64,
+}
+
+/// An ingress.
+pub(super) struct Ingress {
+    pub(super) decisions: Box<dyn DecisionModule>,
+    /// Incremented when its process ends.
+    pub(super) incarnation: u32,
     pub(super) up: bool,
+    /// When its process last started, in milliseconds.
     pub(super) up_since: f64,
+    /// When its process last ended, in milliseconds.
     pub(super) down_since: f64,
-    /// The front knows that it is down from then on.
-    pub(super) noticed: f64,
-    pub(super) hall: u8,
+    /// When clients that do not track the ingresses themselves begin to avoid it, in milliseconds.
+    pub(super) known_down_at: f64,
+    pub(super) zone: u8,
     pub(super) maintenance: Maintenance,
     pub(super) members: Members,
+    /// Whether it gets changes from discovery.
     pub(super) subscribed: bool,
-    pub(super) told: HashMap<BackendId, Told>,
-    pub(super) flows: HashMap<u64, Flow>,
-    pub(super) idle: HashMap<(BackendId, u64), u32>,
+    pub(super) known_states: HashMap<BackendId, KnownState>,
+    /// By request id.
+    pub(super) requests: HashMap<u64, IngressRequest>,
+    /// The number of idle connections, by backend and its incarnation.
+    pub(super) idle_connections: HashMap<(BackendId, u64), u32>,
     pub(super) message_limiter: RateLimiter,
-    pub(super) calls: HashMap<u64, u64>,
-    pub(super) counts: [u64; 3],
+    /// The counter name of each call that is not answered yet, by call.
+    pub(super) counter_calls: HashMap<u64, u64>,
+    pub(super) try_counts: TryCounts,
+}
+
+impl Ingress {
+    /// Returns whether the process of `incarnation` runs.
+    pub(super) fn is_live(&self, incarnation: u32) -> bool {
+        self.up && self.incarnation == incarnation
+    }
 }
 
 impl World<'_> {
-    pub(super) fn feed(&mut self, i: usize, event: Event) {
-        let mut next = std::collections::VecDeque::from([event]);
-        let mut acts = Vec::new();
-        while let Some(event) = next.pop_front() {
-            self.nodes[i].brain.handle(EPOCH + self.now, event, &mut acts);
-            for act in std::mem::take(&mut acts) {
-                self.carry_out(i, act, &mut next);
+    /// Passes an event to the decision module of an ingress and carries out its actions, including the events
+    /// that these cause at once.
+    pub(super) fn dispatch(&mut self, ingress: usize, event: Event) {
+        let mut events = VecDeque::from([event]);
+        let mut actions = Vec::new();
+        while let Some(event) = events.pop_front() {
+            self.ingresses[ingress].decisions.handle(EPOCH_MS + self.now, event, &mut actions);
+            for action in std::mem::take(&mut actions) {
+                self.perform(ingress, action, &mut events);
             }
         }
     }
 
-    pub(super) fn carry_out(&mut self, i: usize, act: Action, own: &mut std::collections::VecDeque<Event>) {
-        let life = self.nodes[i].life;
-        match act {
-            Action::Send { request, backend: server, timeout: wait, .. } => {
-                self.send(i, request.0, server, wait, own)
+    /// Carries out an action. Events that it causes at once are added to `events`.
+    pub(super) fn perform(&mut self, ingress: usize, action: Action, events: &mut VecDeque<Event>) {
+        let incarnation = self.ingresses[ingress].incarnation;
+        match action {
+            Action::Send { request, backend, timeout, .. } => {
+                self.send_attempt(ingress, request.0, backend, timeout, events)
             }
-            Action::Reject(id, after) => self.answer(i, id.0, TryOutcome::Rejected { retry_after: after }),
-            Action::Fail(id) => self.answer(i, id.0, TryOutcome::Failed),
-            Action::Cancel(id, no) => {
-                let flow = self.nodes[i].flows.get(&id.0);
-                let found = flow.and_then(|f| f.out.iter().copied().find(|a| self.attempts[*a].no == no.0));
+            Action::Reject(id, retry_after) => {
+                self.answer_client(ingress, id.0, TryOutcome::Rejected { retry_after })
+            }
+            Action::Fail(id) => self.answer_client(ingress, id.0, TryOutcome::Failed),
+            Action::Cancel(id, attempt_index) => {
+                let request = self.ingresses[ingress].requests.get(&id.0);
+                let found = request.and_then(|request| {
+                    request
+                        .in_flight
+                        .iter()
+                        .copied()
+                        .find(|attempt| self.attempts[*attempt].attempt_index == attempt_index.0)
+                });
                 if let Some(attempt) = found {
-                    self.at(self.now, What::GivesUp(attempt, Outcome::Cancelled));
+                    self.schedule_at(self.now, EventKind::AttemptAbandoned(attempt, Outcome::Cancelled));
                 }
             }
-            Action::Probe(server) => {
-                own.push_back(Event::ProbeEnded(server, Outcome::NotSent, Load::default()))
+            Action::Probe(backend) => {
+                events.push_back(Event::ProbeEnded(backend, Outcome::NotSent, Load::default()))
+            }
+            Action::SetTimer(delay, key) => {
+                self.schedule_after(delay.max(0.0), EventKind::Timer(ingress, incarnation, key))
             }
-            Action::SetTimer(after, key) => self.after(after.max(0.0), What::Timer(i, life, key)),
-            Action::SendToPeer(to, bytes) => self.mail(i, usize::from(to.0), bytes),
-            Action::AddToCounter(name, amount, keep) => {
-                let Some(how) = &self.script.counter else {
-                    return own.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
+            Action::SendToPeer(to, bytes) => self.send_peer_message(ingress, usize::from(to.0), bytes),
+            Action::AddToCounter(name, amount, lifetime) => {
+                let Some(config) = &self.script.counter else {
+                    return events.push_back(Event::CounterAnswered(name, CounterAnswer::NotAdded));
                 };
                 self.seq += 1;
                 let call = self.seq;
-                self.nodes[i].calls.insert(call, name.0);
-                let timeout = how.timeout;
-                let way = self.hop(self.nodes[i].hall, 0);
-                self.after(timeout, What::CallEnds(i, life, call, name.0, CounterAnswer::Unknown));
-                if !self.cut_between(self.nodes[i].hall, 0) {
-                    self.after(way, What::CallComes(i, life, call, name.0, amount, keep));
+                self.ingresses[ingress].counter_calls.insert(call, name.0);
+                let timeout = config.timeout;
+                // The counter is in zone 0.
+                let hop = self.draw_hop(self.ingresses[ingress].zone, 0);
+                self.schedule_after(
+                    timeout,
+                    EventKind::CounterCallEnds(ingress, incarnation, call, name.0, CounterAnswer::Unknown),
+                );
+                if !self.is_partitioned(self.ingresses[ingress].zone, 0) {
+                    self.schedule_after(
+                        hop,
+                        EventKind::CounterCallArrives(ingress, incarnation, call, name.0, amount, lifetime),
+                    );
                 }
             }
             Action::Subscribe => {
-                let each = 1000.0 / self.script.discovery.asks_per_second;
-                let begins = self.discovery_free.max(self.now);
-                if begins - self.now > ASK_FAILS {
-                    self.after(ASK_FAILS, What::News(i, life, ListKind::Failed, Vec::new()));
+                let interval = 1000.0 / self.script.discovery.asks_per_second;
+                let starts_at = self.discovery_free_at.max(self.now);
+                if starts_at - self.now > DISCOVERY_TIMEOUT_MS {
+                    self.schedule_after(
+                        DISCOVERY_TIMEOUT_MS,
+                        EventKind::ListArrives(ingress, incarnation, ListKind::Failed, Vec::new()),
+                    );
                 } else {
-                    self.discovery_free = begins + each;
-                    self.at(begins + each, What::Asked(i, life));
+                    self.discovery_free_at = starts_at + interval;
+                    self.schedule_at(starts_at + interval, EventKind::CompleteListRead(ingress, incarnation));
                 }
             }
         }
     }
 
-    pub(super) fn mail(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let Some(how) = &self.script.peers else { return };
-        if to == from || to >= self.nodes.len() || bytes.len() > MAX_PEER_MESSAGE_BYTES {
+    /// Sends a peer message, which may be lost. Messages over the size limit or to no other ingress are
+    /// dropped.
+    pub(super) fn send_peer_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let Some(config) = &self.script.peers else { return };
+        if to == from || to >= self.ingresses.len() || bytes.len() > MAX_PEER_MESSAGE_BYTES {
             return;
         }
         self.totals.messages += 1;
-        let loss = if self.now < self.loss_until.1 { how.loss.max(self.loss_until.0) } else { how.loss };
-        let lost = self.rng.f64() < loss || self.cut_between(self.nodes[from].hall, self.nodes[to].hall);
-        let delay = self.draw(how.delay);
+        let loss =
+            if self.now < self.peer_loss_until { config.loss.max(self.peer_loss) } else { config.loss };
+        let lost =
+            self.rng.f64() < loss || self.is_partitioned(self.ingresses[from].zone, self.ingresses[to].zone);
+        let delay = self.draw(config.delay);
         if !lost {
-            self.after(delay, What::Mail(to, from, bytes));
+            self.schedule_after(delay, EventKind::PeerMessageArrives(to, from, bytes));
         }
     }
 
-    pub(super) fn answer(&mut self, i: usize, request: u64, how: TryOutcome) {
-        let Some(flow) = self.nodes[i].flows.get_mut(&request) else { return };
-        if !std::mem::take(&mut flow.open) {
+    /// Sends the final answer of a request to its client. Does nothing if the request is not open.
+    pub(super) fn answer_client(&mut self, ingress: usize, id: u64, outcome: TryOutcome) {
+        let Some(request) = self.ingresses[ingress].requests.get_mut(&id) else { return };
+        if !std::mem::take(&mut request.open) {
             return;
         }
-        let (n, no, out) = (flow.asked, flow.no, flow.out.clone());
-        if out.is_empty() {
-            self.nodes[i].flows.remove(&request);
+        let (client_request, try_number) = (request.client_request, request.try_number);
+        if request.in_flight.is_empty() {
+            self.ingresses[ingress].requests.remove(&id);
         }
-        let way = self.draw(self.script.network.client);
-        self.after(way, What::Answered(n, no, how));
+        let delay = self.draw(self.script.network.client);
+        self.schedule_after(delay, EventKind::TryAnswered(client_request, try_number, outcome));
     }
 
-    /// An ingress starts: with its last list, and soon with the whole one.
-    pub(super) fn begin(&mut self, i: usize) {
-        let life = self.nodes[i].life;
-        let known = self.nodes[i].maintenance.told();
-        self.feed(i, Event::Start);
+    /// Starts the decision module of an ingress with the last list that it knows. A restarted ingress gets
+    /// the complete list soon after, unless it queries discovery for it.
+    pub(super) fn start_ingress(&mut self, ingress: usize) {
+        let incarnation = self.ingresses[ingress].incarnation;
+        let known = self.ingresses[ingress].maintenance.told();
+        self.dispatch(ingress, Event::Start);
         let first = if known.entries.is_empty() {
-            let all = self.published.iter();
-            all.map(|(s, state)| self.entry(*s, *state)).collect()
+            let published = self.published.iter();
+            published.map(|(backend, state)| self.service_entry(*backend, *state)).collect()
         } else {
             known.entries
         };
-        self.listed(i, ListKind::Cached, first);
-        if life > 0 && self.script.discovery.by != By::Asked {
-            let late = 50.0 + self.draw(self.script.discovery.spread);
-            self.after(late, What::Asked(i, life));
+        self.list_received(ingress, ListKind::Cached, first);
+        if incarnation > 0 && self.script.discovery.by != By::Asked {
+            let delay = 50.0 + self.draw(self.script.discovery.spread);
+            self.schedule_after(delay, EventKind::CompleteListRead(ingress, incarnation));
         }
     }
 
-    /// An ingress dies.
-    pub(super) fn dies(&mut self, i: usize) {
-        if !self.nodes[i].up {
+    /// Ends the process of an ingress. Its clients lose their connections; its backends finish the requests
+    /// they have.
+    pub(super) fn stop_ingress(&mut self, ingress: usize) {
+        if !self.ingresses[ingress].up {
             return;
         }
         let notice = self.draw(self.script.ingresses.notice);
         let now = self.now;
-        let node = &mut self.nodes[i];
-        (node.up, node.down_since, node.noticed, node.life) = (false, now, now + notice, node.life + 1);
-        node.idle.clear();
-        node.calls.clear();
-        let flows = std::mem::take(&mut node.flows);
-        let mut flows: Vec<_> = flows.into_iter().collect();
-        flows.sort_by_key(|(id, _)| *id);
-        for (_, flow) in flows {
-            for a in flow.out {
-                // Work goes on at the real server, and nobody hears of it.
-                if !std::mem::replace(&mut self.attempts[a].over, true) && self.attempts[a].came.is_some() {
-                    let c = self.asked[flow.asked].customer;
-                    let (id, plan) = (self.customers[c].id, self.customers[c].plan);
-                    self.check.attempt_in_flight(now, id, plan, false, self.script);
+        let node = &mut self.ingresses[ingress];
+        (node.up, node.down_since, node.known_down_at, node.incarnation) =
+            (false, now, now + notice, node.incarnation + 1);
+        node.idle_connections.clear();
+        node.counter_calls.clear();
+        let requests = std::mem::take(&mut node.requests);
+        let mut requests: Vec<_> = requests.into_iter().collect();
+        // The order of a hash map differs between runs, and random numbers are drawn for each request.
+        requests.sort_by_key(|(id, _)| *id);
+        for (_, request) in requests {
+            for attempt in request.in_flight {
+                if !std::mem::replace(&mut self.attempts[attempt].ended, true)
+                    && self.attempts[attempt].accepted_at.is_some()
+                {
+                    let customer = self.client_requests[request.client_request].customer;
+                    let (id, plan) = (self.customers[customer].id, self.customers[customer].plan);
+                    self.checker.attempt_in_flight(now, id, plan, false, self.script);
                 }
             }
-            if flow.open {
-                let way = self.draw(self.script.network.client);
-                self.after(way, What::Answered(flow.asked, flow.no, TryOutcome::ConnectionLost));
+            if request.open {
+                let delay = self.draw(self.script.network.client);
+                self.schedule_after(
+                    delay,
+                    EventKind::TryAnswered(
+                        request.client_request,
+                        request.try_number,
+                        TryOutcome::ConnectionLost,
+                    ),
+                );
             }
         }
     }
 
-    pub(super) fn returns(&mut self, i: usize) {
-        if self.nodes[i].up {
+    /// Starts a new process of an ingress, with nothing but the last backend list and the disabled backends.
+    pub(super) fn restart_ingress(&mut self, ingress: usize) {
+        if self.ingresses[ingress].up {
             return;
         }
         let seed = self.rng.u64(..);
-        let per_second = self.script.peers.as_ref().map_or(0.0, |p| p.per_second);
-        let Ok(brain) = (self.maker)(settings(self.script, i as u16), seed) else { return };
+        let messages_per_second = self.script.peers.as_ref().map_or(0.0, |p| p.per_second);
+        let Ok(decisions) = (self.factory)(ingress_settings(self.script, ingress as u16), seed) else {
+            return;
+        };
         let now = self.now;
-        let node = &mut self.nodes[i];
-        (node.brain, node.up, node.noticed, node.subscribed) = (brain, true, f64::INFINITY, false);
-        (node.message_limiter, node.counts, node.up_since) = (RateLimiter::new(per_second, now), [0; 3], now);
+        let node = &mut self.ingresses[ingress];
+        (node.decisions, node.up, node.known_down_at, node.subscribed) =
+            (decisions, true, f64::INFINITY, false);
+        (node.message_limiter, node.try_counts, node.up_since) =
+            (RateLimiter::new(messages_per_second, now), TryCounts::default(), now);
         node.members = Members::new(MembershipPolicy::default());
-        self.begin(i);
+        self.start_ingress(ingress);
     }
 
-    /// A request must have its answer by now, whatever the decisions do.
-    pub(super) fn guard(&mut self, i: usize, life: u32, id: u64) {
-        let open = self.nodes[i].life == life && self.nodes[i].flows.get(&id).is_some_and(|f| f.open);
+    /// The answer to a request is due. Without one, the ingress fails the request and records a breach if the
+    /// client's timeout is long enough for the decision module to have answered.
+    pub(super) fn answer_due(&mut self, ingress: usize, incarnation: u32, id: u64) {
+        let open = self.ingresses[ingress].incarnation == incarnation
+            && self.ingresses[ingress].requests.get(&id).is_some_and(|request| request.open);
         if open {
-            let left = self.nodes[i]
-                .flows
-                .get(&id)
-                .map_or(0.0, |f| self.script.classes[self.asked[f.asked].class].give_up);
-            if left >= HARD {
-                self.check.record(Rule::Answer, self.now, || {
-                    format!("ingress {i} has no answer to request {id} of its own")
+            let give_up = self.ingresses[ingress].requests.get(&id).map_or(0.0, |request| {
+                self.script.classes[self.client_requests[request.client_request].class].give_up
+            });
+            if give_up >= MIN_CHECKED_TIMEOUT_MS {
+                self.checker.record(Rule::Answer, self.now, || {
+                    format!("ingress {ingress} has no answer to request {id} of its own")
                 });
             }
-            self.answer(i, id, TryOutcome::Failed);
-            self.feed(i, Event::ClientLeft(RequestId(id)));
+            self.answer_client(ingress, id, TryOutcome::Failed);
+            self.dispatch(ingress, Event::ClientLeft(RequestId(id)));
         }
     }
 
-    /// A peer's message arrives at an ingress.
-    pub(super) fn mail_comes(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
+    /// A peer message arrives at an ingress, which drops it if too many arrive.
+    pub(super) fn peer_message_arrives(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
         let (now, per_second) = (self.now, self.script.peers.as_ref().map_or(0.0, |p| p.per_second));
-        if self.nodes[to].up {
-            if self.nodes[to].message_limiter.admit(now, per_second) {
-                self.feed(to, Event::PeerMessage(IngressId(from as u16), bytes));
+        if self.ingresses[to].up {
+            if self.ingresses[to].message_limiter.admit(now, per_second) {
+                self.dispatch(to, Event::PeerMessage(IngressId(from as u16), bytes));
             } else {
-                self.totals.dropped += 1;
+                self.totals.messages_dropped += 1;
             }
         }
     }
 
-    /// The answer to a call arrives at its ingress.
-    pub(super) fn call_ends(&mut self, i: usize, life: u32, call: u64, name: u64, answer: CounterAnswer) {
-        if self.nodes[i].life == life && self.nodes[i].calls.remove(&call).is_some() {
-            self.feed(i, Event::CounterAnswered(CounterName(name), answer));
+    /// The answer to a call to the counter, or its timeout, reaches the ingress. Only the first of them
+    /// counts.
+    pub(super) fn counter_call_ends(
+        &mut self,
+        ingress: usize,
+        incarnation: u32,
+        call: u64,
+        name: u64,
+        answer: CounterAnswer,
+    ) {
+        if self.ingresses[ingress].incarnation == incarnation
+            && self.ingresses[ingress].counter_calls.remove(&call).is_some()
+        {
+            self.dispatch(ingress, Event::CounterAnswered(CounterName(name), answer));
         }
     }
 
     /// A call arrives at the counter.
-    pub(super) fn call_comes(&mut self, i: usize, life: u32, call: u64, name: u64, amount: f64, keep: f64) {
-        let Some(how) = &self.script.counter else { return };
-        let (time, way) = (self.draw(how.time), self.hop(self.nodes[i].hall, 0));
+    pub(super) fn counter_call_arrives(
+        &mut self,
+        ingress: usize,
+        incarnation: u32,
+        call: u64,
+        name: u64,
+        amount: f64,
+        lifetime: f64,
+    ) {
+        let Some(config) = &self.script.counter else { return };
+        let (service_time, hop) = (self.draw(config.time), self.draw_hop(self.ingresses[ingress].zone, 0));
         let Some(counter) = &mut self.counter else { return };
-        let (at, answer) = match counter.add(self.now, name, amount, keep, how, time) {
+        let (at, answer) = match counter.add(self.now, name, amount, lifetime, config, service_time) {
             CounterReply::Total { total, ready_at } => (ready_at, CounterAnswer::Total(total)),
             CounterReply::Busy => (self.now, CounterAnswer::NotAdded),
             CounterReply::Lost => return,
         };
-        if !self.cut_between(self.nodes[i].hall, 0) {
-            self.at(at + way, What::CallEnds(i, life, call, name, answer));
+        if !self.is_partitioned(self.ingresses[ingress].zone, 0) {
+            self.schedule_at(at + hop, EventKind::CounterCallEnds(ingress, incarnation, call, name, answer));
         }
     }
 }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -1,17 +1,17 @@
-//! The world: events in simulated time round the shipped limiters, membership and client policy.
+//! The discrete-event simulation of a fleet round the shipped limiter, membership policy and client policy.
 
 mod attempts;
 mod clients;
-mod decide;
+mod decisions;
 mod discovery;
 mod event;
 mod ingresses;
+mod sampling;
 mod settings;
 mod troubles;
-mod watching;
 
-pub use decide::{Decide, Maker, shipped};
-pub use watching::{Outcomes, Sample, ServerSample, Trace};
+pub use decisions::{DecisionModule, DecisionModuleFactory, shipped_limiter};
+pub use sampling::{BackendSample, IngressSample, RunOutcome, Trace};
 
 use crate::backend::{Backend, LoadReport};
 use crate::check::Checker;
@@ -21,13 +21,13 @@
 use crate::script::{Script, Span};
 use crate::shared::{Counter, RateLimiter};
 use attempts::Attempt;
-use clients::{Asked, Asker, Customer};
-use event::{Entry, What};
-use ingresses::Node;
-use settings::settings;
+use clients::{Client, ClientRequest, Customer};
+use event::{EventKind, ScheduledEvent};
+use ingresses::{Ingress, TryCounts};
+use sampling::Totals;
+use settings::ingress_settings;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
-use watching::Totals;
 use weldhub::Event;
 use weldhub::entries::backend_id;
 use weldhub::interface::{BackendId, BackendState};
@@ -35,210 +35,247 @@
 use weldhub::membership::MembershipPolicy;
 use weldhub::membership::members::Members;
 
-/// The limiters' clock begins here: it is that of a day.
-const EPOCH: f64 = 1.7e12;
-/// Before a flow's deadline its schedulings end, and by the second it has its answer; as in the engine.
-const SLACK: (f64, f64) = (20.0, 10.0);
-/// The part of a short deadline that either takes.
-const SLACK_PART: f64 = 0.2;
-/// An ask at discovery that has waited for so long fails.
-const ASK_FAILS: f64 = 2000.0;
-/// Consul's catalogue answers after this.
-const CATALOGUE: f64 = 5.0;
-/// With less time than this the guard may well come before the decisions' own answer.
-const HARD: f64 = 500.0;
+/// The time of day of the decision modules at the start of a run, in milliseconds since the Unix epoch.
+const EPOCH_MS: f64 = 1.7e12;
+/// Attempts end this long before the client's timeout, as in the engine, in milliseconds.
+const ATTEMPT_MARGIN_MS: f64 = 20.0;
+/// The answer to a request is due this long before the client's timeout, as in the engine, in milliseconds.
+const ANSWER_MARGIN_MS: f64 = 10.0;
+/// The most that either margin takes of a short timeout, as a fraction.
+const MAX_MARGIN_SHARE: f64 = 0.2;
+/// A query to discovery that would wait longer than this fails, in milliseconds.
+const DISCOVERY_TIMEOUT_MS: f64 = 2000.0;
+/// The response time of Consul's catalogue, in milliseconds.
+const CATALOGUE_DELAY_MS: f64 = 5.0;
+/// With a shorter client timeout than this, a missing answer is not counted as a breach: the answer may
+/// become due before the decision module's own, in milliseconds.
+const MIN_CHECKED_TIMEOUT_MS: f64 = 500.0;
+/// How long a run goes on after the last arrival, so that open requests can end, in milliseconds.
+const RUN_OUT_MS: f64 = 4000.0;
 
-/// A world in the middle of a run.
+/// The state of a run.
 struct World<'a> {
     script: &'a Script,
-    maker: Maker<'a>,
+    factory: DecisionModuleFactory<'a>,
+    /// The simulated time, in milliseconds.
     now: f64,
     rng: fastrand::Rng,
-    heap: BinaryHeap<Reverse<Entry>>,
+    event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// The last sequence number given to an event or to a call to the counter.
     seq: u64,
-    events: u64,
-    nodes: Vec<Node>,
-    servers: Vec<Backend>,
-    lives: Vec<u64>,
-    shown: Vec<LoadReport>,
-    /// The last start of each that discovery knows of; long ago where below 0.
-    known_starts: Vec<f64>,
+    event_count: u64,
+    ingresses: Vec<Ingress>,
+    backends: Vec<Backend>,
+    /// Incremented when the process of a backend ends, by backend.
+    backend_incarnations: Vec<u64>,
+    /// The load report that answers carry, by backend.
+    visible_reports: Vec<LoadReport>,
+    /// The last start that discovery knows of, in milliseconds, by backend; below 0 if before the run.
+    published_starts: Vec<f64>,
     cold: ColdWatch,
-    /// How much each ingress is sought beside others.
-    pulls: Vec<f64>,
-    ids: HashMap<BackendId, usize>,
+    /// The relative preference of clients for each ingress.
+    ingress_weights: Vec<f64>,
+    backend_by_id: HashMap<BackendId, usize>,
+    /// The backends that discovery lists, with their states.
     published: BTreeMap<usize, BackendState>,
     counter: Option<Counter>,
-    discovery_free: f64,
+    /// When discovery has answered all queries so far, in milliseconds.
+    discovery_free_at: f64,
     customers: Vec<Customer>,
-    askers: Vec<Asker>,
-    asked: Vec<Asked>,
+    /// The instances of the client library; empty if clients retry without it.
+    clients: Vec<Client>,
+    client_requests: Vec<ClientRequest>,
     attempts: Vec<Attempt>,
-    cut: BTreeSet<u8>,
-    loss_until: (f64, f64),
-    surge: (f64, f64),
-    check: Checker,
+    /// The zones that cannot reach the others.
+    partitioned_zones: BTreeSet<u8>,
+    /// The fraction of peer messages lost until `peer_loss_until`, if higher than usual.
+    peer_loss: f64,
+    peer_loss_until: f64,
+    /// The factor on the arrival rate of all customers until `surge_until`.
+    surge_factor: f64,
+    surge_until: f64,
+    checker: Checker,
     score: Score,
+    /// By class.
     tallies: Vec<Tally>,
     seconds: Vec<Second>,
-    next_request: u64,
+    last_request_id: u64,
     totals: Totals,
     trace: Trace,
-    samples: Vec<Sample>,
-    server_samples: Vec<ServerSample>,
-    units: Vec<f64>,
+    ingress_samples: Vec<IngressSample>,
+    backend_samples: Vec<BackendSample>,
+    /// The relative frequency of requests of 1, 2, 3 ... units.
+    size_weights: Vec<f64>,
 }
 
 /// Plays a script with the shipped limiter.
 pub fn play(script: &Script, seed: u64) -> Result<Report, String> {
-    Ok(run(script, seed, &shipped, Trace::default())?.report)
+    Ok(run(script, seed, &shipped_limiter, Trace::default())?.report)
 }
 
-/// Plays a script.
-pub fn run(script: &Script, seed: u64, maker: Maker<'_>, trace: Trace) -> Result<Outcomes, String> {
-    let mut world = World::new(script, seed, maker, trace)?;
-    let end = script.length + 4000.0;
-    while let Some(Reverse(entry)) = world.heap.pop() {
-        world.now = entry.at as f64 / 1000.0;
+/// Plays a script with the decision modules that `factory` makes. The same script and seed give the same
+/// outcome.
+pub fn run(
+    script: &Script,
+    seed: u64,
+    factory: DecisionModuleFactory<'_>,
+    trace: Trace,
+) -> Result<RunOutcome, String> {
+    let mut world = World::new(script, seed, factory, trace)?;
+    let end = script.length + RUN_OUT_MS;
+    while let Some(Reverse(event)) = world.event_queue.pop() {
+        world.now = event.at_us as f64 / 1000.0;
         if world.now > end {
             break;
         }
-        world.events += 1;
-        world.happens(entry.what);
+        world.event_count += 1;
+        world.handle_event(event.kind);
     }
-    Ok(world.outcomes(seed))
+    Ok(world.into_outcome(seed))
 }
 
-fn name(server: usize) -> String {
-    format!("s{server}")
+/// Returns the name of a backend, from which its id is derived.
+fn backend_name(backend: usize) -> String {
+    format!("s{backend}")
 }
 
 impl<'a> World<'a> {
-    fn new(script: &'a Script, seed: u64, maker: Maker<'a>, trace: Trace) -> Result<Self, String> {
+    fn new(
+        script: &'a Script,
+        seed: u64,
+        factory: DecisionModuleFactory<'a>,
+        trace: Trace,
+    ) -> Result<Self, String> {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let halls = script.network.halls;
-        let mut servers = Vec::new();
+        let zones = script.network.halls;
+        let mut backends = Vec::new();
         for (k, kind) in script.kinds.iter().enumerate() {
             for _ in 0..kind.count {
                 let speed = kind.speed[0] + rng.f64() * (kind.speed[1] - kind.speed[0]);
-                let mut server = Backend::new(kind.cores, speed, kind.slots, kind.queue, -1.0);
-                (server.kind, server.error_rate) = (k as u16, kind.errors);
-                server.mean_work = script.mean_work();
-                servers.push(server);
+                let mut backend = Backend::new(kind.cores, speed, kind.slots, kind.queue, -1.0);
+                (backend.kind, backend.error_rate) = (k as u16, kind.errors);
+                backend.mean_work = script.mean_work();
+                backends.push(backend);
             }
         }
-        // Kinds are spread over halls and pods.
-        for (i, server) in servers.iter_mut().enumerate() {
-            server.zone = (i % usize::from(halls)) as u8;
-            server.cell = (i / usize::from(script.servers.cell)) as u16;
+        // Each kind is spread over zones and cells.
+        for (i, backend) in backends.iter_mut().enumerate() {
+            backend.zone = (i % usize::from(zones)) as u8;
+            backend.cell = (i / usize::from(script.servers.cell)) as u16;
         }
         let tallies = script.classes.iter().map(|_| Tally::new()).collect::<Result<_, _>>()?;
-        // Sizes fall off by half each.
-        let units: Vec<f64> = (0..script.load.largest).map(|k| 0.5f64.powi(k as i32)).collect();
-        let all = servers.len();
+        // Each size is half as frequent as the one below.
+        let size_weights: Vec<f64> = (0..script.load.largest).map(|k| 0.5f64.powi(k as i32)).collect();
+        let backend_count = backends.len();
         let mut this = Self {
             script,
-            maker,
+            factory,
             now: 0.0,
             rng,
-            heap: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             seq: 0,
-            events: 0,
-            nodes: Vec::new(),
-            lives: vec![0; all],
-            shown: vec![LoadReport::default(); all],
-            known_starts: vec![-1.0; all],
+            event_count: 0,
+            ingresses: Vec::new(),
+            backend_incarnations: vec![0; backend_count],
+            visible_reports: vec![LoadReport::default(); backend_count],
+            published_starts: vec![-1.0; backend_count],
             cold: ColdWatch::new(script),
-            pulls: Vec::new(),
-            ids: (0..all).map(|i| (backend_id(&name(i)), i)).collect(),
-            published: (0..all).map(|i| (i, BackendState::Ready)).collect(),
-            servers,
+            ingress_weights: Vec::new(),
+            backend_by_id: (0..backend_count).map(|i| (backend_id(&backend_name(i)), i)).collect(),
+            published: (0..backend_count).map(|i| (i, BackendState::Ready)).collect(),
+            backends,
             counter: script.counter.as_ref().map(Counter::new),
-            discovery_free: 0.0,
+            discovery_free_at: 0.0,
             customers: Vec::new(),
-            askers: Vec::new(),
-            asked: Vec::new(),
+            clients: Vec::new(),
+            client_requests: Vec::new(),
             attempts: Vec::new(),
-            cut: BTreeSet::new(),
-            loss_until: (0.0, 0.0),
-            surge: (1.0, 0.0),
-            check: Checker::default(),
+            partitioned_zones: BTreeSet::new(),
+            peer_loss: 0.0,
+            peer_loss_until: 0.0,
+            surge_factor: 1.0,
+            surge_until: 0.0,
+            checker: Checker::default(),
             score: Score::new(script),
             tallies,
             seconds: Vec::new(),
-            next_request: 0,
+            last_request_id: 0,
             totals: Totals::default(),
             trace,
-            samples: Vec::new(),
-            server_samples: Vec::new(),
-            units,
+            ingress_samples: Vec::new(),
+            backend_samples: Vec::new(),
+            size_weights,
         };
         for i in 0..script.ingresses.count {
-            let brain = (this.maker)(settings(script, i), this.rng.u64(..))?;
-            let per_second = script.peers.as_ref().map_or(0.0, |p| p.per_second);
-            this.nodes.push(Node {
-                brain,
-                life: 0,
+            let decisions = (this.factory)(ingress_settings(script, i), this.rng.u64(..))?;
+            let messages_per_second = script.peers.as_ref().map_or(0.0, |p| p.per_second);
+            this.ingresses.push(Ingress {
+                decisions,
+                incarnation: 0,
                 up: true,
                 up_since: f64::NEG_INFINITY,
                 down_since: 0.0,
-                noticed: f64::INFINITY,
-                hall: (i % u16::from(halls)) as u8,
+                known_down_at: f64::INFINITY,
+                zone: (i % u16::from(zones)) as u8,
                 maintenance: Maintenance::default(),
                 members: Members::new(MembershipPolicy::default()),
                 subscribed: true,
-                told: HashMap::new(),
-                flows: HashMap::new(),
-                idle: HashMap::new(),
-                message_limiter: RateLimiter::new(per_second, 0.0),
-                calls: HashMap::new(),
-                counts: [0; 3],
+                known_states: HashMap::new(),
+                requests: HashMap::new(),
+                idle_connections: HashMap::new(),
+                message_limiter: RateLimiter::new(messages_per_second, 0.0),
+                counter_calls: HashMap::new(),
+                try_counts: TryCounts::default(),
             });
         }
-        this.pulls = (0..this.nodes.len()).map(|_| this.pull()).collect();
-        this.people();
-        for i in 0..this.nodes.len() {
-            this.begin(i);
+        this.ingress_weights = (0..this.ingresses.len()).map(|_| this.draw_ingress_weight()).collect();
+        this.create_customers();
+        for ingress in 0..this.ingresses.len() {
+            this.start_ingress(ingress);
         }
-        for s in 0..all {
-            this.at(0.0, What::Refresh(s));
+        for backend in 0..backend_count {
+            this.schedule_at(0.0, EventKind::LoadReportDue(backend));
         }
         for (k, trouble) in script.troubles.iter().enumerate() {
-            this.at(trouble.at, What::Trouble(k));
+            this.schedule_at(trouble.at, EventKind::TroubleBegins(k));
         }
-        if trace.every > 0.0 {
-            this.at(0.0, What::Sample);
+        if trace.interval_ms > 0.0 {
+            this.schedule_at(0.0, EventKind::Sample);
         }
         Ok(this)
     }
 
-    /// How much an ingress is sought: a log-normal weight. Nothing is drawn where all are sought alike.
-    fn pull(&mut self) -> f64 {
-        let uneven = self.script.load.uneven;
-        if uneven <= 0.0 {
+    /// Draws the relative preference for an ingress from a log-normal distribution. Draws nothing if the
+    /// script makes all equal, so that the random numbers of such scripts stay the same.
+    fn draw_ingress_weight(&mut self) -> f64 {
+        let deviation = self.script.load.uneven;
+        if deviation <= 0.0 {
             return 1.0;
         }
+        // A Box-Muller transform.
         let [radius, angle] = [1.0 - self.rng.f64(), self.rng.f64()];
         let normal = (-2.0 * radius.ln()).sqrt() * (std::f64::consts::TAU * angle).cos();
-        (uneven * normal).exp()
+        (deviation * normal).exp()
     }
 
-    /// The first ingress of a customer's set.
-    fn first_of_set(&mut self) -> u16 {
+    /// Draws the first ingress of a customer's set, by preference.
+    fn draw_first_ingress(&mut self) -> u16 {
         if self.script.load.uneven <= 0.0 {
             return self.rng.u16(0..self.script.ingresses.count);
         }
-        let pulls = std::mem::take(&mut self.pulls);
-        let first = self.pick(&pulls) as u16;
-        self.pulls = pulls;
+        let weights = std::mem::take(&mut self.ingress_weights);
+        let first = self.draw_weighted(&weights) as u16;
+        self.ingress_weights = weights;
         first
     }
 
+    /// Draws from a uniform distribution over `span`.
     fn draw(&mut self, span: Span) -> f64 {
         span[0] + self.rng.f64() * (span[1] - span[0])
     }
 
-    fn pick(&mut self, weights: &[f64]) -> usize {
+    /// Draws an index with a probability in proportion to its weight.
+    fn draw_weighted(&mut self, weights: &[f64]) -> usize {
         let mut at = self.rng.f64() * weights.iter().sum::<f64>();
         let found = weights.iter().position(|w| {
             at -= w;
@@ -247,114 +284,138 @@
         found.unwrap_or(weights.len() - 1)
     }
 
-    fn second(&mut self) -> &mut Second {
-        let at = (self.now / 1000.0) as usize;
-        while self.seconds.len() <= at {
+    /// Returns the figures of the present second of the run.
+    fn current_second(&mut self) -> &mut Second {
+        let index = (self.now / 1000.0) as usize;
+        while self.seconds.len() <= index {
             let at = self.seconds.len() as f64;
             self.seconds.push(Second { at, ..Second::default() });
         }
-        &mut self.seconds[at]
+        &mut self.seconds[index]
     }
 
-    fn hop(&mut self, a: u8, b: u8) -> f64 {
-        let span = if a == b { self.script.network.same } else { self.script.network.cross };
+    /// Draws the one-way delay between two zones, in milliseconds.
+    fn draw_hop(&mut self, from: u8, to: u8) -> f64 {
+        let span = if from == to { self.script.network.same } else { self.script.network.cross };
         self.draw(span)
     }
 
-    fn cut_between(&self, a: u8, b: u8) -> bool {
-        a != b && (self.cut.contains(&a) || self.cut.contains(&b))
+    /// Returns whether a network partition separates two zones.
+    fn is_partitioned(&self, a: u8, b: u8) -> bool {
+        a != b && (self.partitioned_zones.contains(&a) || self.partitioned_zones.contains(&b))
     }
 
-    /// A part of the backends that are up and stay so, group after group, each with its time.
-    fn in_groups(&mut self, share: f64, at_once: f64, over: f64) -> Vec<(usize, f64)> {
-        let alive: Vec<usize> =
-            (0..self.servers.len()).filter(|s| self.servers[*s].up && !self.servers[*s].draining).collect();
-        let group = Self::part_of(at_once, alive.len());
-        let picked = self.chosen(alive.len(), Self::part_of(share, alive.len()));
+    /// Chooses a share of the backends that are up and not draining, in groups of the share `at_once` that
+    /// follow each other over `over` milliseconds. Returns each backend with the time of its group.
+    fn schedule_in_groups(&mut self, share: f64, at_once: f64, over: f64) -> Vec<(usize, f64)> {
+        let live: Vec<usize> = (0..self.backends.len())
+            .filter(|s| self.backends[*s].up && !self.backends[*s].draining)
+            .collect();
+        let group = Self::count_of_share(at_once, live.len());
+        let picked = self.choose(live.len(), Self::count_of_share(share, live.len()));
         let groups = picked.len().div_ceil(group).max(1);
         let at = |k: usize| self.now + over * (k / group) as f64 / groups as f64;
-        picked.into_iter().enumerate().map(|(k, which)| (alive[which], at(k))).collect()
+        picked.into_iter().enumerate().map(|(k, which)| (live[which], at(k))).collect()
     }
 
-    /// A backend drains and ends; false where it does so already.
-    fn drains(&mut self, s: usize, grace: f64) -> bool {
-        if !self.servers[s].up || self.servers[s].draining {
+    /// Lets a backend drain and stop after `grace` milliseconds. Returns `false` if it is down or draining
+    /// already.
+    fn drain_backend(&mut self, backend: usize, grace: f64) -> bool {
+        if !self.backends[backend].up || self.backends[backend].draining {
             return false;
         }
-        self.servers[s].draining = true;
+        self.backends[backend].draining = true;
         let notice = self.draw(self.script.discovery.notice);
-        self.announces(s, BackendState::Draining, notice.min(grace));
-        self.after(grace, What::Stops(s));
+        self.schedule_publication(backend, BackendState::Draining, notice.min(grace));
+        self.schedule_after(grace, EventKind::BackendStops(backend));
         true
     }
 
-    fn happens(&mut self, what: What) {
-        match what {
-            What::Arrives(c) if c >= self.customers.len() => self.next_arrival(usize::MAX - c),
-            What::Arrives(c) => self.arrives(c),
-            What::Tries(n) => self.tries(n),
-            What::Reaches(n, no, i, life) => self.reaches(n, no, i, life),
-            What::Answered(n, no, how) => self.answered(n, no, how),
-            What::TryEnds(n, no) => self.try_ends(n, no),
-            What::Timer(i, life, key) => {
-                if self.nodes[i].up && self.nodes[i].life == life {
-                    self.feed(i, Event::Timer(key));
+    fn handle_event(&mut self, kind: EventKind) {
+        match kind {
+            EventKind::RequestArrives(customer) if customer >= self.customers.len() => {
+                self.schedule_next_arrival(usize::MAX - customer)
+            }
+            EventKind::RequestArrives(customer) => self.request_arrives(customer),
+            EventKind::TryStarts(request) => self.start_try(request),
+            EventKind::TryArrives(request, try_number, ingress, incarnation) => {
+                self.try_arrives(request, try_number, ingress, incarnation)
+            }
+            EventKind::TryAnswered(request, try_number, outcome) => {
+                self.try_answered(request, try_number, outcome)
+            }
+            EventKind::TryTimesOut(request, try_number) => self.try_times_out(request, try_number),
+            EventKind::Timer(ingress, incarnation, key) => {
+                if self.ingresses[ingress].is_live(incarnation) {
+                    self.dispatch(ingress, Event::Timer(key));
                 }
             }
-            What::Guard(i, life, id) => self.guard(i, life, id),
-            What::News(i, life, kind, entries) => self.news(i, life, kind, entries),
-            What::Published(s, state, of) => self.publishes(s, state, of),
-            What::Catalogue(i, life, round) => self.catalogue(i, life, round),
-            What::Due(i, life) => {
-                if self.nodes[i].up && self.nodes[i].life == life {
-                    let told = self.nodes[i].members.due(self.now);
-                    self.tells(i, told);
+            EventKind::AnswerDue(ingress, incarnation, id) => self.answer_due(ingress, incarnation, id),
+            EventKind::ListArrives(ingress, incarnation, kind, entries) => {
+                self.list_arrives(ingress, incarnation, kind, entries)
+            }
+            EventKind::StatePublished(backend, state, incarnation) => {
+                self.publish(backend, state, incarnation)
+            }
+            EventKind::CatalogueAnswered(ingress, incarnation, round) => {
+                self.catalogue_answered(ingress, incarnation, round)
+            }
+            EventKind::MembershipDue(ingress, incarnation) => {
+                if self.ingresses[ingress].is_live(incarnation) {
+                    let changes = self.ingresses[ingress].members.due(self.now);
+                    self.report_changes(ingress, changes);
                 }
             }
-            What::Asked(i, life) => self.asked(i, life),
-            What::Mail(to, from, bytes) => self.mail_comes(to, from, bytes),
-            What::CallComes(i, life, call, name, amount, keep) => {
-                self.call_comes(i, life, call, name, amount, keep)
+            EventKind::CompleteListRead(ingress, incarnation) => {
+                self.complete_list_read(ingress, incarnation)
+            }
+            EventKind::PeerMessageArrives(to, from, bytes) => self.peer_message_arrives(to, from, bytes),
+            EventKind::CounterCallArrives(ingress, incarnation, call, name, amount, lifetime) => {
+                self.counter_call_arrives(ingress, incarnation, call, name, amount, lifetime)
             }
-            What::CallEnds(i, life, call, name, answer) => self.call_ends(i, life, call, name, answer),
-            What::Comes(a) => self.comes(a),
-            What::Works(s, version) => self.works(s, version),
-            What::Replies(a, outcome, shown) => self.ends(a, outcome, shown),
-            What::GivesUp(a, outcome) => self.gives_up(a, outcome),
-            What::Refresh(s) => self.refresh(s),
-            What::Shown(s, shown) => self.shown[s] = shown,
-            What::Shift(c) => self.shifts(c),
-            What::Trouble(k) => self.trouble(k),
-            What::Down(i, down) => {
-                self.dies(i);
-                self.after(down, What::Up(i));
+            EventKind::CounterCallEnds(ingress, incarnation, call, name, answer) => {
+                self.counter_call_ends(ingress, incarnation, call, name, answer)
             }
-            What::Up(i) => self.returns(i),
-            What::Retires(s, grace) => self.retires(s, grace),
-            What::Leaves(s, grace) => drop(self.drains(s, grace)),
-            What::Stops(s) => {
-                let drained = self.servers[s].draining;
-                self.stops(s);
+            EventKind::AttemptArrives(attempt) => self.attempt_arrives(attempt),
+            EventKind::AttemptsComplete(backend, version) => self.attempts_complete(backend, version),
+            EventKind::ReplyArrives(attempt, outcome, report) => self.end_attempt(attempt, outcome, report),
+            EventKind::AttemptAbandoned(attempt, outcome) => self.abandon_attempt(attempt, outcome),
+            EventKind::LoadReportDue(backend) => self.take_load_report(backend),
+            EventKind::LoadReportVisible(backend, report) => self.visible_reports[backend] = report,
+            EventKind::CustomerShifts(customer) => self.shift_customer(customer),
+            EventKind::TroubleBegins(trouble) => self.begin_trouble(trouble),
+            EventKind::IngressDies(ingress, down) => {
+                self.stop_ingress(ingress);
+                self.schedule_after(down, EventKind::IngressRestarts(ingress));
+            }
+            EventKind::IngressRestarts(ingress) => self.restart_ingress(ingress),
+            EventKind::BackendReplaced(backend, grace) => self.replace_backend(backend, grace),
+            EventKind::BackendRemoved(backend, grace) => drop(self.drain_backend(backend, grace)),
+            EventKind::BackendStops(backend) => {
+                let drained = self.backends[backend].draining;
+                self.stop_backend(backend);
                 if drained {
-                    self.announces(s, BackendState::Gone, 100.0);
+                    self.schedule_publication(backend, BackendState::Gone, 100.0);
                 }
             }
-            What::Ready(s) => {
+            EventKind::BackendStarts(backend) => {
                 let now = self.now;
-                self.servers[s].start(now);
-                let add = self.draw(self.script.discovery.add);
-                self.announces(s, BackendState::Ready, add);
+                self.backends[backend].start(now);
+                let delay = self.draw(self.script.discovery.add);
+                self.schedule_publication(backend, BackendState::Ready, delay);
+            }
+            EventKind::BackendRestarts(backend, known_after) => self.restart_backend(backend, known_after),
+            EventKind::BackendDisabled(ingress, backend, disabled) => {
+                self.set_backend_disabled(ingress, backend, disabled)
             }
-            What::Restarted(s, told) => self.restarted(s, told),
-            What::Banned(i, s, out) => self.banned(i, s, out),
-            What::Slows(s, times) => {
+            EventKind::BackendSlowed(backend, factor) => {
                 let now = self.now;
-                self.servers[s].slow_down(now, times, &self.script.servers);
-                self.foresee(s);
+                self.backends[backend].slow_down(now, factor, &self.script.servers);
+                self.schedule_completion(backend);
             }
-            What::Errs(s, errors) => self.servers[s].error_rate = errors,
-            What::Healed(hall) => drop(self.cut.remove(&hall)),
-            What::Sample => self.sample(),
+            EventKind::ErrorRateChanges(backend, rate) => self.backends[backend].error_rate = rate,
+            EventKind::PartitionHeals(zone) => drop(self.partitioned_zones.remove(&zone)),
+            EventKind::Sample => self.sample(),
         }
     }
 }
--- a/emulator/src/world/settings.rs
+++ b/emulator/src/world/settings.rs
@@ -1,35 +1,36 @@
-//! The settings of an ingress by the script.
+//! The settings of an ingress, derived from the script.
 
 use crate::script::{By, Repeat, Script};
 use weldhub::Settings;
 use weldhub::interface::{Class, ColdStart, DedupScope, IngressId, Plan, RetrySafety, ZoneId};
 
-pub(super) fn settings(script: &Script, me: u16) -> Settings {
-    let class = |c: &crate::script::Class| Class {
-        aim: c.aim,
-        worth: c.worth,
-        retry_safety: match c.repeat {
+/// Returns the settings of the ingress with index `ingress`.
+pub(super) fn ingress_settings(script: &Script, ingress: u16) -> Settings {
+    let class = |class: &crate::script::Class| Class {
+        aim: class.aim,
+        worth: class.worth,
+        retry_safety: match class.repeat {
             Repeat::Safe => RetrySafety::Safe,
             Repeat::Keyed { window } => RetrySafety::Keyed { scope: DedupScope::Cell, window },
             Repeat::Unsafe => RetrySafety::Unsafe,
         },
     };
-    let plan = |p: &crate::script::Plan| {
-        let rate = if p.unrated { 0.0 } else { p.rate };
+    let plan = |plan: &crate::script::Plan| {
+        let rate = if plan.unrated { 0.0 } else { plan.rate };
         Plan {
             rate,
-            burst: rate * p.burst,
-            max_in_flight: p.at_once,
-            ceiling_rate: rate * p.ceiling,
-            ceiling_burst: rate * p.burst * p.ceiling,
+            burst: rate * plan.burst,
+            max_in_flight: plan.at_once,
+            ceiling_rate: rate * plan.ceiling,
+            ceiling_burst: rate * plan.burst * plan.ceiling,
             excess_worth: 0.0,
-            excess_cost: p.beyond,
+            excess_cost: plan.beyond,
         }
     };
     Settings {
-        ingress: IngressId(me),
+        ingress: IngressId(ingress),
         ingress_count: script.ingresses.count,
-        zone: ZoneId((me % u16::from(script.network.halls)) as u8),
+        zone: ZoneId((ingress % u16::from(script.network.halls)) as u8),
         classes: script.classes.iter().map(class).collect(),
         plans: script.plans.iter().map(plan).collect(),
         max_request_units: f64::from(script.load.largest),
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -1,8 +1,8 @@
-//! Troubles of the script: what happens to ingresses, backends and halls.
+//! The troubles of a script: crashes, restarts, partitions and surges.
 
-use super::event::What;
-use super::settings::settings;
-use super::{EPOCH, World, name};
+use super::event::EventKind;
+use super::settings::ingress_settings;
+use super::{EPOCH_MS, World, backend_name};
 use crate::backend::{Backend, LoadReport};
 use crate::script::{Span, What as Trouble};
 use weldhub::Event;
@@ -10,73 +10,78 @@
 use weldhub::interface::{BackendState, ListKind, Outcome};
 
 impl World<'_> {
-    /// A real server's process ends.
-    pub(super) fn stops(&mut self, s: usize) {
-        if !self.servers[s].up {
+    /// Ends the process of a backend. Connections with attempts in flight are reset.
+    pub(super) fn stop_backend(&mut self, backend: usize) {
+        if !self.backends[backend].up {
             return;
         }
-        let held = self.servers[s].stop(self.now, &self.script.servers);
-        self.lives[s] += 1;
-        for a in held {
-            let i = self.attempts[a].node;
-            let way = self.hop(self.nodes[i].hall, self.servers[s].zone);
-            self.after(way, What::Replies(a, Outcome::Reset, LoadReport::default()));
+        let in_flight = self.backends[backend].stop(self.now, &self.script.servers);
+        self.backend_incarnations[backend] += 1;
+        for attempt in in_flight {
+            let ingress = self.attempts[attempt].ingress;
+            let hop = self.draw_hop(self.ingresses[ingress].zone, self.backends[backend].zone);
+            self.schedule_after(hop, EventKind::ReplyArrives(attempt, Outcome::Reset, LoadReport::default()));
         }
     }
 
-    pub(super) fn chosen(&mut self, of: usize, many: usize) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..of).collect();
+    /// Chooses `count` of the indices below `len` at random, in random order.
+    pub(super) fn choose(&mut self, len: usize, count: usize) -> Vec<usize> {
+        let mut all: Vec<usize> = (0..len).collect();
         self.rng.shuffle(&mut all);
-        all.truncate(many);
+        all.truncate(count);
         all
     }
 
-    pub(super) fn part_of(share: f64, all: usize) -> usize {
-        ((share * all as f64).round() as usize).clamp(1, all.max(1))
+    /// Returns how many of `len` make up a share, at least 1.
+    pub(super) fn count_of_share(share: f64, len: usize) -> usize {
+        ((share * len as f64).round() as usize).clamp(1, len.max(1))
     }
 
-    pub(super) fn trouble(&mut self, k: usize) {
+    /// Begins the trouble with this index in the script.
+    pub(super) fn begin_trouble(&mut self, index: usize) {
         let now = self.now;
-        let nodes = self.nodes.len();
-        match self.script.troubles[k].what.clone() {
+        let ingress_count = self.ingresses.len();
+        match self.script.troubles[index].what.clone() {
             Trouble::Crash { share, down } => {
-                for i in self.chosen(nodes, Self::part_of(share, nodes)) {
+                for ingress in self.choose(ingress_count, Self::count_of_share(share, ingress_count)) {
                     let down = self.draw(down);
-                    self.at(now, What::Down(i, down));
+                    self.schedule_at(now, EventKind::IngressDies(ingress, down));
                 }
             }
-            Trouble::Roll { share, at_once, over, down } => self.roll(share, at_once, over, down),
-            Trouble::Upgrade => self.upgrade_all(),
+            Trouble::Roll { share, at_once, over, down } => {
+                self.restart_in_groups(share, at_once, over, down)
+            }
+            Trouble::Upgrade => self.upgrade_ingresses(),
             Trouble::Release { share, at_once, over, grace } => {
-                for (s, at) in self.in_groups(share, at_once, over) {
-                    self.at(at, What::Retires(s, grace));
+                for (backend, at) in self.schedule_in_groups(share, at_once, over) {
+                    self.schedule_at(at, EventKind::BackendReplaced(backend, grace));
                 }
             }
             Trouble::Shrink { share, at_once, over, grace } => {
-                for (s, at) in self.in_groups(share, at_once, over) {
-                    self.at(at, What::Leaves(s, grace));
+                for (backend, at) in self.schedule_in_groups(share, at_once, over) {
+                    self.schedule_at(at, EventKind::BackendRemoved(backend, grace));
                 }
             }
             Trouble::Restart { share, at_once, over, down, told } => {
-                for (s, at) in self.in_groups(share, at_once, over) {
-                    let (down, told) = (self.draw(down), self.draw(told));
-                    self.at(at, What::Stops(s));
-                    self.at(at + down, What::Restarted(s, told));
+                for (backend, at) in self.schedule_in_groups(share, at_once, over) {
+                    let (down, known_after) = (self.draw(down), self.draw(told));
+                    self.schedule_at(at, EventKind::BackendStops(backend));
+                    self.schedule_at(at + down, EventKind::BackendRestarts(backend, known_after));
                 }
             }
-            Trouble::Hand { servers, lasting } => self.take_out_by_hand(servers, lasting),
+            Trouble::Hand { servers, lasting } => self.disable_backends(servers, lasting),
             Trouble::Slow { times, lasting } => {
-                for s in 0..self.servers.len() {
-                    self.at(now, What::Slows(s, times));
-                    self.after(lasting, What::Slows(s, 1.0 / times));
+                for backend in 0..self.backends.len() {
+                    self.schedule_at(now, EventKind::BackendSlowed(backend, times));
+                    self.schedule_after(lasting, EventKind::BackendSlowed(backend, 1.0 / times));
                 }
             }
             Trouble::Bad { servers, times, errors, lasting } => {
-                self.turn_bad(servers, times, errors, lasting)
+                self.degrade_backends(servers, times, errors, lasting)
             }
             Trouble::Cut { hall, lasting } => {
-                self.cut.insert(hall);
-                self.after(lasting, What::Healed(hall));
+                self.partitioned_zones.insert(hall);
+                self.schedule_after(lasting, EventKind::PartitionHeals(hall));
             }
             Trouble::CounterLost { lasting } => {
                 if let Some(counter) = &mut self.counter {
@@ -88,106 +93,118 @@
                     counter.clear();
                 }
             }
-            Trouble::Silence { loss, lasting } => self.loss_until = (loss, now + lasting),
+            Trouble::Silence { loss, lasting } => {
+                (self.peer_loss, self.peer_loss_until) = (loss, now + lasting)
+            }
             Trouble::Shift { share } => {
-                for c in self.chosen(self.customers.len(), Self::part_of(share, self.customers.len())) {
-                    let spread = self.customers[c].spread;
-                    self.customers[c].weights = self.weights(spread);
+                let customer_count = self.customers.len();
+                for customer in self.choose(customer_count, Self::count_of_share(share, customer_count)) {
+                    let spread = self.customers[customer].spread;
+                    self.customers[customer].weights = self.draw_customer_weights(spread);
                 }
             }
-            Trouble::Surge { times, lasting } => self.surge = (times, now + lasting),
+            Trouble::Surge { times, lasting } => {
+                (self.surge_factor, self.surge_until) = (times, now + lasting)
+            }
         }
     }
 
-    /// Ingresses are restarted one group after the other.
-    fn roll(&mut self, share: f64, at_once: f64, over: f64, down: Span) {
-        let nodes = self.nodes.len();
-        let group = Self::part_of(at_once, nodes);
-        let all = self.chosen(nodes, Self::part_of(share, nodes));
-        let groups = all.len().div_ceil(group).max(1);
-        for (k, i) in all.into_iter().enumerate() {
+    /// Restarts a share of the ingresses, in groups of the share `at_once` that follow each other over `over`
+    /// milliseconds. Each is down for a time drawn from `down`.
+    fn restart_in_groups(&mut self, share: f64, at_once: f64, over: f64, down: Span) {
+        let ingress_count = self.ingresses.len();
+        let group = Self::count_of_share(at_once, ingress_count);
+        let chosen = self.choose(ingress_count, Self::count_of_share(share, ingress_count));
+        let groups = chosen.len().div_ceil(group).max(1);
+        for (k, ingress) in chosen.into_iter().enumerate() {
             let (at, down) = (self.now + over * (k / group) as f64 / groups as f64, self.draw(down));
-            self.at(at, What::Down(i, down));
+            self.schedule_at(at, EventKind::IngressDies(ingress, down));
         }
     }
 
-    /// All ingresses hand over to new processes.
-    fn upgrade_all(&mut self) {
-        let (now, nodes) = (self.now, self.nodes.len());
-        for i in 0..nodes {
+    /// Hands the state of each running ingress over to a new process.
+    fn upgrade_ingresses(&mut self) {
+        let (now, ingress_count) = (self.now, self.ingresses.len());
+        for ingress in 0..ingress_count {
             let seed = self.rng.u64(..);
-            let made = (self.maker)(settings(self.script, i as u16), seed);
-            if let (true, Ok(mut brain)) = (self.nodes[i].up, made) {
-                let bytes = self.nodes[i].brain.hand_over();
-                let mut acts = Vec::new();
-                brain.handle(EPOCH + now, Event::Start, &mut acts);
-                brain.inherit(&bytes);
-                self.nodes[i].brain = brain;
-                let list = self.nodes[i].maintenance.told();
-                self.believes(i, ListKind::Full, list);
+            let successor = (self.factory)(ingress_settings(self.script, ingress as u16), seed);
+            if let (true, Ok(mut decisions)) = (self.ingresses[ingress].up, successor) {
+                let bytes = self.ingresses[ingress].decisions.hand_over();
+                let mut actions = Vec::new();
+                decisions.handle(EPOCH_MS + now, Event::Start, &mut actions);
+                decisions.inherit(&bytes);
+                self.ingresses[ingress].decisions = decisions;
+                let list = self.ingresses[ingress].maintenance.told();
+                self.apply_list(ingress, ListKind::Full, list);
             }
         }
     }
 
-    /// An operator takes real servers out at every ingress, restarts them, and puts them back.
-    fn take_out_by_hand(&mut self, servers: u32, lasting: f64) {
-        let nodes = self.nodes.len();
-        let alive: Vec<usize> = (0..self.servers.len()).filter(|s| self.servers[*s].up).collect();
-        for at in self.chosen(alive.len(), servers as usize) {
-            let s = alive[at];
-            for i in 0..nodes {
-                let (out, back) = (10.0 + 90.0 * self.rng.f64(), 10.0 + 90.0 * self.rng.f64());
-                self.after(out, What::Banned(i, s, true));
-                self.after(lasting + back, What::Banned(i, s, false));
+    /// An operator disables some backends at every ingress, restarts them meanwhile, so that they return
+    /// cold, and enables them again after `lasting` milliseconds.
+    fn disable_backends(&mut self, count: u32, lasting: f64) {
+        let ingress_count = self.ingresses.len();
+        let live: Vec<usize> = (0..self.backends.len()).filter(|s| self.backends[*s].up).collect();
+        for at in self.choose(live.len(), count as usize) {
+            let backend = live[at];
+            for ingress in 0..ingress_count {
+                let (disable_delay, enable_delay) =
+                    (10.0 + 90.0 * self.rng.f64(), 10.0 + 90.0 * self.rng.f64());
+                self.schedule_after(disable_delay, EventKind::BackendDisabled(ingress, backend, true));
+                self.schedule_after(
+                    lasting + enable_delay,
+                    EventKind::BackendDisabled(ingress, backend, false),
+                );
             }
-            // It is restarted meanwhile, and comes back cold.
-            self.after(lasting * 0.4, What::Stops(s));
-            self.after(lasting * 0.5, What::Ready(s));
+            self.schedule_after(lasting * 0.4, EventKind::BackendStops(backend));
+            self.schedule_after(lasting * 0.5, EventKind::BackendStarts(backend));
         }
     }
 
-    /// Some real servers are slow and fail requests.
-    fn turn_bad(&mut self, servers: u32, times: f64, errors: f64, lasting: f64) {
+    /// Makes some backends slower by `factor`, with another error rate, for `lasting` milliseconds.
+    fn degrade_backends(&mut self, count: u32, factor: f64, error_rate: f64, lasting: f64) {
         let now = self.now;
-        for s in self.chosen(self.servers.len(), servers as usize) {
-            let usual = self.servers[s].error_rate;
-            self.at(now, What::Slows(s, times));
-            self.at(now, What::Errs(s, errors));
-            self.after(lasting, What::Slows(s, 1.0 / times));
-            self.after(lasting, What::Errs(s, usual));
+        for backend in self.choose(self.backends.len(), count as usize) {
+            let usual = self.backends[backend].error_rate;
+            self.schedule_at(now, EventKind::BackendSlowed(backend, factor));
+            self.schedule_at(now, EventKind::ErrorRateChanges(backend, error_rate));
+            self.schedule_after(lasting, EventKind::BackendSlowed(backend, 1.0 / factor));
+            self.schedule_after(lasting, EventKind::ErrorRateChanges(backend, usual));
         }
     }
 
-    /// A real server is replaced: it drains, its successor starts cold beside it.
-    pub(super) fn retires(&mut self, s: usize, grace: f64) {
-        if !self.drains(s, grace) {
+    /// Replaces a backend: it drains for `grace` milliseconds, and a cold backend of the same kind starts
+    /// beside it.
+    pub(super) fn replace_backend(&mut self, replaced: usize, grace: f64) {
+        if !self.drain_backend(replaced, grace) {
             return;
         }
-        let add = self.draw(self.script.discovery.add);
-        let old = &self.servers[s];
+        let delay = self.draw(self.script.discovery.add);
+        let old = &self.backends[replaced];
         let kind = &self.script.kinds[usize::from(old.kind)];
-        let (hall, cell, of) = (old.zone, old.cell, old.kind);
+        let (zone, cell, kind_index) = (old.zone, old.cell, old.kind);
         let speed = self.draw(kind.speed);
         let mut new = Backend::new(kind.cores, speed, kind.slots, kind.queue, self.now);
-        (new.zone, new.cell, new.kind, new.error_rate) = (hall, cell, of, kind.errors);
+        (new.zone, new.cell, new.kind, new.error_rate) = (zone, cell, kind_index, kind.errors);
         new.start(self.now);
-        new.slowdown = self.servers[s].slowdown;
-        new.mean_work = self.servers[s].mean_work;
-        let at = self.servers.len();
-        self.servers.push(new);
-        self.lives.push(0);
-        self.shown.push(LoadReport::default());
-        self.known_starts.push(self.now);
-        self.ids.insert(backend_id(&name(at)), at);
-        self.announces(at, BackendState::Ready, add);
-        self.after(1.0, What::Refresh(at));
+        new.slowdown = self.backends[replaced].slowdown;
+        new.mean_work = self.backends[replaced].mean_work;
+        let index = self.backends.len();
+        self.backends.push(new);
+        self.backend_incarnations.push(0);
+        self.visible_reports.push(LoadReport::default());
+        self.published_starts.push(self.now);
+        self.backend_by_id.insert(backend_id(&backend_name(index)), index);
+        self.schedule_publication(index, BackendState::Ready, delay);
+        self.schedule_after(1.0, EventKind::LoadReportDue(index));
     }
 
-    /// A real server that died is back; discovery knows of its start later.
-    pub(super) fn restarted(&mut self, s: usize, told: f64) {
-        if !self.servers[s].up && !self.servers[s].draining && !self.servers[s].crashed {
-            self.servers[s].start(self.now);
-            self.announces(s, BackendState::Ready, told);
+    /// Restarts a backend that died, unless overload crashed it. Discovery learns of the start after
+    /// `known_after` milliseconds.
+    pub(super) fn restart_backend(&mut self, backend: usize, known_after: f64) {
+        if !self.backends[backend].up && !self.backends[backend].draining && !self.backends[backend].crashed {
+            self.backends[backend].start(self.now);
+            self.schedule_publication(backend, BackendState::Ready, known_after);
         }
     }
 }
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -7,7 +7,7 @@
 use weldhub_emulator::cold::{Arrival, ColdWatch};
 use weldhub_emulator::cold_sweep::{FallTable, sum_up, sweep};
 use weldhub_emulator::script::{Script, Servers};
-use weldhub_emulator::world::{Decide, Maker, Trace, run, shipped};
+use weldhub_emulator::world::{DecisionModule, DecisionModuleFactory, Trace, run, shipped_limiter};
 
 const DAYS: [&str; 3] = [
     include_str!("../scripts/cold-split.toml"),
@@ -25,7 +25,7 @@
     cold: Option<BackendId>,
 }
 
-impl Decide for Floods {
+impl DecisionModule for Floods {
     fn handle(&mut self, now: f64, event: Event, acts: &mut Vec<Action>) {
         if let Event::BackendList(_, entries) = &event {
             let mut started =
@@ -53,7 +53,7 @@
     }
 }
 
-fn flooding(settings: Settings, seed: u64) -> Result<Box<dyn Decide>, String> {
+fn flooding(settings: Settings, seed: u64) -> Result<Box<dyn DecisionModule>, String> {
     let inner = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
     Ok(Box::new(Floods { inner, cold: None }))
 }
@@ -61,7 +61,7 @@
 #[test]
 fn no_cold_backend_falls_on_split_roll_and_herd_days() {
     for script in days() {
-        let outcomes = run(&script, 1, &shipped, Trace::default()).unwrap();
+        let outcomes = run(&script, 1, &shipped_limiter, Trace::default()).unwrap();
         assert!(outcomes.cold.starts > 10, "{}", FallTable(&outcomes.cold));
         assert!(outcomes.cold.falls.is_empty(), "{}", FallTable(&outcomes.cold));
         assert!(outcomes.cold.fullest.load() > 0.1, "{}", FallTable(&outcomes.cold));
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_policy_that_floods_cold_backends_makes_them_fall_and_breaks_the_rule() {
-    let maker: Maker<'_> = &flooding;
+    let maker: DecisionModuleFactory<'_> = &flooding;
     for script in days() {
         let outcomes = run(&script, 1, maker, Trace::default()).unwrap();
         let text = FallTable(&outcomes.cold).to_string();
@@ -89,8 +89,8 @@
 fn the_same_seeds_give_the_same_sweep() {
     let scripts: Vec<(String, Script)> =
         days().into_iter().enumerate().map(|(i, s)| (i.to_string(), s)).collect();
-    let runs = sweep(&scripts, &[1, 2], &shipped).unwrap();
-    assert_eq!(runs, sweep(&scripts, &[1, 2], &shipped).unwrap());
+    let runs = sweep(&scripts, &[1, 2], &shipped_limiter).unwrap();
+    assert_eq!(runs, sweep(&scripts, &[1, 2], &shipped_limiter).unwrap());
     let summed = sum_up(&runs);
     assert_eq!(
         summed.iter().map(|s| (s.runs, s.value.as_str())).collect::<Vec<_>>(),
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -6,7 +6,7 @@
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_emulator::report::Report;
 use weldhub_emulator::script::Script;
-use weldhub_emulator::world::{Decide, Trace, play, run, shipped};
+use weldhub_emulator::world::{DecisionModule, Trace, play, run, shipped_limiter};
 
 const CALM: &str = include_str!("../scripts/calm.toml");
 
@@ -26,10 +26,10 @@
     let text = |seed| play(&script, seed).unwrap().json().unwrap();
     assert_eq!(text(3), text(3));
     assert_ne!(text(3), text(4));
-    let traced = run(&script, 3, &shipped, Trace { every: 100.0 }).unwrap();
-    let again = run(&script, 3, &shipped, Trace { every: 100.0 }).unwrap();
+    let traced = run(&script, 3, &shipped_limiter, Trace { interval_ms: 100.0 }).unwrap();
+    let again = run(&script, 3, &shipped_limiter, Trace { interval_ms: 100.0 }).unwrap();
     assert_eq!(format!("{:?}", traced.ingresses), format!("{:?}", again.ingresses));
-    assert!(traced.ingresses.iter().any(|s| !s.up) && traced.servers.iter().any(|s| s.drains));
+    assert!(traced.ingresses.iter().any(|s| !s.up) && traced.backends.iter().any(|s| s.draining));
 }
 
 #[test]
@@ -125,7 +125,7 @@
     cold: Option<BackendId>,
 }
 
-impl Decide for Broken {
+impl DecisionModule for Broken {
     fn handle(&mut self, now: f64, mut event: Event, acts: &mut Vec<Action>) {
         if let Event::BackendList(_, entries) = &mut event {
             for e in entries.iter_mut() {
@@ -204,7 +204,7 @@
         ("answer", "answer"),
         ("ceiling", "ceiling"),
     ] {
-        let maker = move |mut settings: Settings, seed| -> Result<Box<dyn Decide>, String> {
+        let maker = move |mut settings: Settings, seed| -> Result<Box<dyn DecisionModule>, String> {
             if how == "ceiling" {
                 // Knows of no quota at all.
                 for plan in &mut settings.plans {
--- a/emulator/tests/two_cores.rs
+++ b/emulator/tests/two_cores.rs
@@ -2,7 +2,7 @@
 
 use weldhub_emulator::report::Report;
 use weldhub_emulator::script::Script;
-use weldhub_emulator::world::{Trace, play, run, shipped};
+use weldhub_emulator::world::{Trace, play, run, shipped_limiter};
 
 const OVERLOAD: &str = include_str!("../scripts/two-cores-overload.toml");
 const SLOW: &str = include_str!("../scripts/two-cores-slow.toml");
@@ -23,10 +23,11 @@
 
 #[test]
 fn a_fleet_that_shrinks_has_no_successors() {
-    let outcomes = run(&Script::read(SHRINK).unwrap(), 1, &shipped, Trace { every: 1000.0 }).unwrap();
-    let up_at = |at: f64| outcomes.servers.iter().filter(|s| s.at == at && s.up).count();
+    let outcomes =
+        run(&Script::read(SHRINK).unwrap(), 1, &shipped_limiter, Trace { interval_ms: 1000.0 }).unwrap();
+    let up_at = |at: f64| outcomes.backends.iter().filter(|s| s.at == at && s.up).count();
     assert_eq!((up_at(0.0), up_at(44_000.0)), (13, 5));
-    assert!(outcomes.servers.iter().all(|s| s.server < 13));
+    assert!(outcomes.backends.iter().all(|s| s.backend < 13));
 }
 
 #[test]
