--- a/emulator/src/shared.rs
+++ b/emulator/src/shared.rs
@@ -4,6 +4,11 @@
 use crate::script;
 use std::collections::HashMap;
 
+/// The shortest time for which the counter keeps a total, in milliseconds.
+const MIN_LIFETIME_MS: f64 = 1.0;
+/// The longest time for which the counter keeps a total, in milliseconds.
+const MAX_LIFETIME_MS: f64 = 60_000.0;
+
 /// The outcome of a call to the counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CounterReply {
@@ -70,10 +75,10 @@
             return CounterReply::Busy;
         }
         self.free_at[partition] = starts_at + interval;
-        let fresh = Entry { total: 0.0, expires_at: now + lifetime.clamp(1.0, 60_000.0) };
-        let entry = self.entries.entry(name).or_insert(fresh.clone());
+        let expires_at = now + lifetime.clamp(MIN_LIFETIME_MS, MAX_LIFETIME_MS);
+        let entry = self.entries.entry(name).or_insert(Entry { total: 0.0, expires_at });
         if entry.expires_at < now {
-            *entry = fresh;
+            *entry = Entry { total: 0.0, expires_at };
         }
         entry.total += amount;
         CounterReply::Total { total: entry.total, ready_at: starts_at + service_time }
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -13,6 +13,16 @@
 
 /// The most instances of the client library. Customers share them in turn.
 const MAX_CLIENTS: usize = 200;
+/// The first flood of a customer that floods begins within this time, in milliseconds.
+const FIRST_FLOOD_WITHIN_MS: f64 = 15_000.0;
+/// The shortest flood, in milliseconds.
+const MIN_FLOOD_MS: f64 = 800.0;
+/// The longest flood is this much longer than the shortest, in milliseconds.
+const FLOOD_RANGE_MS: f64 = 4000.0;
+/// The shortest time between two floods of a customer, in milliseconds.
+const MIN_FLOOD_GAP_MS: f64 = 8000.0;
+/// The longest time between two floods is this much longer than the shortest, in milliseconds.
+const FLOOD_GAP_RANGE_MS: f64 = 20_000.0;
 /// The most ingresses that a request remembers as tried.
 const MAX_REMEMBERED_TRIES: usize = 8;
 
@@ -104,7 +114,7 @@
                 let id = self.rng.u64(0..1 << 33);
                 let customer = self.customers.len();
                 let flood_changes_at =
-                    if flood_factor > 1.0 { self.rng.f64() * 15_000.0 } else { f64::INFINITY };
+                    if flood_factor > 1.0 { self.rng.f64() * FIRST_FLOOD_WITHIN_MS } else { f64::INFINITY };
                 let weights = self.draw_customer_weights(spread);
                 self.customers.push(Customer {
                     id,
@@ -155,8 +165,11 @@
         // memory.
         if self.now + gap > flood_changes_at {
             let flooding = !self.customers[index].flooding;
-            let lasts =
-                if flooding { 800.0 + 4000.0 * self.rng.f64() } else { 8000.0 + 20_000.0 * self.rng.f64() };
+            let lasts = if flooding {
+                MIN_FLOOD_MS + FLOOD_RANGE_MS * self.rng.f64()
+            } else {
+                MIN_FLOOD_GAP_MS + FLOOD_GAP_RANGE_MS * self.rng.f64()
+            };
             let customer = &mut self.customers[index];
             (customer.flooding, customer.flood_changes_at) = (flooding, flood_changes_at + lasts);
             self.schedule_at(flood_changes_at, EventKind::RequestArrives(usize::MAX - index));
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -20,6 +20,10 @@
 use weldhub::{Action, Event};
 use weldhub_client::policy::TryOutcome;
 
+/// The time from the start of a restarted ingress until discovery sends it the complete list, on top of the
+/// usual delay of discovery, in milliseconds.
+const RESTARTED_LIST_DELAY_MS: f64 = 50.0;
+
 /// A try of a client request at an ingress, which is one request to the decision module.
 pub(super) struct IngressRequest {
     /// The index of the client request.
@@ -219,7 +223,7 @@
         };
         self.list_received(ingress, ListKind::Cached, first);
         if incarnation > 0 && self.script.discovery.by != By::Asked {
-            let delay = 50.0 + self.draw(self.script.discovery.spread);
+            let delay = RESTARTED_LIST_DELAY_MS + self.draw(self.script.discovery.spread);
             self.schedule_after(delay, EventKind::CompleteListRead(ingress, incarnation));
         }
     }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -50,6 +50,8 @@
 /// With a shorter client timeout than this, a missing answer is not counted as a breach: the answer may
 /// become due before the decision module's own, in milliseconds.
 const MIN_CHECKED_TIMEOUT_MS: f64 = 500.0;
+/// The time from the end of a drained backend until discovery lists it as gone, in milliseconds.
+const GONE_DELAY_MS: f64 = 100.0;
 /// How long a run goes on after the last arrival, so that open requests can end, in milliseconds.
 const RUN_OUT_MS: f64 = 4000.0;
 
@@ -395,7 +397,7 @@
                 let drained = self.backends[backend].draining;
                 self.stop_backend(backend);
                 if drained {
-                    self.schedule_publication(backend, BackendState::Gone, 100.0);
+                    self.schedule_publication(backend, BackendState::Gone, GONE_DELAY_MS);
                 }
             }
             EventKind::BackendStarts(backend) => {
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -148,6 +148,7 @@
         for at in self.choose(live.len(), count as usize) {
             let backend = live[at];
             for ingress in 0..ingress_count {
+                // The operator reaches the ingresses one by one, within 10 to 100 ms.
                 let (disable_delay, enable_delay) =
                     (10.0 + 90.0 * self.rng.f64(), 10.0 + 90.0 * self.rng.f64());
                 self.schedule_after(disable_delay, EventKind::BackendDisabled(ingress, backend, true));
