--- a/emulator/src/check.rs
+++ b/emulator/src/check.rs
@@ -1,6 +1,6 @@
 //! The rules that must hold whatever happens, checked on what the decisions do and on what becomes of it.
 
-use crate::script::{Repeat, Script};
+use crate::script::{RepeatSafety, Script};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -69,12 +69,19 @@
     }
 
     /// A further attempt goes out; `risky` is when the first one went that may have run, and where.
-    pub fn again(&mut self, now: f64, repeat: Repeat, risky: Option<(f64, u16)>, cell: u16, request: u64) {
+    pub fn again(
+        &mut self,
+        now: f64,
+        repeat: RepeatSafety,
+        risky: Option<(f64, u16)>,
+        cell: u16,
+        request: u64,
+    ) {
         let Some((first, home)) = risky else { return };
         let good = match repeat {
-            Repeat::Safe => true,
-            Repeat::Keyed { window } => home == cell && now - first < window,
-            Repeat::Unsafe => false,
+            RepeatSafety::Safe => true,
+            RepeatSafety::Keyed { window } => home == cell && now - first < window,
+            RepeatSafety::Unsafe => false,
         };
         if !good {
             self.breach(Rule::Resend, now, || {
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -179,7 +179,7 @@
 
 fn replaced(script: Script, set: &str) -> Result<Script, String> {
     let (path, value) = set.split_once('=').ok_or(format!("{set} is no PATH=VALUE"))?;
-    script.with(path, value).map_err(|e| e.to_string())
+    script.with_value(path, value).map_err(|e| e.to_string())
 }
 
 impl Of {
@@ -222,7 +222,7 @@
     };
     let (path, values) = over.split_once('=').ok_or(format!("{over} is no PATH=VALUE,VALUE"))?;
     let with = |value: &str| {
-        let script = base.with(path, value).map_err(|e| e.to_string())?;
+        let script = base.with_value(path, value).map_err(|e| e.to_string())?;
         Ok((value.to_owned(), script))
     };
     let scripts = values.split(',').map(with).collect::<Result<_, String>>()?;
--- a/emulator/src/script/check.rs
+++ b/emulator/src/script/check.rs
@@ -1,155 +1,155 @@
-//! Whether the figures of a script can be: each check names its key.
+//! Validation of a script; each error names the key of the invalid value.
 
-use super::{Kind, Plan, Repeat, Script, Span, What};
+use super::{MachineKind, Plan, RepeatSafety, Script, TroubleKind, UniformRange};
 use std::collections::BTreeSet;
 
 /// The most ingresses of a run.
 const MAX_INGRESSES: u16 = 5000;
-/// The most real servers of a run.
-const MAX_SERVERS: u32 = 5000;
-/// The most requests of a run, which take some gigabytes.
+/// The most backends at the start of a run.
+const MAX_BACKENDS: u32 = 5000;
+/// The most requests of a run, which need several gigabytes of memory.
 const MAX_REQUESTS: f64 = 5e6;
 
-/// Nothing, or the fault in one line that names the key.
-type Checked = Result<(), String>;
+/// `Ok`, or the fault in one line that names the key.
+type CheckResult = Result<(), String>;
 
-fn above(key: &str, value: f64) -> Checked {
+fn check_positive(key: &str, value: f64) -> CheckResult {
     if value.is_finite() && value > 0.0 { Ok(()) } else { Err(format!("{key} must be above 0")) }
 }
 
-fn not_below(key: &str, value: f64) -> Checked {
-    if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(format!("{key} must not be below 0")) }
+fn check_not_negative(key: &str, value: f64) -> CheckResult {
+    if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(format!("{key} must not be negative")) }
 }
 
-fn part(key: &str, value: f64) -> Checked {
+fn check_fraction(key: &str, value: f64) -> CheckResult {
     if (0.0..=1.0).contains(&value) { Ok(()) } else { Err(format!("{key} must lie between 0 and 1")) }
 }
 
-fn span(key: &str, [least, most]: Span) -> Checked {
-    not_below(key, least)?;
-    let rises = most.is_finite() && least <= most;
-    if rises { Ok(()) } else { Err(format!("{key} must go from low to high")) }
+fn check_range(key: &str, [least, most]: UniformRange) -> CheckResult {
+    check_not_negative(key, least)?;
+    let ordered = most.is_finite() && least <= most;
+    if ordered { Ok(()) } else { Err(format!("{key} must be two values, the lower one first")) }
 }
 
 impl Script {
-    /// Checks all figures.
-    pub(super) fn check(&self) -> Checked {
-        above("length", self.length)?;
+    /// Checks all values.
+    pub(super) fn check(&self) -> CheckResult {
+        check_positive("length", self.length)?;
         self.check_ingresses()?;
         self.check_kinds()?;
-        self.check_servers()?;
+        self.check_backends()?;
         self.check_network()?;
         self.check_shared()?;
         self.check_load()?;
         self.check_classes()?;
         self.check_plans()?;
-        self.check_size()?;
+        self.check_request_count()?;
         (0..self.troubles.len()).try_for_each(|i| self.check_trouble(i))
     }
 
-    fn check_ingresses(&self) -> Checked {
+    fn check_ingresses(&self) -> CheckResult {
         let count = self.ingresses.count;
         if count == 0 {
             return Err("ingresses.count must be above 0".into());
         }
         if count > MAX_INGRESSES {
-            return Err(format!("ingresses.count: {count} are more than the {MAX_INGRESSES} that fit"));
+            return Err(format!("ingresses.count: {count} exceeds the limit of {MAX_INGRESSES}"));
         }
         if self.ingresses.max_attempts == 0 {
             return Err("ingresses.max_attempts must be above 0".into());
         }
-        span("ingresses.notice", self.ingresses.notice)
+        check_range("ingresses.notice", self.ingresses.notice)
     }
 
-    fn check_kinds(&self) -> Checked {
-        let servers = self.servers_at_first();
-        if self.kinds.is_empty() || servers == 0 {
-            return Err("kinds: there is no real server".into());
+    fn check_kinds(&self) -> CheckResult {
+        let count = self.initial_backends();
+        if self.kinds.is_empty() || count == 0 {
+            return Err("kinds: there must be at least one backend".into());
         }
-        if servers > MAX_SERVERS {
-            return Err(format!("kinds: {servers} are more than the {MAX_SERVERS} that fit"));
+        if count > MAX_BACKENDS {
+            return Err(format!("kinds: {count} exceeds the limit of {MAX_BACKENDS}"));
         }
         self.kinds.iter().enumerate().try_for_each(|(i, kind)| check_kind(i, kind))
     }
 
-    fn check_servers(&self) -> Checked {
-        let servers = &self.servers;
+    fn check_backends(&self) -> CheckResult {
+        let backends = &self.servers;
         for (key, share) in
-            [("servers.cold_from", servers.cold_from), ("servers.told_cold_from", servers.told_cold_from)]
+            [("servers.cold_from", backends.cold_from), ("servers.told_cold_from", backends.told_cold_from)]
         {
-            part(key, share)?;
-            above(key, share)?;
+            check_fraction(key, share)?;
+            check_positive(key, share)?;
         }
-        above("servers.cold", servers.cold)?;
-        above("servers.fall_multiple", servers.fall_multiple)?;
-        above("servers.fall_window", servers.fall_window)?;
-        above("servers.told_cold", servers.told_cold)?;
-        above("servers.cell", f64::from(servers.cell))?;
-        span("servers.report_every", servers.report_every)?;
-        above("servers.report_every", servers.report_every[0])?;
-        span("servers.report_delay", servers.report_delay)?;
-        part("servers.report_noise", servers.report_noise)?;
-        not_below("servers.handshake", servers.handshake)?;
-        not_below("servers.handshake_work", servers.handshake_work)?;
-        not_below("servers.fall_slack", servers.fall_slack)
+        check_positive("servers.cold", backends.cold)?;
+        check_positive("servers.fall_multiple", backends.fall_multiple)?;
+        check_positive("servers.fall_window", backends.fall_window)?;
+        check_positive("servers.told_cold", backends.told_cold)?;
+        check_positive("servers.cell", f64::from(backends.cell))?;
+        check_range("servers.report_every", backends.report_every)?;
+        check_positive("servers.report_every", backends.report_every[0])?;
+        check_range("servers.report_delay", backends.report_delay)?;
+        check_fraction("servers.report_noise", backends.report_noise)?;
+        check_not_negative("servers.handshake", backends.handshake)?;
+        check_not_negative("servers.handshake_work", backends.handshake_work)?;
+        check_not_negative("servers.fall_slack", backends.fall_slack)
     }
 
-    fn check_network(&self) -> Checked {
+    fn check_network(&self) -> CheckResult {
         let network = &self.network;
-        above("network.halls", f64::from(network.halls))?;
-        span("network.same", network.same)?;
-        span("network.cross", network.cross)?;
-        span("network.client", network.client)?;
-        part("network.late_connections", network.late_connections)?;
-        span("network.late_by", network.late_by)?;
-        not_below("network.connect_timeout", network.connect_timeout)?;
-        part("network.lost_answers", network.lost_answers)
+        check_positive("network.halls", f64::from(network.halls))?;
+        check_range("network.same", network.same)?;
+        check_range("network.cross", network.cross)?;
+        check_range("network.client", network.client)?;
+        check_fraction("network.late_connections", network.late_connections)?;
+        check_range("network.late_by", network.late_by)?;
+        check_not_negative("network.connect_timeout", network.connect_timeout)?;
+        check_fraction("network.lost_answers", network.lost_answers)
     }
 
-    /// What all ingresses share: discovery, the counter and the peers' messages.
-    fn check_shared(&self) -> Checked {
-        span("discovery.notice", self.discovery.notice)?;
-        span("discovery.spread", self.discovery.spread)?;
-        span("discovery.add", self.discovery.add)?;
-        above("discovery.asks_per_second", self.discovery.asks_per_second)?;
+    /// Checks what all ingresses share: discovery, the counter and peer messages.
+    fn check_shared(&self) -> CheckResult {
+        check_range("discovery.notice", self.discovery.notice)?;
+        check_range("discovery.spread", self.discovery.spread)?;
+        check_range("discovery.add", self.discovery.add)?;
+        check_positive("discovery.asks_per_second", self.discovery.asks_per_second)?;
         if let Some(counter) = &self.counter {
-            above("counter.parts", counter.parts as f64)?;
-            above("counter.calls_per_second", counter.calls_per_second)?;
-            not_below("counter.line", counter.line)?;
-            span("counter.time", counter.time)?;
-            above("counter.timeout", counter.timeout)?;
+            check_positive("counter.parts", counter.parts as f64)?;
+            check_positive("counter.calls_per_second", counter.calls_per_second)?;
+            check_not_negative("counter.line", counter.line)?;
+            check_range("counter.time", counter.time)?;
+            check_positive("counter.timeout", counter.timeout)?;
         }
         if let Some(peers) = &self.peers {
-            span("peers.delay", peers.delay)?;
-            part("peers.loss", peers.loss)?;
-            above("peers.per_second", peers.per_second)?;
+            check_range("peers.delay", peers.delay)?;
+            check_fraction("peers.loss", peers.loss)?;
+            check_positive("peers.per_second", peers.per_second)?;
         }
         Ok(())
     }
 
-    fn check_load(&self) -> Checked {
+    fn check_load(&self) -> CheckResult {
         let load = &self.load;
-        above("load.level", load.level)?;
-        span("load.backoff", load.backoff)?;
-        span("load.try_share", load.try_share)?;
-        above("load.try_share", load.try_share[0])?;
-        part("load.try_share", load.try_share[1])?;
-        span("load.shifts", load.shifts)?;
-        above("load.shifts", load.shifts[0])?;
-        not_below("load.uneven", load.uneven)?;
-        load.kinds.iter().try_for_each(|share| part("load.kinds", *share))?;
-        part("load.kinds", load.kinds.iter().sum())?;
-        load.floods.iter().try_for_each(|times| above("load.floods", *times))?;
+        check_positive("load.level", load.level)?;
+        check_range("load.backoff", load.backoff)?;
+        check_range("load.try_share", load.try_share)?;
+        check_positive("load.try_share", load.try_share[0])?;
+        check_fraction("load.try_share", load.try_share[1])?;
+        check_range("load.shifts", load.shifts)?;
+        check_positive("load.shifts", load.shifts[0])?;
+        check_not_negative("load.uneven", load.uneven)?;
+        load.kinds.iter().try_for_each(|share| check_fraction("load.kinds", *share))?;
+        check_fraction("load.kinds", load.kinds.iter().sum())?;
+        load.floods.iter().try_for_each(|times| check_positive("load.floods", *times))?;
         let [least, most] = load.spread;
         if least == 0 || least > most {
-            return Err("load.spread must go from 1 or more to as many".into());
+            return Err("load.spread must be two values above 0, the lower one first".into());
         }
-        above("load.largest", f64::from(load.largest))
+        check_positive("load.largest", f64::from(load.largest))
     }
 
-    fn check_classes(&self) -> Checked {
+    fn check_classes(&self) -> CheckResult {
         if self.classes.is_empty() || self.plans.is_empty() {
-            return Err("classes and plans must hold one each at least".into());
+            return Err("there must be at least one class and one plan".into());
         }
         let mut names = BTreeSet::new();
         for (i, class) in self.classes.iter().enumerate() {
@@ -157,19 +157,19 @@
                 return Err(format!("classes.{i}.name: {} is named twice", class.name));
             }
             let key = |name: &str| format!("classes.{i}.{name}");
-            above(&key("share"), class.share)?;
-            above(&key("work"), class.work)?;
-            above(&key("aim"), class.aim)?;
-            above(&key("give_up"), class.give_up)?;
-            above(&key("worth"), class.worth)?;
-            if let Repeat::Keyed { window } = class.repeat {
-                above(&key("repeat.keyed.window"), window)?;
+            check_positive(&key("share"), class.share)?;
+            check_positive(&key("work"), class.work)?;
+            check_positive(&key("aim"), class.aim)?;
+            check_positive(&key("give_up"), class.give_up)?;
+            check_positive(&key("worth"), class.worth)?;
+            if let RepeatSafety::Keyed { window } = class.repeat {
+                check_positive(&key("repeat.keyed.window"), window)?;
             }
         }
         Ok(())
     }
 
-    fn check_plans(&self) -> Checked {
+    fn check_plans(&self) -> CheckResult {
         let mut names = BTreeSet::new();
         for (i, plan) in self.plans.iter().enumerate() {
             if !names.insert(&plan.name) {
@@ -180,97 +180,102 @@
         Ok(())
     }
 
-    fn check_size(&self) -> Checked {
-        let requests = self.length * self.load.level * self.power() / self.mean_work();
+    fn check_request_count(&self) -> CheckResult {
+        let requests = self.length * self.load.level * self.warm_capacity() / self.mean_work();
         if requests > MAX_REQUESTS {
-            return Err(format!(
-                "length: {requests:.0} requests are more than the {MAX_REQUESTS:.0} that fit"
-            ));
+            return Err(format!("length: {requests:.0} requests exceed the limit of {MAX_REQUESTS:.0}"));
         }
         Ok(())
     }
 
-    fn check_trouble(&self, i: usize) -> Checked {
+    fn check_trouble(&self, i: usize) -> CheckResult {
         let trouble = &self.troubles[i];
         let key = |name: &str| format!("troubles.{i}.{name}");
-        not_below(&key("at"), trouble.at)?;
-        check_shares(&trouble.what, key)?;
-        check_course(&trouble.what, key)?;
-        if let What::Cut { hall, .. } = trouble.what
+        check_not_negative(&key("at"), trouble.at)?;
+        check_fractions(&trouble.kind, key)?;
+        check_factors_and_durations(&trouble.kind, key)?;
+        if let TroubleKind::PartitionHall { hall, .. } = trouble.kind
             && hall >= self.network.halls
         {
-            return Err(format!("{}: there is no hall {hall}", key("hall")));
+            return Err(format!("{}: no hall {hall}", key("hall")));
         }
         Ok(())
     }
 }
 
-fn check_kind(i: usize, kind: &Kind) -> Checked {
+fn check_kind(i: usize, kind: &MachineKind) -> CheckResult {
     let key = |name: &str| format!("kinds.{i}.{name}");
-    above(&key("cores"), f64::from(kind.cores))?;
-    span(&key("speed"), kind.speed)?;
-    above(&key("speed"), kind.speed[0])?;
-    above(&key("slots"), kind.slots)?;
-    not_below(&key("queue"), kind.queue)?;
-    part(&key("errors"), kind.errors)
+    check_positive(&key("cores"), f64::from(kind.cores))?;
+    check_range(&key("speed"), kind.speed)?;
+    check_positive(&key("speed"), kind.speed[0])?;
+    check_positive(&key("slots"), kind.slots)?;
+    check_not_negative(&key("queue"), kind.queue)?;
+    check_fraction(&key("errors"), kind.errors)
 }
 
-fn check_plan(i: usize, plan: &Plan) -> Checked {
+fn check_plan(i: usize, plan: &Plan) -> CheckResult {
     let key = |name: &str| format!("plans.{i}.{name}");
-    above(&key("share"), plan.share)?;
-    above(&key("rate"), plan.rate)?;
-    above(&key("burst"), plan.burst)?;
-    above(&key("worth"), plan.worth)?;
+    check_positive(&key("share"), plan.share)?;
+    check_positive(&key("rate"), plan.rate)?;
+    check_positive(&key("burst"), plan.burst)?;
+    check_positive(&key("worth"), plan.worth)?;
     if plan.unrated {
-        above(&key("at_once"), plan.at_once)?;
+        check_positive(&key("at_once"), plan.at_once)?;
     }
-    not_below(&key("at_once"), plan.at_once)?;
-    not_below(&key("ceiling"), plan.ceiling)?;
-    not_below(&key("beyond"), plan.beyond)
+    check_not_negative(&key("at_once"), plan.at_once)?;
+    check_not_negative(&key("ceiling"), plan.ceiling)?;
+    check_not_negative(&key("beyond"), plan.beyond)
 }
 
-/// Checks the figures of a trouble that are parts of a whole.
-fn check_shares(what: &What, key: impl Fn(&str) -> String) -> Checked {
-    match what {
-        What::Crash { share, .. } | What::Shift { share } => part(&key("share"), *share),
-        What::Roll { share, at_once, .. }
-        | What::Release { share, at_once, .. }
-        | What::Shrink { share, at_once, .. }
-        | What::Restart { share, at_once, .. } => {
-            part(&key("share"), *share)?;
-            part(&key("at_once"), *at_once)
+/// Checks the fractions of a trouble.
+fn check_fractions(kind: &TroubleKind, key: impl Fn(&str) -> String) -> CheckResult {
+    match kind {
+        TroubleKind::CrashIngresses { share, .. } | TroubleKind::ShiftCustomers { share } => {
+            check_fraction(&key("share"), *share)
         }
-        What::Bad { errors, .. } => part(&key("errors"), *errors),
-        What::Silence { loss, .. } => part(&key("loss"), *loss),
+        TroubleKind::RollIngresses { share, at_once, .. }
+        | TroubleKind::ReplaceBackends { share, at_once, .. }
+        | TroubleKind::RemoveBackends { share, at_once, .. }
+        | TroubleKind::RestartBackends { share, at_once, .. } => {
+            check_fraction(&key("share"), *share)?;
+            check_fraction(&key("at_once"), *at_once)
+        }
+        TroubleKind::DegradeBackends { errors, .. } => check_fraction(&key("errors"), *errors),
+        TroubleKind::PeerMessageLoss { loss, .. } => check_fraction(&key("loss"), *loss),
         _ => Ok(()),
     }
 }
 
-/// Checks how strong a trouble is, and how long it lasts.
-fn check_course(what: &What, key: impl Fn(&str) -> String) -> Checked {
-    match what {
-        What::Roll { at_once, over, .. }
-        | What::Release { at_once, over, .. }
-        | What::Shrink { at_once, over, .. }
-        | What::Restart { at_once, over, .. } => {
-            above(&key("at_once"), *at_once)?;
-            not_below(&key("over"), *over)?;
+/// Checks the factors and durations of a trouble.
+fn check_factors_and_durations(kind: &TroubleKind, key: impl Fn(&str) -> String) -> CheckResult {
+    match kind {
+        TroubleKind::RollIngresses { at_once, over, .. }
+        | TroubleKind::ReplaceBackends { at_once, over, .. }
+        | TroubleKind::RemoveBackends { at_once, over, .. }
+        | TroubleKind::RestartBackends { at_once, over, .. } => {
+            check_positive(&key("at_once"), *at_once)?;
+            check_not_negative(&key("over"), *over)?;
         }
-        What::Slow { times, lasting } | What::Surge { times, lasting } | What::Bad { times, lasting, .. } => {
-            above(&key("times"), *times)?;
-            not_below(&key("lasting"), *lasting)?;
+        TroubleKind::SlowBackends { times, lasting }
+        | TroubleKind::LoadSurge { times, lasting }
+        | TroubleKind::DegradeBackends { times, lasting, .. } => {
+            check_positive(&key("times"), *times)?;
+            check_not_negative(&key("lasting"), *lasting)?;
         }
-        What::Hand { lasting, .. }
-        | What::CounterLost { lasting }
-        | What::Silence { lasting, .. }
-        | What::Cut { lasting, .. } => not_below(&key("lasting"), *lasting)?,
+        TroubleKind::DisableBackends { lasting, .. }
+        | TroubleKind::CounterOutage { lasting }
+        | TroubleKind::PeerMessageLoss { lasting, .. }
+        | TroubleKind::PartitionHall { lasting, .. } => check_not_negative(&key("lasting"), *lasting)?,
         _ => {}
     }
-    if let What::Crash { down, .. } | What::Roll { down, .. } | What::Restart { down, .. } = what {
-        span(&key("down"), *down)?;
+    if let TroubleKind::CrashIngresses { down, .. }
+    | TroubleKind::RollIngresses { down, .. }
+    | TroubleKind::RestartBackends { down, .. } = kind
+    {
+        check_range(&key("down"), *down)?;
     }
-    if let What::Restart { told, .. } = what {
-        span(&key("told"), *told)?;
+    if let TroubleKind::RestartBackends { told, .. } = kind {
+        check_range(&key("told"), *told)?;
     }
     Ok(())
 }
--- a/emulator/src/script/fleet.rs
+++ b/emulator/src/script/fleet.rs
@@ -1,93 +1,97 @@
-//! The fleet of a script: ingresses, real servers, the network, discovery, the counter and the peers.
+//! The fleet of a script: ingresses, backends, the network, discovery, the counter and peer messages.
+//!
+//! Times are in milliseconds, fractions go from 0 to 1.
 
-use super::Span;
+use super::UniformRange;
 use serde::{Deserialize, Serialize};
 
-/// Ingresses.
+/// The ingresses and their settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ingresses {
-    /// How many.
+    /// Number of ingresses.
     pub count: u16,
-    /// The most schedulings of a request.
+    /// The most attempts of a request.
     #[serde(default = "six")]
     pub max_attempts: u16,
-    /// A request may have two attempts out.
+    /// Hedging: a request may have two attempts in flight.
     #[serde(default)]
     pub second_copies: bool,
-    /// Requests go on coming to a dead one for so long.
+    /// Time for which requests still arrive at a dead ingress.
     #[serde(default = "notice")]
-    pub notice: Span,
+    pub notice: UniformRange,
 }
 
 fn six() -> u16 {
     6
 }
 
-fn notice() -> Span {
+fn notice() -> UniformRange {
     [1100.0, 3700.0]
 }
 
-/// A kind of real server.
+/// A kind of machine that backends run on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
-    /// How many there are at first.
+pub struct MachineKind {
+    /// Number of backends of this kind at the start of a run.
     pub count: u32,
-    /// Cores of each.
+    /// Cores of a backend.
     pub cores: u32,
-    /// The speed of a core: milliseconds of work a millisecond.
-    pub speed: Span,
-    /// Requests in work at once, for each core.
+    /// Speed of a core, in milliseconds of work per millisecond.
+    pub speed: UniformRange,
+    /// Requests that are worked on at once, per core.
     pub slots: f64,
-    /// Requests that wait, for each core; more are turned away unseen.
+    /// The most requests that wait, per core; further ones are rejected without work.
     pub queue: f64,
-    /// The part of requests that end as errors.
+    /// Fraction of requests that end in an error.
     #[serde(default)]
     pub errors: f64,
 }
 
-/// What holds for real servers of all kinds.
+/// Properties of the backends of all kinds: cold starts, overload, load reports and connections.
+///
+/// A backend that receives more work within a window than it tolerates falls over: its process ends and stays down.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Servers {
-    /// The part of its full work that a started one can do at first, and the time until it is warm.
+pub struct BackendSettings {
+    /// Capacity of a backend that has just started, as a fraction of its full capacity.
     pub cold_from: f64,
-    /// The latter.
+    /// Time from a start until the backend is warm.
     pub cold: f64,
-    /// It warms by the work that it does, as fast as with time where it is fully busy.
+    /// A backend warms up by the work that it does: as fast as by time if it is fully busy.
     pub warm_by_work: bool,
-    /// Sent this multiple of what it can do ...
+    /// Multiple of its capacity that a backend tolerates over `fall_window`.
     pub fall_multiple: f64,
-    /// ... for so long, it falls over and stays down.
+    /// Window over which received work is summed up.
     pub fall_window: f64,
-    /// Of N requests of mean work that this allows, so many times the root of N plus one are put down to chance beyond it.
+    /// Tolerance for random variation: if N requests of mean work are tolerated, a further `fall_slack * (sqrt(N) + 1)` are.
     pub fall_slack: f64,
-    /// What makes it fall goes by the start that instances are told of, at its usual speed, not by its own.
+    /// The tolerated work follows `told_cold_from` and `told_cold` at the usual speed, not the backend's actual capacity.
     pub fall_as_told: bool,
-    /// Answers carry reports of load; where they don't, nothing tells it.
+    /// Answers carry load reports.
     pub reports: bool,
-    /// What an instance is told of cold starts: the worst that may be.
+    /// Initial capacity of a cold backend that ingresses assume, as a fraction: the worst case.
     pub told_cold_from: f64,
-    /// The same of the time.
+    /// Time until a backend is warm that ingresses assume: the worst case.
     pub told_cold: f64,
-    /// Reports are refreshed so often, ...
-    pub report_every: Span,
-    /// ... come so late, ...
-    pub report_delay: Span,
-    /// ... and are off by up to this part.
+    /// Interval at which load reports are refreshed.
+    pub report_every: UniformRange,
+    /// Delay of load reports.
+    pub report_delay: UniformRange,
+    /// The largest error of load reports, as a fraction.
     pub report_noise: f64,
-    /// What a new connection costs its first request, and the server in work.
+    /// Latency that a new connection adds to its first request, beside the round trip.
     pub handshake: f64,
-    /// The latter.
+    /// Work of a new connection for the backend.
     pub handshake_work: f64,
-    /// Work that waits is dropped when it is cancelled.
+    /// Queued requests are dropped when they are cancelled.
     pub drops_cancelled: bool,
-    /// In a pod there are so many.
+    /// Backends in a cell.
     pub cell: u16,
 }
 
-impl Default for Servers {
+impl Default for BackendSettings {
     fn default() -> Self {
         Self {
             cold_from: 0.35,
@@ -111,26 +115,26 @@
     }
 }
 
-/// Halls and ways.
+/// The halls and the network between them. Delays are one way.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// How many halls.
+    /// Number of halls; each is a zone of its own.
     pub halls: u8,
-    /// One way within a hall, and between two.
-    pub same: Span,
-    /// The latter.
-    pub cross: Span,
-    /// From a client to an ingress.
-    pub client: Span,
-    /// A connection that is not up by then never will be.
+    /// Delay within a hall.
+    pub same: UniformRange,
+    /// Delay between two halls.
+    pub cross: UniformRange,
+    /// Delay between a client and an ingress.
+    pub client: UniformRange,
+    /// Time after which an attempt to connect fails.
     pub connect_timeout: f64,
-    /// The part of answers that get lost on the way.
+    /// Fraction of backends' answers that are lost.
     pub lost_answers: f64,
-    /// The part of new connections that come up late, ...
+    /// Fraction of new connections that are established late.
     pub late_connections: f64,
-    /// ... by so much.
-    pub late_by: Span,
+    /// Additional delay of late connections.
+    pub late_by: UniformRange,
 }
 
 impl Default for Network {
@@ -148,38 +152,39 @@
     }
 }
 
-/// Who tells lists.
+/// How ingresses receive backend lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum DiscoverySource {
     /// Changes are pushed.
     Push,
-    /// Ingresses ask, and are answered in turn; what changes later is pushed to those that have asked.
-    Asked,
-    /// Consul's health answers, through the shipped membership.
+    /// Ingresses request a list, and requests are answered one after the other; later changes are pushed to them.
+    #[serde(rename = "asked")]
+    OnRequest,
+    /// Answers of Consul's health endpoint, evaluated by the shipped membership.
     Consul,
 }
 
-/// How lists are told.
+/// Distribution of backend lists.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// By whom.
-    pub by: By,
-    /// A change is known after so long ...
-    pub notice: Span,
-    /// ... and comes to each ingress so much later.
-    pub spread: Span,
-    /// A new real server is listed so long after its start.
-    pub add: Span,
-    /// Asks answered a second, where it is asked; one that has waited for two seconds fails.
+    /// How ingresses receive lists.
+    pub by: DiscoverySource,
+    /// Time until discovery knows of a change.
+    pub notice: UniformRange,
+    /// Time from then until each ingress is notified.
+    pub spread: UniformRange,
+    /// Time from the start of a new backend until it is listed.
+    pub add: UniformRange,
+    /// List requests answered a second; a request that has waited for two seconds fails.
     pub asks_per_second: f64,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
         Self {
-            by: By::Push,
+            by: DiscoverySource::Push,
             notice: [790.0, 2500.0],
             spread: [47.0, 370.0],
             add: [340.0, 2000.0],
@@ -188,22 +193,22 @@
     }
 }
 
-/// The quota counter.
+/// The fleet's shared quota counter.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counter {
-    /// Names lie on so many parts ...
+    /// Number of shards.
     #[serde(default = "one")]
     pub parts: usize,
-    /// ... each of which takes so many calls a second, ...
+    /// Calls that a shard serves a second.
     pub calls_per_second: f64,
-    /// ... and turns calls away when so many wait.
+    /// The longest queue of a shard, in calls; further calls are rejected.
     #[serde(default = "line")]
     pub line: f64,
-    /// The time of a call beside its ways.
+    /// Time of a call beside its network delays.
     #[serde(default = "call")]
-    pub time: Span,
-    /// Callers give up after this.
+    pub time: UniformRange,
+    /// Time after which callers stop waiting.
     #[serde(default = "fifty")]
     pub timeout: f64,
 }
@@ -216,7 +221,7 @@
     60.0
 }
 
-fn call() -> Span {
+fn call() -> UniformRange {
     [0.7, 1.8]
 }
 
@@ -228,10 +233,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// How late they come.
-    pub delay: Span,
-    /// The part that is lost.
+    /// Delay of a message.
+    pub delay: UniformRange,
+    /// Fraction of messages that is lost.
     pub loss: f64,
-    /// So many a second are taken in.
+    /// Messages that an ingress accepts a second.
     pub per_second: f64,
 }
--- a/emulator/src/script/load.rs
+++ b/emulator/src/script/load.rs
@@ -1,52 +1,52 @@
-//! The load of a script: how much is asked, by whom, of which classes and plans.
+//! The load of a script: request rate, customers, classes and plans.
 
-use super::Span;
+use super::UniformRange;
 use serde::{Deserialize, Serialize};
 
-/// How clients ask again.
+/// How clients retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Clients {
-    /// At once or after a short fixed wait, whatever came.
+pub enum ClientPolicy {
+    /// At once or after a short random wait, whatever the answer was.
     Hasty,
     /// By the policy of `weldhub-client`.
     Library,
 }
 
-/// What is asked.
+/// The request load and how it is spread over customers and ingresses.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// What is asked inside the quotas, as a part of what the warm real servers can do at first.
+    /// Load inside the quotas, as a fraction of the capacity of the initial backends when warm.
     pub level: f64,
-    /// How clients ask again.
-    pub clients: Clients,
-    /// Retries of a hasty client.
+    /// How clients retry.
+    pub clients: ClientPolicy,
+    /// The most retries of a request by a hasty client.
     #[serde(default = "two")]
     pub retries: u32,
-    /// Its wait before one.
+    /// Wait of a hasty client before a retry, in milliseconds.
     #[serde(default = "wait")]
-    pub backoff: Span,
-    /// A try is given up after this part of its class's time.
+    pub backoff: UniformRange,
+    /// Timeout of a try, as a fraction of the `give_up` time of its class.
     #[serde(default = "part")]
-    pub try_share: Span,
-    /// The part of customers that use nearly all of their quota, that ask for several times it all the time, and that do so
-    /// for seconds now and then.
+    pub try_share: UniformRange,
+    /// Fractions of the customers: those that use nearly all of their quota, those that always request several times their
+    /// quota, and those that do so for seconds now and then.
     #[serde(default = "kinds")]
     pub kinds: [f64; 3],
-    /// How much the latter two ask for at most, in quotas.
+    /// The highest demand of the customers that always and that temporarily exceed their quota, in quotas.
     #[serde(default = "floods")]
     pub floods: [f64; 2],
-    /// A customer's requests come in through so many ingresses.
+    /// The fewest and the most ingresses that a customer's requests arrive at.
     pub spread: [u16; 2],
-    /// The busiest of these change every so often.
+    /// Time until a customer's requests move to others of its ingresses, in milliseconds.
     #[serde(default = "shifts")]
-    pub shifts: Span,
-    /// The largest request, in units.
+    pub shifts: UniformRange,
+    /// Size of the largest request, in units.
     #[serde(default = "six_units")]
     pub largest: u32,
-    /// How unevenly ingresses are sought: the deviation of the logarithm of their weights. At 1 one in a hundred has ten
-    /// times the median.
+    /// How unevenly requests are spread over ingresses: the standard deviation of the logarithm of the ingresses' weights. At
+    /// 1 one ingress in a hundred has ten times the median.
     #[serde(default)]
     pub uneven: f64,
 }
@@ -55,11 +55,11 @@
     2
 }
 
-fn wait() -> Span {
+fn wait() -> UniformRange {
     [0.0, 120.0]
 }
 
-fn part() -> Span {
+fn part() -> UniformRange {
     [0.5, 1.0]
 }
 
@@ -71,7 +71,7 @@
     [4.0, 6.0]
 }
 
-fn shifts() -> Span {
+fn shifts() -> UniformRange {
     [8400.0, 18_000.0]
 }
 
@@ -79,18 +79,18 @@
     6
 }
 
-/// What a repeat does.
+/// Whether a request may run twice.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
-    /// Nothing.
+pub enum RepeatSafety {
+    /// Running it twice is harmless.
     Safe,
-    /// Nothing within the pod for so long.
+    /// Running it twice is harmless within one cell for a time, as the idempotency key is remembered there.
     Keyed {
-        /// For how long.
+        /// How long the key is remembered, in milliseconds.
         window: f64,
     },
-    /// Harm.
+    /// Running it twice does harm.
     Unsafe,
 }
 
@@ -98,45 +98,45 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the requests.
+    /// Weight of the class among all requests.
     pub share: f64,
-    /// Its mean work on a core of speed 1, of a request of mean size.
+    /// Mean work of a request of mean size, in milliseconds of a core of speed 1.
     pub work: f64,
-    /// Wanted within this, ...
+    /// Latency target, in milliseconds.
     pub aim: f64,
-    /// ... and given up after this.
+    /// Time after which the client gives up, in milliseconds.
     pub give_up: f64,
-    /// What it is worth.
+    /// Worth of a unit.
     pub worth: f64,
-    /// What a repeat does.
-    pub repeat: Repeat,
+    /// Whether a request may run twice.
+    pub repeat: RepeatSafety,
 }
 
-/// A plan.
+/// A plan: the quota of its customers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the use inside quotas.
+    /// Weight of the plan in the load inside the quotas.
     pub share: f64,
-    /// Units a second for each customer, over all ingresses.
+    /// Quota of each customer over all ingresses, in units a second.
     pub rate: f64,
-    /// So many seconds' worth may be used at once.
+    /// Burst, in seconds of the rate.
     pub burst: f64,
-    /// Units are not counted: the cap on attempts out is the whole quota, and the rate only tells what is asked.
+    /// Units are not counted: the cap on attempts in flight is the whole quota, and the rate only sets the demand.
     #[serde(default)]
     pub unrated: bool,
-    /// Attempts out at once; 0 for no such cap.
+    /// The most attempts in flight at once; 0 for no cap.
     #[serde(default)]
     pub at_once: f64,
-    /// The hard ceiling, in quotas; 0 for none.
+    /// The hard rate limit, as a multiple of the quota; 0 for none.
     #[serde(default)]
     pub ceiling: f64,
-    /// Worth counts so many times.
+    /// Factor on the worth of a request.
     pub worth: f64,
-    /// What a request that is sent on beyond the quota costs, in its worth.
+    /// Cost of a request sent on beyond the quota, as a multiple of its worth.
     pub beyond: f64,
 }
--- a/emulator/src/script/tests.rs
+++ b/emulator/src/script/tests.rs
@@ -3,7 +3,7 @@
 const GOOD: &str = include_str!("../../scripts/calm.toml");
 
 #[test]
-fn a_faulty_script_is_one_line_that_names_its_key() {
+fn rejects_invalid_script_with_one_line_that_names_the_key() {
     let good = Script::read(GOOD).unwrap();
     for (old, new, key) in [
         ("length =", "lenght = 1\nlength =", "lenght"),
@@ -25,7 +25,7 @@
         ("kinds.0.speed", "[2.0, 1.0]", "kinds.0.speed"),
         ("peers.loss", "1.5", "peers.loss"),
     ] {
-        let why = good.with(path, value).unwrap_err().to_string();
+        let why = good.with_value(path, value).unwrap_err().to_string();
         assert!(why.contains(key), "{why}");
     }
     let trouble = "\n[[troubles]]\nat = -1.0\ndo = { cut = { hall = 1, lasting = 5.0 } }\n";
@@ -35,5 +35,5 @@
     let restart = "share = 0.5, at_once = 0.1, over = 0.0, down = [1.0, 2.0], told = [2.0, 1.0]";
     let trouble = format!("\n[[troubles]]\nat = 1.0\ndo = {{ restart = {{ {restart} }} }}\n");
     assert!(Script::read(&format!("{GOOD}{trouble}")).unwrap_err().0.contains("troubles.0.told"));
-    assert_eq!(good.with("load.level", "0.75").unwrap().load.level, 0.75);
+    assert_eq!(good.with_value("load.level", "0.75").unwrap().load.level, 0.75);
 }
--- a/emulator/src/script/trouble.rs
+++ b/emulator/src/script/trouble.rs
@@ -1,134 +1,148 @@
-//! The troubles of a script: what happens, and when.
+//! The troubles of a script: faults, restarts and changes of load at set times.
 
-use super::Span;
+use super::UniformRange;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// One trouble of a script and its start.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// When.
+    /// Start, in milliseconds from the beginning of the run.
     pub at: f64,
-    /// What.
+    /// What happens.
     #[serde(rename = "do")]
-    pub what: What,
+    pub kind: TroubleKind,
 }
 
-/// A trouble.
+/// What happens to the fleet. Shares are fractions from 0 to 1, times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
-    /// This part of the ingresses die, and come back after a time with nothing but their last list.
-    Crash {
-        /// Which part.
+pub enum TroubleKind {
+    /// Some ingresses crash and come back with nothing but their last backend list.
+    #[serde(rename = "crash")]
+    CrashIngresses {
+        /// Fraction of the ingresses that crash.
         share: f64,
-        /// After how long they are back.
-        down: Span,
+        /// Time from the crash until an ingress is up again.
+        down: UniformRange,
     },
-    /// The ingresses are restarted one group after the other, as told to.
-    Roll {
-        /// Which part of them.
+    /// Ingresses are restarted in batches.
+    #[serde(rename = "roll")]
+    RollIngresses {
+        /// Fraction of the ingresses that restart.
         share: f64,
-        /// At once.
+        /// Batch size, as a fraction of all ingresses.
         at_once: f64,
-        /// Over which time.
+        /// Time over which the batches are spread.
         over: f64,
-        /// After how long each is back.
-        down: Span,
+        /// Time from the stop of an ingress until it is up again.
+        down: UniformRange,
     },
     /// All ingresses hand over to a new process.
-    Upgrade,
-    /// Real servers are replaced in batches by cold successors.
-    Release {
-        /// Which part of them.
+    #[serde(rename = "upgrade")]
+    UpgradeIngresses,
+    /// Backends are replaced in batches by cold successors.
+    #[serde(rename = "release")]
+    ReplaceBackends {
+        /// Fraction of the backends that are replaced.
         share: f64,
-        /// At once.
+        /// Batch size, as a fraction of the backends that are up.
         at_once: f64,
-        /// Over which time.
+        /// Time over which the batches are spread.
         over: f64,
-        /// A replaced one ends so long after it began to drain.
+        /// Time from the start of a backend's drain until its process ends.
         grace: f64,
     },
-    /// Backends drain and end, and none take their places.
-    Shrink {
-        /// Which part of them.
+    /// Backends drain and end without successors.
+    #[serde(rename = "shrink")]
+    RemoveBackends {
+        /// Fraction of the backends that are removed.
         share: f64,
-        /// At once.
+        /// Batch size, as a fraction of the backends that are up.
         at_once: f64,
-        /// Over which time.
+        /// Time over which the batches are spread.
         over: f64,
-        /// Each ends so long after it began to drain.
+        /// Time from the start of a backend's drain until its process ends.
         grace: f64,
     },
-    /// Backends die without a word to discovery and are back cold, one group after the other; discovery tells it late.
-    Restart {
-        /// Which part of them.
+    /// Backends crash in batches, unnoticed by discovery, and come back cold; discovery reports the new start late.
+    #[serde(rename = "restart")]
+    RestartBackends {
+        /// Fraction of the backends that restart.
         share: f64,
-        /// At once.
+        /// Batch size, as a fraction of the backends that are up.
         at_once: f64,
-        /// Over which time.
+        /// Time over which the batches are spread.
         over: f64,
-        /// After how long each is back.
-        down: Span,
-        /// So long after it is back discovery knows of its start.
-        told: Span,
+        /// Time from the crash until a backend is up again.
+        down: UniformRange,
+        /// Time from a backend's restart until discovery knows of it.
+        told: UniformRange,
     },
-    /// An operator takes real servers out by hand, at every ingress; each restarts meanwhile, and is put back.
-    Hand {
-        /// How many.
+    /// An operator disables backends at every ingress; each restarts meanwhile and is enabled again.
+    #[serde(rename = "hand")]
+    DisableBackends {
+        /// Number of backends.
         servers: u32,
-        /// For how long.
+        /// Time until they are enabled again.
         lasting: f64,
     },
-    /// All real servers are so many times slower.
-    Slow {
-        /// How many times.
+    /// All backends become slower.
+    #[serde(rename = "slow")]
+    SlowBackends {
+        /// Factor by which work takes longer.
         times: f64,
-        /// For how long.
+        /// Duration.
         lasting: f64,
     },
-    /// Some real servers are so many times slower, and fail so many requests.
-    Bad {
-        /// How many.
+    /// Some backends become slower and fail some requests.
+    #[serde(rename = "bad")]
+    DegradeBackends {
+        /// Number of backends.
         servers: u32,
-        /// How many times.
+        /// Factor by which work takes longer.
         times: f64,
-        /// The part of requests that end as errors.
+        /// Fraction of requests that end in an error.
         errors: f64,
-        /// For how long.
+        /// Duration.
         lasting: f64,
     },
-    /// A hall is cut off from the others.
-    Cut {
-        /// Which.
+    /// A hall is cut off from all others.
+    #[serde(rename = "cut")]
+    PartitionHall {
+        /// Number of the hall.
         hall: u8,
-        /// For how long.
+        /// Duration.
         lasting: f64,
     },
-    /// The counter answers nothing.
-    CounterLost {
-        /// For how long.
+    /// The counter answers no calls.
+    #[serde(rename = "counter_lost")]
+    CounterOutage {
+        /// Duration.
         lasting: f64,
     },
     /// The counter is replaced by an empty one.
     CounterReplaced,
-    /// This part of the messages between ingresses is lost.
-    Silence {
-        /// Which part.
+    /// Messages between ingresses are lost.
+    #[serde(rename = "silence")]
+    PeerMessageLoss {
+        /// Fraction of the messages that is lost.
         loss: f64,
-        /// For how long.
+        /// Duration.
         lasting: f64,
     },
-    /// This part of the customers come in through others of their ingresses from now on.
-    Shift {
-        /// Which part.
+    /// Some customers start to prefer other ingresses of their set, permanently.
+    #[serde(rename = "shift")]
+    ShiftCustomers {
+        /// Fraction of the customers.
         share: f64,
     },
-    /// So many times as much is asked.
-    Surge {
-        /// How many times.
+    /// The request rate rises.
+    #[serde(rename = "surge")]
+    LoadSurge {
+        /// Factor by which the request rate rises.
         times: f64,
-        /// For how long.
+        /// Duration.
         lasting: f64,
     },
 }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,7 +1,7 @@
 //! A real server: requests in work share its cores, more wait, more than that are turned away. Its work is kept as a virtual
 //! time that runs as fast as each request in work is served, so that a change of pace costs nothing per request.
 
-use crate::script::Servers;
+use crate::script::BackendSettings;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
@@ -122,7 +122,7 @@
     }
 
     /// The part of its full work that it can do now.
-    pub fn warmth(&self, now: f64, how: &Servers) -> f64 {
+    pub fn warmth(&self, now: f64, how: &BackendSettings) -> f64 {
         if self.started < 0.0 {
             return 1.0;
         }
@@ -134,13 +134,13 @@
     }
 
     /// How long it would have to be fully busy from its start for the work that it has done since.
-    fn busy_time(&self, how: &Servers) -> f64 {
+    fn busy_time(&self, how: &BackendSettings) -> f64 {
         let mean_warmth = f64::midpoint(how.cold_from, 1.0);
         (self.done - self.done_before) / (self.cores * self.speed * mean_warmth)
     }
 
     /// Whether too much would make it fall now.
-    pub fn may_fall(&self, now: f64, how: &Servers) -> bool {
+    pub fn may_fall(&self, now: f64, how: &BackendSettings) -> bool {
         match how.fall_as_told {
             true => self.started >= 0.0 && now - self.started < how.told_cold,
             false => self.warmth(now, how) < 1.0,
@@ -148,13 +148,13 @@
     }
 
     /// How fast each request in work is served: milliseconds of work a millisecond.
-    fn pace(&self, now: f64, how: &Servers) -> f64 {
+    fn pace(&self, now: f64, how: &BackendSettings) -> f64 {
         let many = self.working.len() as f64;
         self.speed * self.warmth(now, how) / self.slow * (self.cores / many.max(1.0)).min(1.0)
     }
 
     /// Lets the time run up to now.
-    fn run(&mut self, now: f64, how: &Servers) {
+    fn run(&mut self, now: f64, how: &BackendSettings) {
         let (done, at) = self.at;
         let span = (now - at).max(0.0);
         let pace = self.pace(at + span / 2.0, how);
@@ -163,7 +163,7 @@
     }
 
     /// The pace is to change now.
-    pub fn slows(&mut self, now: f64, times: f64, how: &Servers) {
+    pub fn slows(&mut self, now: f64, times: f64, how: &BackendSettings) {
         self.run(now, how);
         self.slow *= times;
         self.version += 1;
@@ -186,7 +186,7 @@
     }
 
     /// A request arrives, of so much work.
-    pub fn takes(&mut self, now: f64, attempt: AttemptAt, work: f64, how: &Servers) -> Taken {
+    pub fn takes(&mut self, now: f64, attempt: AttemptAt, work: f64, how: &BackendSettings) -> Taken {
         self.run(now, how);
         if self.may_fall(now, how) {
             self.sent.push_back((now, work));
@@ -216,7 +216,7 @@
     }
 
     /// The work that it can be sent in a fall window, as warm as it is now; more makes it fall.
-    pub fn bears(&self, now: f64, how: &Servers) -> f64 {
+    pub fn bears(&self, now: f64, how: &BackendSettings) -> f64 {
         let part = match how.fall_as_told {
             true => ramp(now - self.started, how.told_cold_from, how.told_cold),
             false => self.warmth(now, how) / self.slow.max(1.0),
@@ -228,7 +228,7 @@
     }
 
     /// Those that have ended by now.
-    pub fn ended(&mut self, now: f64, how: &Servers) -> Vec<AttemptAt> {
+    pub fn ended(&mut self, now: f64, how: &BackendSettings) -> Vec<AttemptAt> {
         self.run(now, how);
         let mut all = Vec::new();
         while let Some(Reverse((ends, attempt))) = self.working.peek().copied() {
@@ -248,7 +248,7 @@
     }
 
     /// When the next one ends, as things are.
-    pub fn next_end(&self, now: f64, how: &Servers) -> Option<f64> {
+    pub fn next_end(&self, now: f64, how: &BackendSettings) -> Option<f64> {
         let Reverse((ends, _)) = self.working.peek()?;
         let left = (*ends as f64 / SCALE - self.at.0).max(0.0);
         let span = left / self.pace(now, how).max(1e-9);
@@ -280,7 +280,7 @@
     }
 
     /// Its process ends; tells what it held.
-    pub fn dies(&mut self, now: f64, how: &Servers) -> Vec<AttemptAt> {
+    pub fn dies(&mut self, now: f64, how: &BackendSettings) -> Vec<AttemptAt> {
         self.run(now, how);
         self.up = false;
         self.version += 1;
--- a/emulator/src/server/tests.rs
+++ b/emulator/src/server/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn play(server: &mut Server, arrivals: &[(f64, f64)], how: &Servers) -> Vec<(AttemptAt, f64)> {
+fn play(server: &mut Server, arrivals: &[(f64, f64)], how: &BackendSettings) -> Vec<(AttemptAt, f64)> {
     let mut ends = Vec::new();
     let mut arrivals = arrivals.iter().copied().enumerate().peekable();
     let mut now = 0.0;
@@ -23,7 +23,7 @@
 
 #[test]
 fn requests_in_work_share_the_cores_and_others_wait_in_turn() {
-    let how = Servers::default();
+    let how = BackendSettings::default();
     // One core of speed 2, two slots: two at once take twice as long each.
     let mut server = Server::new(1, 2.0, 2.0, 10.0, -1.0);
     let ends = play(&mut server, &[(0.0, 100.0), (0.0, 100.0), (0.0, 100.0)], &how);
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_cold_one_is_slower_and_falls_when_it_is_pushed_over() {
-    let how = Servers { cold_from: 0.25, cold: 10_000.0, ..Servers::default() };
+    let how = BackendSettings { cold_from: 0.25, cold: 10_000.0, ..BackendSettings::default() };
     let mut cold = Server::new(1, 1.0, 1.0, 100.0, 0.0);
     let ends = play(&mut cold, &[(0.0, 100.0)], &how);
     assert!((370.0..400.0).contains(&ends[0].1), "{ends:?}");
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -4,7 +4,7 @@
 use super::ingresses::{Flow, Node};
 use super::{EPOCH, SLACK, SLACK_PART, World};
 use crate::judge::Judge;
-use crate::script::{Clients, Repeat};
+use crate::script::{ClientPolicy, RepeatSafety};
 use weldhub::Event;
 use weldhub::interface::{ClassId, CustomerId, IngressId, PlanId, Request, RequestId};
 use weldhub_client::ingresses::{HealthSignal, Ingresses};
@@ -54,7 +54,7 @@
         let script = self.script;
         let load = &script.load;
         let mean_units = self.mean_units();
-        let requests = load.level * script.power() / script.mean_work() * 1000.0;
+        let requests = load.level * script.warm_capacity() / script.mean_work() * 1000.0;
         let shares: f64 = script.plans.iter().map(|p| p.share).sum();
         let [near, heavy, floods] = load.kinds;
         for (p, plan) in script.plans.iter().enumerate() {
@@ -106,7 +106,7 @@
             ingresses: Ingresses::new(many, IngressPolicy::default(), 0.0),
             budget: RetryBudget::new(&RetryPolicy::default()),
         };
-        if load.clients == Clients::Library {
+        if load.clients == ClientPolicy::Library {
             self.askers = (0..200.min(self.customers.len())).map(asker).collect();
         }
     }
@@ -150,11 +150,11 @@
         let worth = self.judge.asked(self.now, id, plan, class, f64::from(units), script);
         self.second().asked += worth;
         let kind = &script.classes[class];
-        let call = (script.load.clients == Clients::Library).then(|| {
+        let call = (script.load.clients == ClientPolicy::Library).then(|| {
             let effect = match kind.repeat {
-                Repeat::Safe => Again::Safe,
-                Repeat::Keyed { window } => Again::Keyed { window },
-                Repeat::Unsafe => Again::Unsafe,
+                RepeatSafety::Safe => Again::Safe,
+                RepeatSafety::Keyed { window } => Again::Keyed { window },
+                RepeatSafety::Unsafe => Again::Unsafe,
             };
             RetryState::new(effect, self.now + kind.give_up)
         });
@@ -338,7 +338,7 @@
             }
             None => {
                 // Asks again whatever came, unless the move may have been made.
-                let harmless = kind.repeat != Repeat::Unsafe || !how.may_have_run();
+                let harmless = kind.repeat != RepeatSafety::Unsafe || !how.may_have_run();
                 let wait = self.draw(script.load.backoff);
                 let time = self.now + wait < at + kind.give_up;
                 let more = self.asked[n].tries <= script.load.retries;
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -3,7 +3,7 @@
 use super::event::What;
 use super::ingresses::Told;
 use super::{CATALOGUE, EPOCH, World, name};
-use crate::script::By;
+use crate::script::DiscoverySource;
 use std::collections::BTreeSet;
 use weldhub::Event;
 use weldhub::entries::{BackendList, ServiceEntry, backend_id};
@@ -77,7 +77,7 @@
             let late = self.draw(self.script.discovery.spread);
             let life = self.nodes[i].life;
             match by {
-                By::Consul => self.after(late, What::Asked(i, life)),
+                DiscoverySource::Consul => self.after(late, What::Asked(i, life)),
                 _ => {
                     let entry = self.entry(s, state);
                     self.after(late, What::News(i, life, ListKind::Changes, vec![entry]));
@@ -94,7 +94,7 @@
         self.nodes[i].subscribed = true;
         let all: Vec<(usize, BackendState)> = self.published.iter().map(|(s, state)| (*s, *state)).collect();
         let entries = all.into_iter().map(|(s, state)| self.entry(s, state));
-        if self.script.discovery.by != By::Consul {
+        if self.script.discovery.by != DiscoverySource::Consul {
             let entries = entries.collect();
             return self.listed(i, ListKind::Full, entries);
         }
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -5,7 +5,7 @@
 use super::settings::settings;
 use super::{ASK_FAILS, EPOCH, HARD, World};
 use crate::check::Rule;
-use crate::script::By;
+use crate::script::DiscoverySource;
 use crate::server::AttemptAt;
 use crate::shared::{Counted, Intake};
 use std::collections::HashMap;
@@ -155,7 +155,7 @@
             known.entries
         };
         self.listed(i, ListKind::Cached, first);
-        if life > 0 && self.script.discovery.by != By::Asked {
+        if life > 0 && self.script.discovery.by != DiscoverySource::OnRequest {
             let late = 50.0 + self.draw(self.script.discovery.spread);
             self.after(late, What::Asked(i, life));
         }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -17,7 +17,7 @@
 use crate::cold::ColdWatch;
 use crate::judge::Judge;
 use crate::report::{Report, Second, Tally};
-use crate::script::{Script, Span};
+use crate::script::{Script, UniformRange};
 use crate::server::{Reported, Server};
 use crate::shared::{Counter, Intake};
 use attempts::Attempt;
@@ -234,7 +234,7 @@
         first
     }
 
-    fn draw(&mut self, span: Span) -> f64 {
+    fn draw(&mut self, span: UniformRange) -> f64 {
         span[0] + self.rng.f64() * (span[1] - span[0])
     }
 
--- a/emulator/src/world/settings.rs
+++ b/emulator/src/world/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of an ingress by the script.
 
-use crate::script::{By, Repeat, Script};
+use crate::script::{DiscoverySource, RepeatSafety, Script};
 use weldhub::Settings;
 use weldhub::interface::{Class, ColdStart, DedupScope, IngressId, Plan, RetrySafety, ZoneId};
 
@@ -9,9 +9,9 @@
         aim: c.aim,
         worth: c.worth,
         retry_safety: match c.repeat {
-            Repeat::Safe => RetrySafety::Safe,
-            Repeat::Keyed { window } => RetrySafety::Keyed { scope: DedupScope::Cell, window },
-            Repeat::Unsafe => RetrySafety::Unsafe,
+            RepeatSafety::Safe => RetrySafety::Safe,
+            RepeatSafety::Keyed { window } => RetrySafety::Keyed { scope: DedupScope::Cell, window },
+            RepeatSafety::Unsafe => RetrySafety::Unsafe,
         },
     };
     let plan = |p: &crate::script::Plan| {
@@ -43,7 +43,7 @@
         hedging: script.ingresses.second_copies,
         cancellation: true,
         max_retry_after: 1000.0,
-        list_on_request: script.discovery.by == By::Asked,
+        list_on_request: script.discovery.by == DiscoverySource::OnRequest,
         cold: ColdStart {
             initial_capacity: script.servers.told_cold_from,
             warm_after: script.servers.told_cold,
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -3,7 +3,7 @@
 use super::event::What;
 use super::settings::settings;
 use super::{EPOCH, World, name};
-use crate::script::{Span, What as Trouble};
+use crate::script::{TroubleKind, UniformRange};
 use crate::server::{Reported, Server};
 use weldhub::Event;
 use weldhub::entries::backend_id;
@@ -38,69 +38,71 @@
     pub(super) fn trouble(&mut self, k: usize) {
         let now = self.now;
         let nodes = self.nodes.len();
-        match self.script.troubles[k].what.clone() {
-            Trouble::Crash { share, down } => {
+        match self.script.troubles[k].kind.clone() {
+            TroubleKind::CrashIngresses { share, down } => {
                 for i in self.chosen(nodes, Self::part_of(share, nodes)) {
                     let down = self.draw(down);
                     self.at(now, What::Down(i, down));
                 }
             }
-            Trouble::Roll { share, at_once, over, down } => self.roll(share, at_once, over, down),
-            Trouble::Upgrade => self.upgrade_all(),
-            Trouble::Release { share, at_once, over, grace } => {
+            TroubleKind::RollIngresses { share, at_once, over, down } => {
+                self.roll(share, at_once, over, down)
+            }
+            TroubleKind::UpgradeIngresses => self.upgrade_all(),
+            TroubleKind::ReplaceBackends { share, at_once, over, grace } => {
                 for (s, at) in self.in_groups(share, at_once, over) {
                     self.at(at, What::Retires(s, grace));
                 }
             }
-            Trouble::Shrink { share, at_once, over, grace } => {
+            TroubleKind::RemoveBackends { share, at_once, over, grace } => {
                 for (s, at) in self.in_groups(share, at_once, over) {
                     self.at(at, What::Leaves(s, grace));
                 }
             }
-            Trouble::Restart { share, at_once, over, down, told } => {
+            TroubleKind::RestartBackends { share, at_once, over, down, told } => {
                 for (s, at) in self.in_groups(share, at_once, over) {
                     let (down, told) = (self.draw(down), self.draw(told));
                     self.at(at, What::Stops(s));
                     self.at(at + down, What::Restarted(s, told));
                 }
             }
-            Trouble::Hand { servers, lasting } => self.take_out_by_hand(servers, lasting),
-            Trouble::Slow { times, lasting } => {
+            TroubleKind::DisableBackends { servers, lasting } => self.take_out_by_hand(servers, lasting),
+            TroubleKind::SlowBackends { times, lasting } => {
                 for s in 0..self.servers.len() {
                     self.at(now, What::Slows(s, times));
                     self.after(lasting, What::Slows(s, 1.0 / times));
                 }
             }
-            Trouble::Bad { servers, times, errors, lasting } => {
+            TroubleKind::DegradeBackends { servers, times, errors, lasting } => {
                 self.turn_bad(servers, times, errors, lasting)
             }
-            Trouble::Cut { hall, lasting } => {
+            TroubleKind::PartitionHall { hall, lasting } => {
                 self.cut.insert(hall);
                 self.after(lasting, What::Healed(hall));
             }
-            Trouble::CounterLost { lasting } => {
+            TroubleKind::CounterOutage { lasting } => {
                 if let Some(counter) = &mut self.counter {
                     counter.lost_until = now + lasting;
                 }
             }
-            Trouble::CounterReplaced => {
+            TroubleKind::CounterReplaced => {
                 if let Some(counter) = &mut self.counter {
                     counter.replaced();
                 }
             }
-            Trouble::Silence { loss, lasting } => self.loss_until = (loss, now + lasting),
-            Trouble::Shift { share } => {
+            TroubleKind::PeerMessageLoss { loss, lasting } => self.loss_until = (loss, now + lasting),
+            TroubleKind::ShiftCustomers { share } => {
                 for c in self.chosen(self.customers.len(), Self::part_of(share, self.customers.len())) {
                     let spread = self.customers[c].spread;
                     self.customers[c].weights = self.weights(spread);
                 }
             }
-            Trouble::Surge { times, lasting } => self.surge = (times, now + lasting),
+            TroubleKind::LoadSurge { times, lasting } => self.surge = (times, now + lasting),
         }
     }
 
     /// Ingresses are restarted one group after the other.
-    fn roll(&mut self, share: f64, at_once: f64, over: f64, down: Span) {
+    fn roll(&mut self, share: f64, at_once: f64, over: f64, down: UniformRange) {
         let nodes = self.nodes.len();
         let group = Self::part_of(at_once, nodes);
         let all = self.chosen(nodes, Self::part_of(share, nodes));
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -5,7 +5,7 @@
 use weldhub::{Action, Event, Limiter, Settings};
 use weldhub_emulator::cold::{Arrival, ColdWatch};
 use weldhub_emulator::cold_sweep::{FallTable, sum_up, sweep};
-use weldhub_emulator::script::{Script, Servers};
+use weldhub_emulator::script::{BackendSettings, Script};
 use weldhub_emulator::server::Server;
 use weldhub_emulator::world::{Decide, Maker, Trace, run, shipped};
 
@@ -123,25 +123,25 @@
 
 #[test]
 fn what_makes_a_cold_backend_fall_is_the_told_start_and_what_chance_brings() {
-    let how = Servers {
+    let how = BackendSettings {
         cold_from: 0.5,
         told_cold_from: 0.25,
         fall_multiple: 2.0,
         fall_window: 3000.0,
         fall_slack: 2.0,
         fall_as_told: true,
-        ..Servers::default()
+        ..BackendSettings::default()
     };
     let mut server = Server::new(4, 1.0, 4.0, 20.0, -1.0);
     server.starts(0.0);
     server.mean_work = 100.0;
-    let requests = |server: &Server, how: &Servers| server.bears(0.0, how) / server.mean_work;
+    let requests = |server: &Server, how: &BackendSettings| server.bears(0.0, how) / server.mean_work;
     let near = |allowed: f64, n: f64| (allowed - (n + 2.0 * n.sqrt() + 2.0)).abs() < 1e-9;
     // 2 times a quarter of 4 cores for 3 s, in requests of 100 ms.
     assert!(near(requests(&server, &how), 60.0));
-    let by_its_own = Servers { fall_as_told: false, ..how.clone() };
+    let by_its_own = BackendSettings { fall_as_told: false, ..how.clone() };
     assert!(near(requests(&server, &by_its_own), 120.0));
-    assert_eq!(requests(&server, &Servers { fall_slack: 0.0, ..how.clone() }), 60.0);
+    assert_eq!(requests(&server, &BackendSettings { fall_slack: 0.0, ..how.clone() }), 60.0);
     server.slows(0.0, 3.0, &how);
     assert!(near(requests(&server, &how), 60.0) && near(requests(&server, &by_its_own), 40.0));
     assert!(server.may_fall(17_999.0, &how) && !server.may_fall(18_000.0, &how));
--- a/emulator/tests/two_cores.rs
+++ b/emulator/tests/two_cores.rs
@@ -37,11 +37,11 @@
         report.seconds.iter().map(|second| second.asked).sum()
     };
     let script = Script::read(ONE_SLOW).unwrap();
-    let [narrow, wide] = ["1.0", "6.0"].map(|cap| asked(&script.with("plans.0.at_once", cap).unwrap()));
+    let [narrow, wide] = ["1.0", "6.0"].map(|cap| asked(&script.with_value("plans.0.at_once", cap).unwrap()));
     assert!(narrow < wide * 0.95, "{narrow} and {wide}");
     // The rate says what is asked for, and lets nobody in: a tiny burst changes nothing.
-    let tiny = script.with("plans.0.burst", "0.01").unwrap();
+    let tiny = script.with_value("plans.0.burst", "0.01").unwrap();
     assert_eq!(asked(&script), asked(&tiny));
-    let why = script.with("plans.0.at_once", "0").unwrap_err().to_string();
+    let why = script.with_value("plans.0.at_once", "0").unwrap_err().to_string();
     assert!(why.contains("plans.0.at_once"), "{why}");
 }
