--- a/emulator/src/cold.rs
+++ b/emulator/src/cold.rs
@@ -1,144 +1,157 @@
-//! What cold backends are sent: each fall with everyone who filled its window, and the fullest window of a run.
+//! Records the work that cold backends receive: every fall with the ingresses that filled its window, and the fullest window of
+//! a run.
+//!
+//! A cold backend falls over if it receives more work within one fall window than it tolerates. A fall violates the rule
+//! against overloading cold backends only if most of that work came from ingresses that had been notified of the start.
 
 use crate::script::Script;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A fall breaks the rule where more than this part of its window came from ingresses that had been told of the start.
-const BREAKING_PART: f64 = 2.0 / 3.0;
-/// Two times of one start differ by less than this, in milliseconds: both are sums with the time of day.
-const SAME_START: f64 = 1.0;
-/// An attempt that took longer than this to its backend waited for its connection, in milliseconds.
-const WAITED: f64 = 100.0;
-/// An ingress younger than this has only begun to learn what it sends, in milliseconds.
-const YOUNG: f64 = 20_000.0;
+/// A fall violates the rule if more than this fraction of its window came from ingresses notified of the start.
+const MAX_NOTIFIED_FRACTION: f64 = 2.0 / 3.0;
+/// Start times closer than this denote the same start, in milliseconds; they are rounded when the time of day is added.
+const START_TOLERANCE_MS: f64 = 1.0;
+/// An attempt that took longer than this to reach its backend waited for a new connection, in milliseconds.
+const LATE_CONNECTION_MS: f64 = 100.0;
+/// An ingress process with an uptime below this has observed little of its own traffic yet, in milliseconds.
+const YOUNG_INGRESS_MS: f64 = 20_000.0;
 
-/// An attempt that reached a cold backend.
+/// An attempt that reached a cold backend. Times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// When, in milliseconds.
+    /// Time of the arrival.
     pub at: f64,
-    /// Its work, in milliseconds of a core of speed 1.
+    /// Work of the request, in milliseconds of a core of speed 1.
     pub work: f64,
-    /// Who sent it.
+    /// Number of the ingress that sent it.
     pub ingress: usize,
-    /// It is not the first attempt of its try.
-    pub further: bool,
-    /// The time from its start at the ingress until it reached the backend.
-    pub waited: f64,
-    /// How long the process that sent it had run.
+    /// Whether this is a later attempt than the first of its try.
+    pub is_retry: bool,
+    /// Time from the start of the attempt until it reached the backend.
+    pub transit_time: f64,
+    /// Uptime of the ingress process that sent it.
     pub ingress_age: f64,
 }
 
-/// What one ingress sent in a window, in requests of mean work.
+/// What one ingress sent within a window. Amounts are in requests of mean work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Sender {
-    /// Which ingress.
+    /// Number of the ingress.
     pub ingress: usize,
-    /// All that it sent.
+    /// Total amount sent.
     pub sent: f64,
-    /// Of that, in further attempts.
+    /// Amount sent in attempts after the first of a try.
     pub further: f64,
-    /// Of that, before it had been told of the start.
+    /// Amount sent before the ingress was notified of the start.
     pub untold: f64,
-    /// Of that, what waited for its connection.
+    /// Amount that waited for a new connection.
     pub late: f64,
-    /// Of that, what a process sent that had run for less than 20 s.
+    /// Amount sent by a process with an uptime below 20 s.
     pub young: f64,
-    /// What the backend served of its attempts within the window.
+    /// Amount that the backend served for this ingress within the window.
     pub served: f64,
 }
 
-/// What a cold backend got within one fall window, in requests of mean work.
+/// What a cold backend received within one fall window. Times are in milliseconds, amounts in requests of mean work.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ColdWindow {
-    /// When the window ends, in milliseconds.
+    /// End of the window.
     pub at: f64,
-    /// Which backend.
+    /// Number of the backend.
     pub server: usize,
-    /// How long it had run.
+    /// Uptime of the backend at the end of the window.
     pub age: f64,
-    /// What it got.
+    /// Amount received.
     pub sent: f64,
-    /// More than this makes it fall.
+    /// The most that the backend tolerates; it falls over if it receives more.
     pub limit: f64,
-    /// It fell.
+    /// Whether the backend fell over.
     pub fell: bool,
-    /// Its fall broke the rule.
+    /// Whether its fall violated the rule.
     pub breaks: bool,
-    /// Who sent it, those that sent the most first.
+    /// The ingresses that sent to it, in descending order of the amount.
     pub senders: Vec<Sender>,
 }
 
 impl ColdWindow {
-    /// What it got, as a part of what makes it fall.
-    pub fn load(&self) -> f64 {
+    /// Returns the received amount as a fraction of the limit.
+    pub fn limit_fraction(&self) -> f64 {
         self.sent / self.limit.max(1e-9)
     }
 
-    /// The part of what it got that `part` of each sender adds up to.
-    pub fn part(&self, part: impl Fn(&Sender) -> f64) -> f64 {
-        self.senders.iter().map(part).sum::<f64>() / self.sent.max(1e-9)
+    /// Returns the sum of `amount` over all senders as a fraction of the received amount.
+    pub fn fraction(&self, amount: impl Fn(&Sender) -> f64) -> f64 {
+        self.senders.iter().map(amount).sum::<f64>() / self.sent.max(1e-9)
     }
 }
 
-/// What came of all cold backends of a run.
+/// Results for all cold backends of a run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ColdReport {
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// Backends that started, or were started anew, and were sent something while cold.
+    /// Starts after which a backend received an attempt while cold.
     pub starts: usize,
-    /// Each fall.
+    /// The windows in which a backend fell over.
     pub falls: Vec<ColdWindow>,
-    /// The fullest window of all.
+    /// The window that came closest to its limit, or exceeded it the most.
     pub fullest: ColdWindow,
 }
 
 impl ColdReport {
-    /// Falls that broke the rule.
-    pub fn breaks(&self) -> usize {
+    /// Returns the number of falls that violated the rule.
+    pub fn violations(&self) -> usize {
         self.falls.iter().filter(|fall| fall.breaks).count()
     }
 }
 
-/// An arrival, and whether its ingress had been told of the start.
+/// An arrival, and whether its ingress had been notified of the start.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct ObservedArrival {
     arrival: Arrival,
-    told: bool,
+    notified: bool,
 }
 
-/// The window of one backend since its start.
+/// Work that a cold backend has finished.
+#[derive(Debug, Clone, Copy)]
+struct ServedWork {
+    at: f64,
+    ingress: usize,
+    work: f64,
+}
+
+/// The sliding fall window of one backend since its start.
 #[derive(Debug, Clone, Default)]
-struct Window {
+struct SlidingWindow {
     started: f64,
-    arrivals: VecDeque<Seen>,
-    served: VecDeque<(f64, usize, f64)>,
-    sent: f64,
+    arrivals: VecDeque<ObservedArrival>,
+    served: VecDeque<ServedWork>,
+    /// Sum of the arrivals' work, in milliseconds of a core of speed 1.
+    work: f64,
 }
 
-impl Window {
-    fn forget(&mut self, before: f64) {
-        while let Some(old) = self.arrivals.pop_front_if(|seen| seen.arrival.at < before) {
-            self.sent -= old.arrival.work;
+impl SlidingWindow {
+    fn drop_before(&mut self, start: f64) {
+        while let Some(old) = self.arrivals.pop_front_if(|observed| observed.arrival.at < start) {
+            self.work -= old.arrival.work;
         }
-        while self.served.pop_front_if(|(at, ..)| *at < before).is_some() {}
+        while self.served.pop_front_if(|served| served.at < start).is_some() {}
     }
 
     fn senders(&self, mean_work: f64) -> Vec<Sender> {
         let mut by_ingress: BTreeMap<usize, Sender> = BTreeMap::new();
-        for Seen { arrival, told } in &self.arrivals {
+        for ObservedArrival { arrival, notified } in &self.arrivals {
             let requests = arrival.work / mean_work;
             let sender = by_ingress.entry(arrival.ingress).or_default();
             sender.ingress = arrival.ingress;
             sender.sent += requests;
-            sender.further += if arrival.further { requests } else { 0.0 };
-            sender.untold += if *told { 0.0 } else { requests };
-            sender.late += if arrival.waited > WAITED { requests } else { 0.0 };
-            sender.young += if arrival.ingress_age < YOUNG { requests } else { 0.0 };
+            sender.further += if arrival.is_retry { requests } else { 0.0 };
+            sender.untold += if *notified { 0.0 } else { requests };
+            sender.late += if arrival.transit_time > LATE_CONNECTION_MS { requests } else { 0.0 };
+            sender.young += if arrival.ingress_age < YOUNG_INGRESS_MS { requests } else { 0.0 };
         }
-        for (_, ingress, work) in &self.served {
+        for ServedWork { ingress, work, .. } in &self.served {
             if let Some(sender) = by_ingress.get_mut(ingress) {
                 sender.served += work / mean_work;
             }
@@ -149,78 +162,86 @@
     }
 }
 
-/// Watches what cold backends are sent while a run goes on.
+/// Records the work that cold backends receive during a run.
 #[derive(Debug, Default)]
-pub struct ColdWatch {
+pub struct ColdStartMonitor {
     mean_work: f64,
     fall_window: f64,
-    windows: HashMap<usize, Window>,
-    /// The start of each backend that each ingress was last told of.
-    told: HashMap<(usize, usize), f64>,
+    windows: HashMap<usize, SlidingWindow>,
+    /// The last start that an ingress was notified of, by ingress and backend.
+    notified_starts: HashMap<(usize, usize), f64>,
     starts: usize,
     falls: Vec<ColdWindow>,
     fullest: ColdWindow,
 }
 
-impl ColdWatch {
-    /// One that has seen nothing.
+impl ColdStartMonitor {
+    /// Returns a monitor without records.
     pub fn new(script: &Script) -> Self {
         Self { mean_work: script.mean_work(), fall_window: script.servers.fall_window, ..Self::default() }
     }
 
-    /// An ingress is told of a backend's start.
-    pub fn told(&mut self, ingress: usize, server: usize, started: f64) {
-        self.told.insert((ingress, server), started);
+    /// Records that `ingress` was notified of a start of `backend`.
+    pub fn record_notification(&mut self, ingress: usize, backend: usize, started: f64) {
+        self.notified_starts.insert((ingress, backend), started);
     }
 
-    /// A backend that may be cold has served an attempt.
-    pub fn served(&mut self, server: usize, ingress: usize, at: f64, work: f64) {
-        if let Some(window) = self.windows.get_mut(&server) {
-            window.served.push_back((at, ingress, work));
-            window.forget(at - self.fall_window);
+    /// Records that `backend`, which may be cold, has served an attempt of `ingress`.
+    pub fn record_served(&mut self, backend: usize, ingress: usize, at: f64, work: f64) {
+        if let Some(window) = self.windows.get_mut(&backend) {
+            window.served.push_back(ServedWork { at, ingress, work });
+            window.drop_before(at - self.fall_window);
         }
     }
 
-    /// An attempt reaches a cold backend, which bears so much work in a window, and falls or not. True where its fall
-    /// breaks the rule.
-    pub fn arrives(&mut self, server: usize, started: f64, arrival: Arrival, bears: f64, fell: bool) -> bool {
-        let told = self.told.get(&(arrival.ingress, server));
-        let told = told.is_some_and(|start| (start - started).abs() < SAME_START);
-        if self.windows.get(&server).is_none_or(|window| window.started != started) {
+    /// Records an attempt that reached `backend`, which tolerates `limit` work in a window and fell over by it if `fell`.
+    /// Returns whether the fall violates the rule.
+    pub fn record_arrival(
+        &mut self,
+        backend: usize,
+        started: f64,
+        arrival: Arrival,
+        limit: f64,
+        fell: bool,
+    ) -> bool {
+        let notified_start = self.notified_starts.get(&(arrival.ingress, backend));
+        let notified = notified_start.is_some_and(|start| (start - started).abs() < START_TOLERANCE_MS);
+        if self.windows.get(&backend).is_none_or(|window| window.started != started) {
             self.starts += 1;
-            self.windows.insert(server, Window { started, ..Window::default() });
+            self.windows.insert(backend, SlidingWindow { started, ..SlidingWindow::default() });
         }
-        let window = self.windows.entry(server).or_default();
-        window.arrivals.push_back(Seen { arrival, told });
-        window.sent += arrival.work;
-        window.forget(arrival.at - self.fall_window);
-        let load = window.sent / bears.max(1e-9);
-        if !fell && load <= self.fullest.load() {
+        let window = self.windows.entry(backend).or_default();
+        window.arrivals.push_back(ObservedArrival { arrival, notified });
+        window.work += arrival.work;
+        window.drop_before(arrival.at - self.fall_window);
+        let limit_fraction = window.work / limit.max(1e-9);
+        if !fell && limit_fraction <= self.fullest.limit_fraction() {
             return false;
         }
         let senders = window.senders(self.mean_work);
-        let mut full = ColdWindow {
+        let mut cold_window = ColdWindow {
             at: arrival.at,
-            server,
+            server: backend,
             age: arrival.at - started,
-            sent: window.sent / self.mean_work,
-            limit: bears / self.mean_work,
+            sent: window.work / self.mean_work,
+            limit: limit / self.mean_work,
             fell,
             breaks: false,
             senders,
         };
-        full.breaks = fell && 1.0 - full.part(|sender| sender.untold) > BREAKING_PART;
-        let breaks = full.breaks;
+        cold_window.breaks =
+            fell && 1.0 - cold_window.fraction(|sender| sender.untold) > MAX_NOTIFIED_FRACTION;
+        let violates = cold_window.breaks;
         if fell {
-            self.falls.push(full.clone());
+            self.falls.push(cold_window.clone());
         }
-        if load > self.fullest.load() {
-            self.fullest = full;
+        if limit_fraction > self.fullest.limit_fraction() {
+            self.fullest = cold_window;
         }
-        breaks
+        violates
     }
 
-    /// What it has seen.
+    /// Returns the report of the run.
     pub fn into_report(self, seed: u64) -> ColdReport {
         ColdReport { seed, starts: self.starts, falls: self.falls, fullest: self.fullest }
     }
--- a/emulator/src/cold_sweep.rs
+++ b/emulator/src/cold_sweep.rs
@@ -1,4 +1,4 @@
-//! Cold backends over many runs: how often one fell, how full the fullest window was, and who had sent it.
+//! Cold backends over many runs: how often one fell over, how close the fullest window came to its limit, and who had sent it.
 
 use crate::cold::{ColdReport, ColdWindow, Sender};
 use crate::script::Script;
@@ -7,68 +7,71 @@
 use serde::Serialize;
 use std::fmt;
 
-/// One run: its falls, and its fullest window in short.
+/// The results of one run for cold backends. Fractions of what was sent refer to the run's fullest window.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ColdRun {
-    /// What it ran with.
+    /// The swept value that the run used.
     pub value: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The service figure.
+    /// Service score of the run.
     pub service: f64,
-    /// Backends that were sent something while cold.
+    /// Starts after which a backend received an attempt while cold.
     pub starts: usize,
-    /// Falls.
+    /// Number of falls.
     pub falls: usize,
-    /// Of these, those that broke the rule.
+    /// Number of falls that violated the rule.
     pub breaks: usize,
-    /// What the fullest window held, as a part of what makes a backend fall.
+    /// What the fullest window received, as a fraction of its limit.
     pub fullest: f64,
-    /// The age of its backend, in milliseconds.
+    /// Uptime of its backend, in milliseconds.
     pub age: f64,
-    /// What makes it fall, in requests of mean work.
+    /// Its limit, in requests of mean work.
     pub limit: f64,
-    /// How many ingresses sent.
+    /// Number of ingresses that sent.
     pub senders: usize,
-    /// The part of the one that sent the most.
+    /// Fraction sent by the ingress that sent the most.
     pub top: f64,
-    /// The part of further attempts.
+    /// Fraction sent in attempts after the first of a try.
     pub further: f64,
-    /// The part of ingresses that had not been told of the start.
+    /// Fraction sent by ingresses before they were notified of the start.
     pub untold: f64,
-    /// The part that waited for its connection.
+    /// Fraction that waited for a new connection.
     pub late: f64,
-    /// The part of ingresses that had just started.
+    /// Fraction sent by ingress processes with an uptime below 20 s.
     pub young: f64,
-    /// What was served within the window, as a part of what was sent.
+    /// What the backend served within the window, as a fraction of what was sent.
     pub served: f64,
 }
 
 impl ColdRun {
-    fn of(value: &str, service: f64, report: &ColdReport) -> Self {
-        let full = &report.fullest;
+    fn from_report(value: &str, service: f64, report: &ColdReport) -> Self {
+        let window = &report.fullest;
         Self {
             value: value.to_owned(),
             seed: report.seed,
             service,
             starts: report.starts,
             falls: report.falls.len(),
-            breaks: report.breaks(),
-            fullest: full.load(),
-            age: full.age,
-            limit: full.limit,
-            senders: full.senders.len(),
-            top: full.senders.first().map_or(0.0, |top| top.sent / full.sent.max(1e-9)),
-            further: full.part(|sender| sender.further),
-            untold: full.part(|sender| sender.untold),
-            late: full.part(|sender| sender.late),
-            young: full.part(|sender| sender.young),
-            served: full.part(|sender| sender.served),
+            breaks: report.violations(),
+            fullest: window.limit_fraction(),
+            age: window.age,
+            limit: window.limit,
+            senders: window.senders.len(),
+            top: window.senders.first().map_or(0.0, |top| top.sent / window.sent.max(1e-9)),
+            further: window.fraction(|sender| sender.further),
+            untold: window.fraction(|sender| sender.untold),
+            late: window.fraction(|sender| sender.late),
+            young: window.fraction(|sender| sender.young),
+            served: window.fraction(|sender| sender.served),
         }
     }
 }
 
-/// Plays scripts over seeds and looks at their cold backends; the same runs in the same order whatever the machine.
+/// Runs each script with each seed in parallel and returns the results for cold backends, ordered by script and seed.
+///
+/// # Errors
+/// Returns the first error of a run.
 pub fn sweep(scripts: &[(String, Script)], seeds: &[u64], maker: Maker<'_>) -> Result<Vec<ColdRun>, String> {
     let jobs: Vec<(&String, &Script, u64)> = scripts
         .iter()
@@ -77,74 +80,84 @@
     jobs.par_iter()
         .map(|(value, script, seed)| {
             let outcomes = run(script, *seed, maker, Trace::default())?;
-            Ok(ColdRun::of(value, outcomes.report.service, &outcomes.cold))
+            Ok(ColdRun::from_report(value, outcomes.report.service, &outcomes.cold))
         })
         .collect()
 }
 
-/// What many runs of one value gave; parts are means over the fullest window of each run.
+/// Summary of the runs of one value. Fractions of what was sent are means over the fullest window of each run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ColdSummary {
-    /// The value.
+    /// The swept value.
     pub value: String,
-    /// How many runs.
+    /// Number of runs.
     pub runs: usize,
-    /// Runs with a fall, and with one that broke the rule.
+    /// Number of runs with a fall.
     pub runs_with_falls: usize,
-    /// The latter.
-    pub runs_with_breaks: usize,
-    /// All falls, of so many backends that were sent something while cold.
+    /// Number of runs with a fall that violated the rule.
+    pub runs_with_violations: usize,
+    /// Number of falls in all runs.
     pub falls: usize,
-    /// The latter.
+    /// Starts after which a backend received an attempt while cold, in all runs.
     pub starts: usize,
-    /// The fullest window as a part of what makes a backend fall: the mean, and the most of all runs.
-    pub fullest: [f64; 2],
-    /// How many sent, and the part of the one that sent the most.
-    pub senders: [f64; 2],
-    /// Parts of what was sent: further attempts, untold, late, young.
-    pub parts: [f64; 4],
-    /// What was served, as a part of what was sent.
-    pub served: f64,
-    /// The mean service figure.
+    /// Mean of the runs' fullest windows, as fractions of their limits.
+    pub mean_fullest: f64,
+    /// The fullest window of all runs, as a fraction of its limit.
+    pub max_fullest: f64,
+    /// Mean number of ingresses that sent to a window.
+    pub mean_senders: f64,
+    /// Mean fraction sent by the ingress that sent the most.
+    pub top_sender_fraction: f64,
+    /// Mean fraction sent in attempts after the first of a try.
+    pub retry_fraction: f64,
+    /// Mean fraction sent by ingresses before they were notified of the start.
+    pub unnotified_fraction: f64,
+    /// Mean fraction that waited for a new connection.
+    pub late_connection_fraction: f64,
+    /// Mean fraction sent by ingress processes with an uptime below 20 s.
+    pub young_ingress_fraction: f64,
+    /// Mean of what was served, as a fraction of what was sent.
+    pub served_fraction: f64,
+    /// Mean service score.
     pub service: f64,
 }
 
-/// Sums up runs by value, in the order in which values come.
-pub fn sum_up(runs: &[ColdRun]) -> Vec<ColdSummary> {
+/// Summarizes runs by value, in the order in which the values first occur; runs of one value must be adjacent.
+pub fn summarize(runs: &[ColdRun]) -> Vec<ColdSummary> {
     let mut values: Vec<&str> = runs.iter().map(|run| run.value.as_str()).collect();
     values.dedup();
-    values.into_iter().map(|value| summary(value, runs)).collect()
+    values.into_iter().map(|value| summarize_value(value, runs)).collect()
 }
 
-fn summary(value: &str, runs: &[ColdRun]) -> ColdSummary {
-    let these: Vec<&ColdRun> = runs.iter().filter(|run| run.value == value).collect();
-    let mean = |of: &dyn Fn(&ColdRun) -> f64| {
-        these.iter().map(|run| of(run)).sum::<f64>() / these.len().max(1) as f64
+fn summarize_value(value: &str, runs: &[ColdRun]) -> ColdSummary {
+    let selected: Vec<&ColdRun> = runs.iter().filter(|run| run.value == value).collect();
+    let mean = |figure: &dyn Fn(&ColdRun) -> f64| {
+        selected.iter().map(|run| figure(run)).sum::<f64>() / selected.len().max(1) as f64
     };
     ColdSummary {
         value: value.to_owned(),
-        runs: these.len(),
-        runs_with_falls: these.iter().filter(|run| run.falls > 0).count(),
-        runs_with_breaks: these.iter().filter(|run| run.breaks > 0).count(),
-        falls: these.iter().map(|run| run.falls).sum(),
-        starts: these.iter().map(|run| run.starts).sum(),
-        fullest: [mean(&|run| run.fullest), these.iter().map(|run| run.fullest).fold(0.0, f64::max)],
-        senders: [mean(&|run| run.senders as f64), mean(&|run| run.top)],
-        parts: [
-            mean(&|run| run.further),
-            mean(&|run| run.untold),
-            mean(&|run| run.late),
-            mean(&|run| run.young),
-        ],
-        served: mean(&|run| run.served),
+        runs: selected.len(),
+        runs_with_falls: selected.iter().filter(|run| run.falls > 0).count(),
+        runs_with_violations: selected.iter().filter(|run| run.breaks > 0).count(),
+        falls: selected.iter().map(|run| run.falls).sum(),
+        starts: selected.iter().map(|run| run.starts).sum(),
+        mean_fullest: mean(&|run| run.fullest),
+        max_fullest: selected.iter().map(|run| run.fullest).fold(0.0, f64::max),
+        mean_senders: mean(&|run| run.senders as f64),
+        top_sender_fraction: mean(&|run| run.top),
+        retry_fraction: mean(&|run| run.further),
+        unnotified_fraction: mean(&|run| run.untold),
+        late_connection_fraction: mean(&|run| run.late),
+        young_ingress_fraction: mean(&|run| run.young),
+        served_fraction: mean(&|run| run.served),
         service: mean(&|run| run.service),
     }
 }
 
-/// A table of summaries.
-pub struct ColdTable<'a>(pub &'a [ColdSummary]);
+/// Formats summaries as a table.
+pub struct ColdSummaryTable<'a>(pub &'a [ColdSummary]);
 
-impl fmt::Display for ColdTable<'_> {
+impl fmt::Display for ColdSummaryTable<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -167,25 +180,24 @@
             "service"
         )?;
         for s in self.0 {
-            let [further, untold, late, young] = s.parts;
             write!(
                 f,
                 "\n{:20} {:>5} {:>6} {:>6} {:>6} {:>7} {:>7.2} {:>6.2} {:>7.1} {:>5.2} {:>7.2} {:>6.2} {:>5.2} {:>5.2} {:>6.2} {:>7.3}",
                 s.value,
                 s.runs,
                 s.runs_with_falls,
-                s.runs_with_breaks,
+                s.runs_with_violations,
                 s.falls,
                 s.starts,
-                s.fullest[0],
-                s.fullest[1],
-                s.senders[0],
-                s.senders[1],
-                further,
-                untold,
-                late,
-                young,
-                s.served,
+                s.mean_fullest,
+                s.max_fullest,
+                s.mean_senders,
+                s.top_sender_fraction,
+                s.retry_fraction,
+                s.unnotified_fraction,
+                s.late_connection_fraction,
+                s.young_ingress_fraction,
+                s.served_fraction,
                 s.service
             )?;
         }
@@ -193,28 +205,28 @@
     }
 }
 
-/// So many senders of a window are written out.
-const SENDERS_SHOWN: usize = 12;
+/// The most senders of a window that are listed.
+const MAX_SENDERS_SHOWN: usize = 12;
 
-/// A window, with those that sent the most.
-pub struct WindowTable<'a>(pub &'a ColdWindow);
+/// Formats a window and the ingresses that sent the most.
+pub struct ColdWindowTable<'a>(pub &'a ColdWindow);
 
-impl fmt::Display for WindowTable<'_> {
+impl fmt::Display for ColdWindowTable<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let w = self.0;
-        let what = match (w.fell, w.breaks) {
-            (true, true) => "fell, a break",
-            (true, false) => "fell, no break",
+        let event = match (w.fell, w.breaks) {
+            (true, true) => "fell, violation",
+            (true, false) => "fell, no violation",
             _ => "the fullest window",
         };
         write!(
             f,
-            "{what}: backend {} at {:.0} ms, {:.0} ms after its start, got {:.1} requests of mean work, {:.2} of the {:.1} at which it falls, from {}",
+            "{event}: backend {} at {:.0} ms, {:.0} ms after its start, received {:.1} requests of mean work, {:.2} of its limit of {:.1}, from {} ingresses",
             w.server,
             w.at,
             w.age,
             w.sent,
-            w.load(),
+            w.limit_fraction(),
             w.limit,
             w.senders.len()
         )?;
@@ -224,7 +236,7 @@
             "ingress", "sent", "part", "further", "untold", "late", "young", "served"
         )?;
         for Sender { ingress, sent, further, untold, late, young, served } in
-            w.senders.iter().take(SENDERS_SHOWN)
+            w.senders.iter().take(MAX_SENDERS_SHOWN)
         {
             let part = sent / w.sent.max(1e-9);
             write!(
@@ -236,24 +248,24 @@
     }
 }
 
-/// All falls of a run and its fullest window.
-pub struct FallTable<'a>(pub &'a ColdReport);
+/// Formats all falls of a run and its fullest window.
+pub struct ColdReportTable<'a>(pub &'a ColdReport);
 
-impl fmt::Display for FallTable<'_> {
+impl fmt::Display for ColdReportTable<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let report = self.0;
         write!(
             f,
-            "seed {}: {} falls, {} of them breaks, of {} cold backends that were sent something",
+            "seed {}: {} falls, {} of them violations, after {} starts of backends that received attempts while cold",
             report.seed,
             report.falls.len(),
-            report.breaks(),
+            report.violations(),
             report.starts
         )?;
-        report.falls.iter().try_for_each(|fall| write!(f, "\n{}", WindowTable(fall)))?;
+        report.falls.iter().try_for_each(|fall| write!(f, "\n{}", ColdWindowTable(fall)))?;
         match report.fullest.fell {
             true => Ok(()),
-            false => write!(f, "\n{}", WindowTable(&report.fullest)),
+            false => write!(f, "\n{}", ColdWindowTable(&report.fullest)),
         }
     }
 }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use weldhub_emulator::cold_sweep::{self, ColdTable, FallTable};
+use weldhub_emulator::cold_sweep::{self, ColdReportTable, ColdSummaryTable};
 use weldhub_emulator::compare::{Run, by_build, pair, sum_up, sweep};
 use weldhub_emulator::members::{self, Setup};
 use weldhub_emulator::report::rows;
@@ -276,13 +276,13 @@
         }
         Command::Cold { of, over: None, seeds: 1, csv: None } => {
             let outcomes = run(&of.read()?, of.seed, &shipped, Trace::default())?;
-            Ok(FallTable(&outcomes.cold).to_string())
+            Ok(ColdReportTable(&outcomes.cold).to_string())
         }
         Command::Cold { of, over, seeds, csv } => {
             let (_, scripts) = over_values(of.read()?, over.as_deref())?;
             let runs = cold_sweep::sweep(&scripts, &of.seeds(seeds), &shipped)?;
             write(&csv, || rows(&runs))?;
-            Ok(ColdTable(&cold_sweep::sum_up(&runs)).to_string())
+            Ok(ColdSummaryTable(&cold_sweep::summarize(&runs)).to_string())
         }
         Command::Members(of) => of.play(),
         Command::Trace { of, ingress, server, every } => {
--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -164,11 +164,11 @@
             at: now,
             work,
             ingress: node,
-            further: no > 0,
-            waited: now - sent,
+            is_retry: no > 0,
+            transit_time: now - sent,
             ingress_age: now - self.nodes[node].up_since,
         };
-        self.cold.arrives(s, server.started, arrival, server.bears(now, how), taken == Taken::Falls)
+        self.cold.record_arrival(s, server.started, arrival, server.bears(now, how), taken == Taken::Falls)
     }
 
     pub(super) fn foresee(&mut self, s: usize) {
@@ -249,7 +249,7 @@
             _ => {}
         }
         if outcome == Outcome::Served {
-            self.cold.served(s, i, self.now, self.attempts[a].work);
+            self.cold.record_served(s, i, self.now, self.attempts[a].work);
             self.answer(i, request, TryOutcome::Served);
         }
         let cell = self.servers[s].cell;
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -50,7 +50,7 @@
         }
         for e in &list.entries {
             if let (Some(s), Some(start)) = (self.ids.get(&e.entry.backend), e.entry.last_start) {
-                self.cold.told(i, *s, start - EPOCH);
+                self.cold.record_notification(i, *s, start - EPOCH);
             }
             let told = node.told.entry(e.entry.backend).or_insert(Told { state: e.entry.state, since: now });
             if (told.state == BackendState::Ready) != (e.entry.state == BackendState::Ready) {
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -14,7 +14,7 @@
 pub use watching::{Outcomes, Sample, ServerSample, Trace};
 
 use crate::check::Checker;
-use crate::cold::ColdWatch;
+use crate::cold::ColdStartMonitor;
 use crate::judge::Judge;
 use crate::report::{Report, Second, Tally};
 use crate::script::{Script, UniformRange};
@@ -63,7 +63,7 @@
     shown: Vec<Reported>,
     /// The last start of each that discovery knows of; long ago where below 0.
     known_starts: Vec<f64>,
-    cold: ColdWatch,
+    cold: ColdStartMonitor,
     /// How much each ingress is sought beside others.
     pulls: Vec<f64>,
     ids: HashMap<BackendId, usize>,
@@ -148,7 +148,7 @@
             lives: vec![0; all],
             shown: vec![Reported::default(); all],
             known_starts: vec![-1.0; all],
-            cold: ColdWatch::new(script),
+            cold: ColdStartMonitor::new(script),
             pulls: Vec::new(),
             ids: (0..all).map(|i| (backend_id(&name(i)), i)).collect(),
             published: (0..all).map(|i| (i, BackendState::Ready)).collect(),
