--- a/emulator/src/compare.rs
+++ b/emulator/src/compare.rs
@@ -1,4 +1,4 @@
-//! Many runs: a parameter over seeds, and one setting or build against another on the same seeds.
+//! Batches of runs: sweeps of a value over seeds, and comparisons of two settings or builds on the same seeds.
 
 use crate::report::Report;
 use crate::script::Script;
@@ -9,28 +9,28 @@
 use std::path::Path;
 use std::process::Command;
 
-/// A run in short.
+/// The main results of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Run {
-    /// What it ran with.
+pub struct RunResult {
+    /// The swept value, or the name of the setting or build.
     pub value: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// One figure.
+    /// Service score.
     pub service: f64,
-    /// The share of the whole run.
+    /// Share of the whole run.
     pub whole: f64,
-    /// The share of the worst 10 s.
+    /// Share of the worst window of 10 s.
     pub worst: f64,
-    /// Breaches of rules.
+    /// Number of rule violations.
     pub broken: u64,
-    /// The mean of the classes' 99th percentiles, in milliseconds.
+    /// Mean of the classes' 99th latency percentiles, in milliseconds.
     pub p99_ms: f64,
 }
 
-impl Run {
-    fn of(value: &str, report: &Report) -> Self {
-        let all = report.classes.len().max(1) as f64;
+impl RunResult {
+    fn from_report(value: &str, report: &Report) -> Self {
+        let class_count = report.classes.len().max(1) as f64;
         Self {
             value: value.to_owned(),
             seed: report.seed,
@@ -38,96 +38,112 @@
             whole: report.whole,
             worst: report.worst,
             broken: report.broken.iter().map(|(_, n)| n).sum(),
-            p99_ms: report.classes.iter().map(|c| c.p99_ms).sum::<f64>() / all,
+            p99_ms: report.classes.iter().map(|c| c.p99_ms).sum::<f64>() / class_count,
         }
     }
 }
 
-/// What many runs of one value gave.
+/// Summary of the runs of one value.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Summary {
-    /// The value.
+    /// The swept value.
     pub value: String,
-    /// How many runs.
+    /// Number of runs.
     pub runs: usize,
-    /// Of the service figure: the mean, its standard error, the least and the greatest.
+    /// Mean service score.
     pub mean: f64,
-    /// The standard error.
+    /// Standard error of the mean service score.
     pub error: f64,
-    /// The least.
+    /// Lowest service score.
     pub least: f64,
-    /// The greatest.
+    /// Highest service score.
     pub most: f64,
-    /// The mean share of the worst 10 s.
+    /// Mean share of the worst window of 10 s.
     pub worst: f64,
-    /// Runs in which a rule was broken.
+    /// Number of runs with a rule violation.
     pub broken: usize,
 }
 
-fn mean(all: &[f64]) -> f64 {
-    all.iter().sum::<f64>() / all.len().max(1) as f64
+fn mean(samples: &[f64]) -> f64 {
+    samples.iter().sum::<f64>() / samples.len().max(1) as f64
 }
 
-fn error(all: &[f64]) -> f64 {
-    let m = mean(all);
-    let n = all.len() as f64;
-    if n < 2.0 { 0.0 } else { (all.iter().map(|x| (x - m).powi(2)).sum::<f64>() / (n - 1.0) / n).sqrt() }
+fn standard_error(samples: &[f64]) -> f64 {
+    let m = mean(samples);
+    let n = samples.len() as f64;
+    if n < 2.0 { 0.0 } else { (samples.iter().map(|x| (x - m).powi(2)).sum::<f64>() / (n - 1.0) / n).sqrt() }
 }
 
-/// Sums up runs by value, in the order in which values come.
-pub fn sum_up(runs: &[Run]) -> Vec<Summary> {
+/// Summarizes runs by value, in the order in which the values first occur.
+pub fn summarize(runs: &[RunResult]) -> Vec<Summary> {
     let mut values: Vec<&str> = Vec::new();
     for run in runs {
         if !values.contains(&run.value.as_str()) {
             values.push(&run.value);
         }
     }
-    let of = |value: &str| {
-        let these: Vec<&Run> = runs.iter().filter(|run| run.value == value).collect();
-        let services: Vec<f64> = these.iter().map(|run| run.service).collect();
-        let worsts: Vec<f64> = these.iter().map(|run| run.worst).collect();
+    let summary = |value: &str| {
+        let selected: Vec<&RunResult> = runs.iter().filter(|run| run.value == value).collect();
+        let services: Vec<f64> = selected.iter().map(|run| run.service).collect();
+        let worsts: Vec<f64> = selected.iter().map(|run| run.worst).collect();
         Summary {
             value: value.to_owned(),
-            runs: these.len(),
+            runs: selected.len(),
             mean: mean(&services),
-            error: error(&services),
+            error: standard_error(&services),
             least: services.iter().copied().fold(f64::INFINITY, f64::min),
             most: services.iter().copied().fold(f64::NEG_INFINITY, f64::max),
             worst: mean(&worsts),
-            broken: these.iter().filter(|run| run.broken > 0).count(),
+            broken: selected.iter().filter(|run| run.broken > 0).count(),
         }
     };
-    values.into_iter().map(of).collect()
+    values.into_iter().map(summary).collect()
 }
 
-fn bar(many: usize, shown: bool) -> ProgressBar {
-    if !shown {
+fn progress_bar(runs: usize, visible: bool) -> ProgressBar {
+    if !visible {
         return ProgressBar::hidden();
     }
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {eta} left");
-    ProgressBar::new(many as u64).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
+    ProgressBar::new(runs as u64).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Plays scripts over seeds, side by side; the same runs in the same order whatever the machine.
-pub fn sweep(scripts: &[(String, Script)], seeds: &[u64], shown: bool) -> Result<Vec<Run>, String> {
+/// Runs each script with each seed in parallel and returns the results, ordered by script and seed. Draws a progress bar on
+/// stderr if `show_progress`.
+///
+/// # Errors
+/// Returns the first error of a run.
+pub fn sweep(
+    scripts: &[(String, Script)],
+    seeds: &[u64],
+    show_progress: bool,
+) -> Result<Vec<RunResult>, String> {
     let jobs: Vec<(&String, &Script, u64)> = scripts
         .iter()
         .flat_map(|(value, script)| seeds.iter().map(move |seed| (value, script, *seed)))
         .collect();
-    let bar = bar(jobs.len(), shown);
+    let bar = progress_bar(jobs.len(), show_progress);
     jobs.par_iter()
         .progress_with(bar)
-        .map(|(value, script, seed)| Ok(Run::of(value, &play(script, *seed)?)))
+        .map(|(value, script, seed)| Ok(RunResult::from_report(value, &play(script, *seed)?)))
         .collect()
 }
 
-/// Has another build of this program play a script over seeds.
-pub fn by_build(build: &Path, script: &Path, seeds: &[u64], value: &str) -> Result<Vec<Run>, String> {
-    let one = |seed: &u64| {
-        let told = |e: std::io::Error| format!("{}: {e}", build.display());
+/// Runs a script with each seed by another build of this program and returns the results under the name `value`.
+///
+/// # Errors
+/// Returns an error if the build cannot be run, fails, or prints a report without the expected figures.
+pub fn sweep_with_build(
+    build: &Path,
+    script: &Path,
+    seeds: &[u64],
+    value: &str,
+) -> Result<Vec<RunResult>, String> {
+    let run_seed = |seed: &u64| {
+        let with_path = |e: std::io::Error| format!("{}: {e}", build.display());
         let mut command = Command::new(build);
         command.arg("run").arg(script).args(["--seed", &seed.to_string(), "--json"]);
-        let output = command.output().map_err(told)?;
+        let output = command.output().map_err(with_path)?;
         if !output.status.success() {
             return Err(format!("{}: {}", build.display(), String::from_utf8_lossy(&output.stderr).trim()));
         }
@@ -137,7 +153,7 @@
         let classes = report["classes"].as_array().cloned().unwrap_or_default();
         let p99: Vec<f64> = classes.iter().filter_map(|c| c["p99_ms"].as_f64()).collect();
         let broken = report["broken"].as_array().into_iter().flatten().filter_map(|b| b[1].as_u64()).sum();
-        Ok(Run {
+        Ok(RunResult {
             value: value.to_owned(),
             seed: *seed,
             service: figure("service")?,
@@ -147,34 +163,34 @@
             p99_ms: mean(&p99),
         })
     };
-    seeds.par_iter().map(one).collect()
+    seeds.par_iter().map(run_seed).collect()
 }
 
-/// One against the other, seed by seed.
+/// Comparison of two groups of runs, seed by seed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Paired {
-    /// Seeds that both played.
+pub struct PairedComparison {
+    /// Number of seeds that both groups ran.
     pub seeds: usize,
-    /// The mean gain of the second over the first, and its standard error.
+    /// Mean gain of the second group's service score over the first's.
     pub gain: f64,
-    /// The latter.
+    /// Standard error of the mean gain.
     pub error: f64,
-    /// Seeds on which the second was better by more than 0.005, and worse.
+    /// Number of seeds on which the second group gained more than 0.005.
     pub better: usize,
-    /// Worse.
+    /// Number of seeds on which the second group lost more than 0.005.
     pub worse: usize,
 }
 
-/// Compares runs that were played on the same seeds.
-pub fn pair(one: &[Run], two: &[Run]) -> Paired {
-    let gains: Vec<f64> = one
+/// Compares the runs of two groups that have the same seed.
+pub fn compare_paired(first: &[RunResult], second: &[RunResult]) -> PairedComparison {
+    let gains: Vec<f64> = first
         .iter()
-        .filter_map(|a| two.iter().find(|b| b.seed == a.seed).map(|b| b.service - a.service))
+        .filter_map(|a| second.iter().find(|b| b.seed == a.seed).map(|b| b.service - a.service))
         .collect();
-    Paired {
+    PairedComparison {
         seeds: gains.len(),
         gain: mean(&gains),
-        error: error(&gains),
+        error: standard_error(&gains),
         better: gains.iter().filter(|g| **g > 0.005).count(),
         worse: gains.iter().filter(|g| **g < -0.005).count(),
     }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,18 +1,18 @@
-//! The command line: `weldhub-emulator run`, `sweep`, `compare` and `trace`.
+//! The command line: `weldhub-emulator run`, `sweep`, `compare`, `cold`, `members` and `trace`.
 
 use clap::{Args, Parser, Subcommand};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use weldhub_emulator::cold_sweep::{self, ColdReportTable, ColdSummaryTable};
-use weldhub_emulator::compare::{Run, by_build, pair, sum_up, sweep};
-use weldhub_emulator::members::{self, Setup};
-use weldhub_emulator::report::rows;
+use weldhub_emulator::compare::{RunResult, Summary, compare_paired, summarize, sweep, sweep_with_build};
+use weldhub_emulator::members::{self, MembershipSetup};
+use weldhub_emulator::plot;
+use weldhub_emulator::report::to_csv;
 use weldhub_emulator::script::Script;
-use weldhub_emulator::world::{Trace, run, shipped};
-use weldhub_emulator::{plot, script};
+use weldhub_emulator::world::{Sample, Trace, run, shipped};
 
-/// Plays a whole weldhub fleet in simulated time, over the shipped decisions.
+/// Runs a whole weldhub fleet in simulated time with the shipped decision module.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -22,122 +22,122 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a script once.
+    /// Run a script once.
     Run {
         #[command(flatten)]
-        of: Of,
-        /// One line of JSON in place of a table.
+        args: ScriptArgs,
+        /// Print one line of JSON instead of a table.
         #[arg(long)]
         json: bool,
-        /// The seconds of the run as CSV, into this file.
+        /// Write the results by second as CSV to this file.
         #[arg(long)]
         csv: Option<PathBuf>,
-        /// A plot by seconds as SVG, into this file.
+        /// Write a plot by second as SVG to this file.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Play a script over seeds, and over values of one figure of it.
+    /// Run a script with several seeds, and with several values of one of its keys.
     Sweep {
         #[command(flatten)]
-        of: Of,
-        /// The figure, as PATH=VALUE,VALUE: load.level=0.5,0.6 or troubles.0.do.slow.times=1.5,2.
+        args: ScriptArgs,
+        /// The key and its values, as PATH=VALUE,VALUE: load.level=0.5,0.6 or troubles.0.do.slow.times=1.5,2.
         #[arg(long)]
         over: Option<String>,
-        /// How many seeds, from the first one on.
+        /// The number of seeds, starting with --seed.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Every run as CSV, into this file.
+        /// Write the results of each run as CSV to this file.
         #[arg(long)]
         csv: Option<PathBuf>,
-        /// A plot as SVG, into this file.
+        /// Write a plot as SVG to this file.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Play two settings, or two builds, on the same seeds.
+    /// Compare two settings, or two builds, on the same seeds.
     Compare {
         #[command(flatten)]
-        of: Of,
+        args: ScriptArgs,
         /// The other setting, as PATH=VALUE.
         #[arg(long, required_unless_present = "build")]
         with: Option<String>,
-        /// Another build of this program, which plays the script first.
+        /// Another build of this program to compare this one with.
         #[arg(long)]
         build: Option<PathBuf>,
-        /// How many seeds, from the first one on.
+        /// The number of seeds, starting with --seed.
         #[arg(long, default_value_t = 30)]
         seeds: u64,
     },
-    /// What cold backends are sent over seeds, and over values of one figure: falls, the fullest windows, and who sent.
+    /// Report what cold backends receive, over seeds and over values of one key: falls, fullest windows, and senders.
     Cold {
         #[command(flatten)]
-        of: Of,
-        /// The figure, as PATH=VALUE,VALUE: servers.fall_multiple=1.5,2,4.
+        args: ScriptArgs,
+        /// The key and its values, as PATH=VALUE,VALUE: servers.fall_multiple=1.5,2,4.
         #[arg(long)]
         over: Option<String>,
-        /// How many seeds, from the first one on; for one, all its falls are written out.
+        /// The number of seeds, starting with --seed; with one seed and no --over or --csv, all its falls are listed.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Every run as CSV, into this file.
+        /// Write the results of each run as CSV to this file.
         #[arg(long)]
         csv: Option<PathBuf>,
     },
-    /// Membership among ingresses, in numbers that processes don't reach: kills, pauses, loss; a line of CSV a run.
-    Members(Members),
-    /// What ingresses or real servers went by, every 100 ms, as CSV on standard output.
+    /// Simulate the membership of a large fleet with kills, pauses and datagram loss; prints a line of CSV per run.
+    Members(MembersArgs),
+    /// Print the state of ingresses or backends at regular intervals as CSV.
     Trace {
         #[command(flatten)]
-        of: Of,
-        /// Only this ingress.
+        args: ScriptArgs,
+        /// Print this ingress only.
         #[arg(long)]
         ingress: Option<usize>,
-        /// This real server, in place of ingresses.
+        /// Print this backend instead of ingresses.
         #[arg(long, conflicts_with = "ingress")]
         server: Option<usize>,
-        /// So often, in milliseconds.
+        /// Sampling interval, in milliseconds.
         #[arg(long, default_value_t = 100.0)]
         every: f64,
     },
 }
 
 #[derive(Args)]
-struct Members {
-    /// How many instances, one value a run.
+struct MembersArgs {
+    /// Number of ingresses; one run per value.
     #[arg(long, value_delimiter = ',', default_value = "300")]
     instances: Vec<usize>,
-    /// The part of datagrams that is lost, one value a run.
+    /// Fraction of datagrams that is lost; one run per value.
     #[arg(long, value_delimiter = ',', default_value = "0.05")]
     loss: Vec<f64>,
-    /// Their mean time on the way, in milliseconds.
+    /// Mean delay of a datagram, in milliseconds.
     #[arg(long, default_value_t = 5.0)]
     delay: f64,
-    /// Each stands still once in so many seconds; never: 0.
+    /// Mean time between two pauses of an ingress, in seconds; 0 for no pauses.
     #[arg(long, default_value_t = 0.0)]
     pause_every: f64,
-    /// For so long, in milliseconds.
+    /// Length of a pause, in milliseconds.
     #[arg(long, default_value_t = 600.0)]
     pause: f64,
-    /// So many are killed each so many seconds; never: 0.
+    /// Time between two kills, in seconds; 0 for no kills.
     #[arg(long, default_value_t = 15.0)]
     kill_every: f64,
-    /// How many at once.
+    /// Number of ingresses killed at once.
     #[arg(long, default_value_t = 1)]
     kill: usize,
-    /// How long each run lasts, in seconds.
+    /// Length of a run once all ingresses know each other, in seconds.
     #[arg(long, default_value_t = 120.0)]
     seconds: f64,
-    /// For chance.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-impl Members {
-    fn play(self) -> Result<String, String> {
+impl MembersArgs {
+    fn run(self) -> Result<String, String> {
         let mut text = String::from(
             "instances,loss,joined_ms,known_ms_median,known_ms_99,known_ms_worst,unknown,wrong,wrong_an_hour,bytes_a_second,bytes_most,datagrams_a_second,bytes_most_joining",
         );
         for instances in &self.instances {
             for loss in &self.loss {
-                let setup = Setup {
+                let setup = MembershipSetup {
                     instances: *instances,
                     loss: *loss,
                     delay: self.delay,
@@ -148,12 +148,17 @@
                     seconds: self.seconds,
                     seed: self.seed,
                 };
-                let o = members::run(&setup)?;
-                let ([median, late, worst], [bytes, most]) = (o.known, o.bytes);
+                let outcome = members::run(&setup)?;
+                let ([median, p99, worst], [mean_bytes, most_bytes]) = (outcome.known, outcome.bytes);
                 let _ = write!(
                     text,
-                    "\n{instances},{loss},{:.0},{median:.0},{late:.0},{worst:.0},{},{},{:.1},{bytes:.0},{most:.0},{:.1},{:.0}",
-                    o.joined, o.unknown, o.wrong, o.wrong_an_hour, o.datagrams, o.joining
+                    "\n{instances},{loss},{:.0},{median:.0},{p99:.0},{worst:.0},{},{},{:.1},{mean_bytes:.0},{most_bytes:.0},{:.1},{:.0}",
+                    outcome.joined,
+                    outcome.unknown,
+                    outcome.wrong,
+                    outcome.wrong_an_hour,
+                    outcome.datagrams,
+                    outcome.joining
                 );
             }
         }
@@ -162,65 +167,73 @@
 }
 
 #[derive(Args)]
-struct Of {
-    /// The script.
+struct ScriptArgs {
+    /// Path of the script.
     script: PathBuf,
-    /// For chance: the same gives the same bytes.
+    /// Seed of the random numbers; the same seed gives the same output.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Figures of the script to replace, as PATH=VALUE.
+    /// Replace a value of the script, as PATH=VALUE; may be given several times.
     #[arg(long)]
     set: Vec<String>,
 }
 
-fn told(path: &Path) -> impl FnOnce(std::io::Error) -> String {
+/// Returns a function that turns an I/O error into a message with the path.
+fn with_path(path: &Path) -> impl FnOnce(std::io::Error) -> String {
     move |e| format!("{}: {e}", path.display())
 }
 
-fn replaced(script: Script, set: &str) -> Result<Script, String> {
-    let (path, value) = set.split_once('=').ok_or(format!("{set} is no PATH=VALUE"))?;
+fn with_setting(script: Script, set: &str) -> Result<Script, String> {
+    let (path, value) = set.split_once('=').ok_or(format!("{set} is not of the form PATH=VALUE"))?;
     script.with_value(path, value).map_err(|e| e.to_string())
 }
 
-impl Of {
+impl ScriptArgs {
+    /// Reads the script and replaces the values given by `--set`.
     fn read(&self) -> Result<Script, String> {
-        let text = std::fs::read_to_string(&self.script).map_err(told(&self.script))?;
-        let read = script::Script::read(&text).map_err(|e| e.to_string())?;
-        self.set.iter().try_fold(read, |script, set| replaced(script, set))
+        let text = std::fs::read_to_string(&self.script).map_err(with_path(&self.script))?;
+        let script = Script::read(&text).map_err(|e| e.to_string())?;
+        self.set.iter().try_fold(script, |script, set| with_setting(script, set))
     }
 
-    fn seeds(&self, many: u64) -> Vec<u64> {
-        (self.seed..self.seed.saturating_add(many)).collect()
+    /// Returns `count` seeds from `--seed` on.
+    fn seeds(&self, count: u64) -> Vec<u64> {
+        (self.seed..self.seed.saturating_add(count)).collect()
     }
 }
 
-fn write(path: &Option<PathBuf>, text: impl FnOnce() -> Result<String, String>) -> Result<(), String> {
+/// Writes the text to a file if its path is given.
+fn write_if_given(
+    path: &Option<PathBuf>,
+    text: impl FnOnce() -> Result<String, String>,
+) -> Result<(), String> {
     match path {
-        Some(path) => std::fs::write(path, text()?).map_err(told(path)),
+        Some(path) => std::fs::write(path, text()?).map_err(with_path(path)),
         None => Ok(()),
     }
 }
 
-fn table(runs: &[Run]) -> String {
-    let head = format!(
+/// Formats a summary of the runs by value as a table.
+fn summary_table(runs: &[RunResult]) -> String {
+    let header = format!(
         "{:24} {:>5} {:>7} {:>7} {:>7} {:>7} {:>8} {:>7}",
         "value", "runs", "mean", "error", "least", "most", "worst10", "broken"
     );
-    let line = |s: weldhub_emulator::compare::Summary| {
+    let line = |s: Summary| {
         format!(
             "{:24} {:>5} {:>7.3} {:>7.3} {:>7.3} {:>7.3} {:>8.3} {:>7}",
             s.value, s.runs, s.mean, s.error, s.least, s.most, s.worst, s.broken
         )
     };
-    std::iter::once(head).chain(sum_up(runs).into_iter().map(line)).collect::<Vec<_>>().join("\n")
+    std::iter::once(header).chain(summarize(runs).into_iter().map(line)).collect::<Vec<_>>().join("\n")
 }
 
-/// The name of the figure that a sweep goes over, and a script for each of its values.
-fn over_values(base: Script, over: Option<&str>) -> Result<(String, Vec<(String, Script)>), String> {
+/// Returns the path of the swept key, and each of its values with its script. Without `over` returns the unchanged script.
+fn sweep_scripts(base: Script, over: Option<&str>) -> Result<(String, Vec<(String, Script)>), String> {
     let Some(over) = over else {
         return Ok(("seed".to_owned(), vec![("as it is".to_owned(), base)]));
     };
-    let (path, values) = over.split_once('=').ok_or(format!("{over} is no PATH=VALUE,VALUE"))?;
+    let (path, values) = over.split_once('=').ok_or(format!("{over} is not of the form PATH=VALUE,VALUE"))?;
     let with = |value: &str| {
         let script = base.with_value(path, value).map_err(|e| e.to_string())?;
         Ok((value.to_owned(), script))
@@ -229,44 +242,47 @@
     Ok((path.to_owned(), scripts))
 }
 
-fn carried_out(command: Command) -> Result<String, String> {
+/// Executes a command and returns the text to print.
+fn execute(command: Command) -> Result<String, String> {
     match command {
-        Command::Run { of, json, csv, plot } => {
-            let report = run(&of.read()?, of.seed, &shipped, Trace::default())?.report;
-            write(&csv, || report.csv())?;
-            let title = format!("{}, seed {}", of.script.display(), of.seed);
-            write(&plot, || plot::run(&report, &title))?;
-            if json { report.json() } else { Ok(report.to_string().trim_end().to_owned()) }
+        Command::Run { args, json, csv, plot } => {
+            let report = run(&args.read()?, args.seed, &shipped, Trace::default())?.report;
+            write_if_given(&csv, || report.seconds_to_csv())?;
+            let title = format!("{}, seed {}", args.script.display(), args.seed);
+            write_if_given(&plot, || plot::plot_run(&report, &title))?;
+            if json { report.to_json() } else { Ok(report.to_string().trim_end().to_owned()) }
         }
-        Command::Sweep { of, over, seeds, csv, plot } => {
-            let (name, scripts) = over_values(of.read()?, over.as_deref())?;
-            let runs = sweep(&scripts, &of.seeds(seeds), true)?;
-            write(&csv, || rows(&runs))?;
-            write(&plot, || plot::sweep(&sum_up(&runs), &of.script.display().to_string(), &name))?;
-            Ok(table(&runs))
+        Command::Sweep { args, over, seeds, csv, plot } => {
+            let (path, scripts) = sweep_scripts(args.read()?, over.as_deref())?;
+            let runs = sweep(&scripts, &args.seeds(seeds), true)?;
+            write_if_given(&csv, || to_csv(&runs))?;
+            write_if_given(&plot, || {
+                plot::plot_sweep(&summarize(&runs), &args.script.display().to_string(), &path)
+            })?;
+            Ok(summary_table(&runs))
         }
-        Command::Compare { of, with, build, seeds } => {
-            let (script, seeds) = (of.read()?, of.seeds(seeds));
-            let (one, two) = match (with, build) {
+        Command::Compare { args, with, build, seeds } => {
+            let (script, seeds) = (args.read()?, args.seeds(seeds));
+            let (first, second) = match (with, build) {
                 (_, Some(build)) => {
-                    if !of.set.is_empty() {
-                        return Err("--build plays the script as it is: --set does not go with it".into());
+                    if !args.set.is_empty() {
+                        return Err("--set cannot be combined with --build: the other build runs the script unchanged".into());
                     }
-                    let one = by_build(&build, &of.script, &seeds, "the other build")?;
-                    (one, sweep(&[("this build".to_owned(), script)], &seeds, true)?)
+                    let first = sweep_with_build(&build, &args.script, &seeds, "the other build")?;
+                    (first, sweep(&[("this build".to_owned(), script)], &seeds, true)?)
                 }
                 (Some(with), None) => {
-                    let other = replaced(script.clone(), &with)?;
-                    let one = sweep(&[("as it is".to_owned(), script)], &seeds, true)?;
-                    (one, sweep(&[(with, other)], &seeds, true)?)
+                    let other = with_setting(script.clone(), &with)?;
+                    let first = sweep(&[("as it is".to_owned(), script)], &seeds, true)?;
+                    (first, sweep(&[(with, other)], &seeds, true)?)
                 }
-                (None, None) => return Err("there is nothing to compare with".into()),
+                (None, None) => return Err("either --with or --build is required".into()),
             };
-            let paired = pair(&one, &two);
-            let all: Vec<Run> = one.into_iter().chain(two).collect();
+            let paired = compare_paired(&first, &second);
+            let all: Vec<RunResult> = first.into_iter().chain(second).collect();
             Ok(format!(
-                "{}\nthe second gains {:+.4} (error {:.4}) over {} seeds: better on {}, worse on {}",
-                table(&all),
+                "{}\nthe second gains {:+.4} (standard error {:.4}) over {} seeds: better on {}, worse on {}",
+                summary_table(&all),
                 paired.gain,
                 paired.error,
                 paired.seeds,
@@ -274,29 +290,36 @@
                 paired.worse
             ))
         }
-        Command::Cold { of, over: None, seeds: 1, csv: None } => {
-            let outcomes = run(&of.read()?, of.seed, &shipped, Trace::default())?;
+        Command::Cold { args, over: None, seeds: 1, csv: None } => {
+            let outcomes = run(&args.read()?, args.seed, &shipped, Trace::default())?;
             Ok(ColdReportTable(&outcomes.cold).to_string())
         }
-        Command::Cold { of, over, seeds, csv } => {
-            let (_, scripts) = over_values(of.read()?, over.as_deref())?;
-            let runs = cold_sweep::sweep(&scripts, &of.seeds(seeds), &shipped)?;
-            write(&csv, || rows(&runs))?;
+        Command::Cold { args, over, seeds, csv } => {
+            let (_, scripts) = sweep_scripts(args.read()?, over.as_deref())?;
+            let runs = cold_sweep::sweep(&scripts, &args.seeds(seeds), &shipped)?;
+            write_if_given(&csv, || to_csv(&runs))?;
             Ok(ColdSummaryTable(&cold_sweep::summarize(&runs)).to_string())
         }
-        Command::Members(of) => of.play(),
-        Command::Trace { of, ingress, server, every } => {
+        Command::Members(args) => args.run(),
+        Command::Trace { args, ingress, server, every } => {
             if !(every.is_finite() && every >= 1.0) {
                 return Err("--every must be 1 or more".into());
             }
-            let outcomes = run(&of.read()?, of.seed, &shipped, Trace { every })?;
+            let outcomes = run(&args.read()?, args.seed, &shipped, Trace { every })?;
             let text = match server {
                 Some(server) => {
-                    rows(&outcomes.servers.into_iter().filter(|s| s.server == server).collect::<Vec<_>>())
+                    to_csv(&outcomes.servers.into_iter().filter(|s| s.server == server).collect::<Vec<_>>())
                 }
                 None => {
-                    let one = |s: &weldhub_emulator::world::Sample| ingress.is_none_or(|i| s.ingress == i);
-                    rows(&outcomes.ingresses.into_iter().filter(one).map(Row::from).collect::<Vec<_>>())
+                    let selected = |s: &Sample| ingress.is_none_or(|i| s.ingress == i);
+                    to_csv(
+                        &outcomes
+                            .ingresses
+                            .into_iter()
+                            .filter(selected)
+                            .map(IngressRow::from)
+                            .collect::<Vec<_>>(),
+                    )
                 }
             };
             text.map(|text| text.trim_end().to_owned())
@@ -304,9 +327,9 @@
     }
 }
 
-/// A sample, flat.
+/// A sample of an ingress with the fields of its view in the same row, as the CSV writer cannot flatten.
 #[derive(serde::Serialize)]
-struct Row {
+struct IngressRow {
     at: f64,
     ingress: usize,
     up: bool,
@@ -329,8 +352,8 @@
     requests: usize,
 }
 
-impl From<weldhub_emulator::world::Sample> for Row {
-    fn from(s: weldhub_emulator::world::Sample) -> Self {
+impl From<Sample> for IngressRow {
+    fn from(s: Sample) -> Self {
         let v = s.view;
         Self {
             at: s.at,
@@ -358,7 +381,7 @@
 }
 
 fn main() -> ExitCode {
-    match carried_out(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
--- a/emulator/src/members.rs
+++ b/emulator/src/members.rs
@@ -1,6 +1,7 @@
-//! Membership among ingresses at sizes that processes don't reach: the shipped [`Cluster`] for each instance, datagrams
-//! that are late or lost, kills and pauses by the seed. What is measured: when a kill is known, who is taken for dead and
-//! lives, and what it costs.
+//! Simulation of the membership among ingresses at fleet sizes that cannot be run as processes.
+//!
+//! Each ingress is the shipped [`Cluster`]; datagrams are delayed or lost, and ingresses are killed and paused, all drawn from
+//! the seed. Measures how soon a kill is known, how many live ingresses are taken for dead, and the traffic.
 
 use serde::Serialize;
 use std::cmp::Reverse;
@@ -9,146 +10,171 @@
 use weldhub::cluster::packet::{Identity, State, fleet_key};
 use weldhub::cluster::{Action, Cluster, FleetId, Timing};
 
-/// The most instances of a run.
-pub const MOST: usize = 4000;
+/// The most ingresses of a run.
+pub const MAX_INSTANCES: usize = 4000;
 
-/// A run.
+/// Parameters of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Setup {
-    /// How many instances.
+pub struct MembershipSetup {
+    /// Number of ingresses.
     pub instances: usize,
-    /// The part of datagrams that is lost.
+    /// Fraction of datagrams that is lost.
     pub loss: f64,
-    /// Their mean time on the way, in milliseconds; each takes 0.2 to 1.8 times as long.
+    /// Mean delay of a datagram, in milliseconds; the delays are uniform from 0.2 to 1.8 times the mean.
     pub delay: f64,
-    /// Each instance stands still once in so many seconds, on average; never: 0.
+    /// Mean time between two pauses of an ingress, in seconds; 0 for no pauses.
     pub pause_every: f64,
-    /// For so long, in milliseconds.
+    /// Length of a pause, in milliseconds.
     pub pause: f64,
-    /// One is killed each so many seconds; never: 0.
+    /// Time between two kills, in seconds; 0 for no kills.
     pub kill_every: f64,
-    /// So many at once.
+    /// Number of ingresses killed at once.
     pub kill: usize,
-    /// How long it lasts once all know all, in seconds.
+    /// Length of the run once all ingresses know each other, in seconds.
     pub seconds: f64,
-    /// For chance.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What a run came to. Times are in milliseconds.
+/// Results of a run. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
-pub struct Outcome {
-    /// When all first knew all, from the first start on; all start within a second.
+pub struct MembershipOutcome {
+    /// Time from the start of the first ingress until all know each other; all start within one second.
     pub joined: f64,
-    /// From each kill to each survivor's knowing it: median, 99th of 100, the last.
+    /// Time from a kill until a survivor knows of it, over all kills and survivors: median, 99th percentile, maximum.
     pub known: [f64; 3],
-    /// Kills that some survivor never knew.
+    /// Number of kills that at least one survivor did not learn of.
     pub unknown: usize,
-    /// Instances that lived and were taken for dead by somebody.
+    /// Number of times that a live ingress was taken for dead; repeats for one ingress less than 10 s apart count once.
     pub wrong: usize,
-    /// The same, an hour of the fleet.
+    /// `wrong` per hour, for the whole fleet.
     pub wrong_an_hour: f64,
-    /// Bytes that an instance sends in a second: mean, and the most of any instance in any second.
+    /// Bytes that an ingress sends in a second: the mean, and the maximum over all ingresses and seconds.
     pub bytes: [f64; 2],
-    /// Datagrams of an instance in a second, mean.
+    /// Mean number of datagrams that an ingress sends in a second.
     pub datagrams: f64,
-    /// The most bytes of an instance in a second while all began.
+    /// Maximum of the bytes that an ingress sends in a second while the fleet starts.
     pub joining: f64,
 }
 
-/// A datagram on its way, or a time to look: when, order, to whom, and from whom with what.
-type Event = Reverse<(u64, u64, usize, Option<(usize, Vec<u8>)>)>;
+/// An entry of the event queue, ordered by time (in microseconds) and sequence number: the receiving node, and for a datagram
+/// its sender and payload; `None` if the node's timer is due.
+type QueuedEvent = Reverse<(u64, u64, usize, Option<(usize, Vec<u8>)>)>;
+
+/// Base of the clusters' clock, in milliseconds since the Unix epoch.
+const EPOCH_MS: f64 = 1e12;
 
 struct Node {
     cluster: Cluster,
     runs: bool,
-    /// It stands still until then, in microseconds.
-    paused: u64,
-    /// When it is to be looked at next.
-    due: u64,
-    /// Bytes sent in this second, and the most in any.
-    sent: [u64; 2],
-    /// Instances that it takes to live, by number.
-    sees: usize,
+    /// End of the current pause, in microseconds.
+    paused_until: u64,
+    /// Time at which the timer is due, in microseconds.
+    timer_due: u64,
+    /// Bytes sent in the current second.
+    bytes_this_second: u64,
+    /// Most bytes sent in any second.
+    max_bytes_per_second: u64,
+    /// Number of other nodes that it takes for live.
+    live_peers: usize,
+}
+
+/// The observation that a node declared another one dead.
+struct DeathObservation {
+    /// Time, in microseconds.
+    at: u64,
+    dead: usize,
 }
 
-struct World {
+/// A node that was killed.
+struct Kill {
+    /// Time, in microseconds.
+    at: u64,
+    node: usize,
+}
+
+struct Simulation {
+    /// Current time, in microseconds.
     now: u64,
-    order: u64,
-    queue: BinaryHeap<Event>,
+    /// Sequence number of the last queued event.
+    sequence: u64,
+    queue: BinaryHeap<QueuedEvent>,
     nodes: Vec<Node>,
     rng: fastrand::Rng,
     loss: f64,
     delay: f64,
-    /// Deaths as they were seen: when, by whom, of whom.
-    deaths: Vec<(u64, usize, usize)>,
-    totals: [u64; 2],
+    deaths: Vec<DeathObservation>,
+    total_bytes: u64,
+    total_datagrams: u64,
 }
 
-fn at(n: usize) -> SocketAddr {
-    // A port of its own in blocks of 1,000, an address for each block.
+fn address_of(n: usize) -> SocketAddr {
+    // 1,000 ports on each address.
     let block = (n / 1000) as u8;
     SocketAddr::from((Ipv4Addr::new(10, 9, 0, block), 7000 + (n % 1000) as u16))
 }
 
-fn number(at: SocketAddr) -> usize {
-    let SocketAddr::V4(v4) = at else { return usize::MAX };
+fn node_at(address: SocketAddr) -> usize {
+    let SocketAddr::V4(v4) = address else { return usize::MAX };
     usize::from(v4.ip().octets()[3]) * 1000 + usize::from(v4.port()).wrapping_sub(7000)
 }
 
-fn millis(now: u64) -> f64 {
-    1e12 + now as f64 / 1000.0
+/// Returns the clusters' time in milliseconds for a time of the simulation in microseconds.
+fn cluster_time(now: u64) -> f64 {
+    EPOCH_MS + now as f64 / 1000.0
 }
 
-impl World {
-    fn new(setup: &Setup) -> Self {
+impl Simulation {
+    fn new(setup: &MembershipSetup) -> Self {
         let mut rng = fastrand::Rng::with_seed(setup.seed);
-        let nodes: Vec<Node> = (0..setup.instances).map(|n| node(n, setup.instances, &mut rng)).collect();
-        let mut this = Self {
+        let nodes: Vec<Node> = (0..setup.instances).map(|n| new_node(n, setup.instances, &mut rng)).collect();
+        let mut simulation = Self {
             now: 0,
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
             nodes,
             rng,
             loss: setup.loss,
             delay: setup.delay,
             deaths: Vec::new(),
-            totals: [0; 2],
+            total_bytes: 0,
+            total_datagrams: 0,
         };
         for n in 0..setup.instances {
-            let begins = this.nodes[n].paused;
-            this.push(begins, n, None);
+            let begins = simulation.nodes[n].paused_until;
+            simulation.push(begins, n, None);
         }
-        this
+        simulation
     }
 
-    fn push(&mut self, when: u64, to: usize, what: Option<(usize, Vec<u8>)>) {
-        self.order += 1;
-        self.queue.push(Reverse((when, self.order, to, what)));
+    fn push(&mut self, at: u64, to: usize, datagram: Option<(usize, Vec<u8>)>) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, to, datagram)));
     }
 
-    fn act(&mut self, n: usize, acts: Vec<Action>) {
-        for act in acts {
-            match act {
+    fn apply(&mut self, n: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Send(to, bytes) => {
-                    let to = number(to);
-                    self.totals = [self.totals[0] + bytes.len() as u64, self.totals[1] + 1];
-                    self.nodes[n].sent[0] += bytes.len() as u64;
+                    let to = node_at(to);
+                    self.total_bytes += bytes.len() as u64;
+                    self.total_datagrams += 1;
+                    self.nodes[n].bytes_this_second += bytes.len() as u64;
                     if to < self.nodes.len() && self.rng.f64() >= self.loss {
-                        let way = self.delay * (0.2 + 1.6 * self.rng.f64()) * 1000.0;
-                        self.push(self.now + way as u64, to, Some((n, bytes)));
+                        let delay = self.delay * (0.2 + 1.6 * self.rng.f64()) * 1000.0;
+                        self.push(self.now + delay as u64, to, Some((n, bytes)));
                     }
                 }
                 Action::Changed(id, before, state) => {
-                    let lives = |state: Option<State>| state.is_some_and(|s| s <= State::Suspect);
+                    let is_live = |state: Option<State>| state.is_some_and(|s| s <= State::Suspect);
                     let node = &mut self.nodes[n];
-                    match (lives(before), lives(Some(state))) {
-                        (false, true) => node.sees += 1,
-                        (true, false) => node.sees -= 1,
+                    match (is_live(before), is_live(Some(state))) {
+                        (false, true) => node.live_peers += 1,
+                        (true, false) => node.live_peers -= 1,
                         _ => {}
                     }
                     if state == State::Dead {
-                        self.deaths.push((self.now, n, usize::from(id.number)));
+                        self.deaths.push(DeathObservation { at: self.now, dead: usize::from(id.number) });
                     }
                 }
                 _ => {}
@@ -156,142 +182,163 @@
         }
     }
 
+    /// Processes all events up to `until` and ends the current second of the byte counts.
     fn run(&mut self, until: u64) {
-        while let Some(Reverse((when, _, n, what))) = self.queue.pop_if_due(until) {
-            self.now = self.now.max(when);
+        while let Some(Reverse((at, _, n, datagram))) = self.queue.pop_if_due(until) {
+            self.now = self.now.max(at);
             let node = &mut self.nodes[n];
             if !node.runs {
                 continue;
             }
-            if node.paused > self.now {
-                let later = node.paused;
-                self.push(later, n, what);
+            if node.paused_until > self.now {
+                let later = node.paused_until;
+                self.push(later, n, datagram);
                 continue;
             }
-            let (now, mut acts) = (millis(self.now), Vec::new());
-            let ticked = what.is_none();
-            match what {
-                Some((from, bytes)) => node.cluster.receive(now, at(from), &bytes, &mut acts),
-                None if node.due > self.now => continue,
-                None => node.cluster.tick(now, &mut acts),
+            let (now, mut actions) = (cluster_time(self.now), Vec::new());
+            let ticked = datagram.is_none();
+            match datagram {
+                Some((from, bytes)) => node.cluster.receive(now, address_of(from), &bytes, &mut actions),
+                None if node.timer_due > self.now => continue,
+                None => node.cluster.tick(now, &mut actions),
             }
-            // A microsecond later: a time in milliseconds is not exact to one.
-            let due = ((node.cluster.due() - 1e12) * 1000.0).ceil() as u64 + 1;
-            if due != node.due || ticked {
-                node.due = due;
+            // One microsecond later, as the time in milliseconds is not exact to a microsecond.
+            let due = ((node.cluster.due() - EPOCH_MS) * 1000.0).ceil() as u64 + 1;
+            if due != node.timer_due || ticked {
+                node.timer_due = due;
                 self.push(due.max(self.now + 1), n, None);
             }
-            self.act(n, acts);
+            self.apply(n, actions);
         }
         self.now = until;
         for node in &mut self.nodes {
-            node.sent = [0, node.sent[1].max(node.sent[0])];
+            node.max_bytes_per_second = node.max_bytes_per_second.max(node.bytes_this_second);
+            node.bytes_this_second = 0;
         }
     }
 
-    /// Whether all that run see all that run, and nobody else.
-    fn whole(&self) -> bool {
-        let run = self.nodes.iter().filter(|node| node.runs).count();
-        self.nodes.iter().filter(|node| node.runs).all(|node| node.sees + 1 == run)
+    /// Returns whether each running node takes as many others for live as are running.
+    fn has_converged(&self) -> bool {
+        let running = self.nodes.iter().filter(|node| node.runs).count();
+        self.nodes.iter().filter(|node| node.runs).all(|node| node.live_peers + 1 == running)
     }
 }
 
 trait PopDue {
-    fn pop_if_due(&mut self, until: u64) -> Option<Event>;
+    fn pop_if_due(&mut self, until: u64) -> Option<QueuedEvent>;
 }
 
-impl PopDue for BinaryHeap<Event> {
-    fn pop_if_due(&mut self, until: u64) -> Option<Event> {
-        self.peek().is_some_and(|Reverse((when, ..))| *when <= until).then(|| self.pop()).flatten()
+impl PopDue for BinaryHeap<QueuedEvent> {
+    fn pop_if_due(&mut self, until: u64) -> Option<QueuedEvent> {
+        self.peek().is_some_and(|Reverse((at, ..))| *at <= until).then(|| self.pop()).flatten()
     }
 }
 
-fn node(n: usize, count: usize, rng: &mut fastrand::Rng) -> Node {
-    let id =
-        Identity { name: format!("ingress-{n:04}"), number: n as u16, at: at(n), born: 1_000_000_000_000 };
-    let seeds = [0, 1, 2, (n + 1) % count].map(at).to_vec();
+fn new_node(n: usize, count: usize, rng: &mut fastrand::Rng) -> Node {
+    let id = Identity {
+        name: format!("ingress-{n:04}"),
+        number: n as u16,
+        at: address_of(n),
+        born: 1_000_000_000_000,
+    };
+    let seeds = [0, 1, 2, (n + 1) % count].map(address_of).to_vec();
     let fleet = FleetId { key: fleet_key("emulated"), size: count as u16 };
-    let cluster = Cluster::new(id, fleet, seeds, Timing::default(), rng.u64(..), 1e12);
-    Node { cluster, runs: true, paused: rng.u64(..1_000_000), due: 0, sent: [0; 2], sees: 0 }
+    let cluster = Cluster::new(id, fleet, seeds, Timing::default(), rng.u64(..), EPOCH_MS);
+    Node {
+        cluster,
+        runs: true,
+        paused_until: rng.u64(..1_000_000),
+        timer_due: 0,
+        bytes_this_second: 0,
+        max_bytes_per_second: 0,
+        live_peers: 0,
+    }
 }
 
-/// Plays it.
+/// Runs the simulation.
 ///
 /// # Errors
-/// What is wrong with the setup, or that all never knew all.
-pub fn run(setup: &Setup) -> Result<Outcome, String> {
-    if !(2..=MOST).contains(&setup.instances) || !(0.0..1.0).contains(&setup.loss) {
-        return Err(format!("instances are within 2 and {MOST}, loss is a part of 1"));
+/// Returns an error if the setup is invalid, or if the ingresses don't all know each other within 300 s.
+pub fn run(setup: &MembershipSetup) -> Result<MembershipOutcome, String> {
+    if !(2..=MAX_INSTANCES).contains(&setup.instances) || !(0.0..1.0).contains(&setup.loss) {
+        return Err(format!("instances must lie between 2 and {MAX_INSTANCES}, loss between 0 and 1"));
     }
-    let mut world = World::new(setup);
-    let mut outcome = Outcome::default();
-    while !world.whole() {
-        if world.now > 300_000_000 {
-            return Err("all did not know all within 300 s".into());
+    let mut simulation = Simulation::new(setup);
+    let mut outcome = MembershipOutcome::default();
+    while !simulation.has_converged() {
+        if simulation.now > 300_000_000 {
+            return Err("not all ingresses knew each other within 300 s".into());
         }
-        world.run(world.now + 1_000_000);
+        simulation.run(simulation.now + 1_000_000);
     }
-    outcome.joined = world.now as f64 / 1000.0;
-    outcome.joining = world.nodes.iter().map(|node| node.sent[1]).max().unwrap_or_default() as f64;
-    // What was said at the start is said to its end.
-    world.run(world.now + 20_000_000);
-    world.nodes.iter_mut().for_each(|node| node.sent = [0; 2]);
-    (world.totals, world.deaths) = ([0; 2], Vec::new());
-    let (begun, mut killed) = (world.now, Vec::<(u64, usize)>::new());
+    outcome.joined = simulation.now as f64 / 1000.0;
+    outcome.joining =
+        simulation.nodes.iter().map(|node| node.max_bytes_per_second).max().unwrap_or_default() as f64;
+    // Lets the messages of the start die down before anything is measured.
+    simulation.run(simulation.now + 20_000_000);
+    simulation.nodes.iter_mut().for_each(|node| {
+        node.bytes_this_second = 0;
+        node.max_bytes_per_second = 0;
+    });
+    (simulation.total_bytes, simulation.total_datagrams, simulation.deaths) = (0, 0, Vec::new());
+    let (started, mut kills) = (simulation.now, Vec::<Kill>::new());
     for second in 0..setup.seconds.ceil() as u64 {
-        let since = second as f64;
+        let elapsed = second as f64;
         if setup.kill_every > 0.0
-            && since % setup.kill_every == 0.0
-            && since + setup.kill_every <= setup.seconds
+            && elapsed % setup.kill_every == 0.0
+            && elapsed + setup.kill_every <= setup.seconds
         {
             for _ in 0..setup.kill {
-                let n = world.rng.usize(..setup.instances);
-                if world.nodes[n].runs {
-                    world.nodes[n].runs = false;
-                    killed.push((world.now, n));
+                let n = simulation.rng.usize(..setup.instances);
+                if simulation.nodes[n].runs {
+                    simulation.nodes[n].runs = false;
+                    kills.push(Kill { at: simulation.now, node: n });
                 }
             }
         }
         for n in 0..setup.instances {
-            if setup.pause_every > 0.0 && world.rng.f64() < 1.0 / setup.pause_every {
-                world.nodes[n].paused = world.now + (setup.pause * 1000.0) as u64;
+            if setup.pause_every > 0.0 && simulation.rng.f64() < 1.0 / setup.pause_every {
+                simulation.nodes[n].paused_until = simulation.now + (setup.pause * 1000.0) as u64;
             }
         }
-        world.run(world.now + 1_000_000);
+        simulation.run(simulation.now + 1_000_000);
     }
-    let span = (world.now - begun) as f64 / 1e6;
-    sum_up(&world, &killed, span, &mut outcome);
+    let seconds = (simulation.now - started) as f64 / 1e6;
+    summarize(&simulation, &kills, seconds, &mut outcome);
     Ok(outcome)
 }
 
-fn sum_up(world: &World, killed: &[(u64, usize)], span: f64, outcome: &mut Outcome) {
+/// Writes the results of a run of `seconds` to `outcome`.
+fn summarize(simulation: &Simulation, kills: &[Kill], seconds: f64, outcome: &mut MembershipOutcome) {
     let mut known = Vec::new();
-    for (when, of) in killed {
-        let seen: Vec<u64> = world
+    for kill in kills {
+        let delays: Vec<u64> = simulation
             .deaths
             .iter()
-            .filter(|(at, _, dead)| dead == of && at >= when)
-            .map(|(at, ..)| at - when)
+            .filter(|death| death.dead == kill.node && death.at >= kill.at)
+            .map(|death| death.at - kill.at)
             .collect();
-        let survivors = world.nodes.iter().filter(|node| node.runs).count();
-        outcome.unknown += usize::from(seen.len() < survivors);
-        known.extend(seen);
+        let survivors = simulation.nodes.iter().filter(|node| node.runs).count();
+        outcome.unknown += usize::from(delays.len() < survivors);
+        known.extend(delays);
     }
     known.sort_unstable();
-    let part = |p: f64| known.get(((known.len() as f64 * p) as usize).min(known.len().saturating_sub(1)));
-    outcome.known = [0.5, 0.99, 1.0].map(|p| part(p).map_or(0.0, |us| *us as f64 / 1000.0));
-    let dead = |(at, _, of): &&(u64, usize, usize)| !killed.iter().any(|(when, n)| n == of && when <= at);
-    // One that several take for dead within some seconds is one mistake.
+    let quantile = |p: f64| known.get(((known.len() as f64 * p) as usize).min(known.len().saturating_sub(1)));
+    outcome.known = [0.5, 0.99, 1.0].map(|p| quantile(p).map_or(0.0, |us| *us as f64 / 1000.0));
+    let was_live =
+        |death: &&DeathObservation| !kills.iter().any(|kill| kill.node == death.dead && kill.at <= death.at);
+    // Several nodes that take one for dead within 10 s count as one mistake.
     let mut wrong: Vec<(usize, u64)> =
-        world.deaths.iter().filter(dead).map(|(at, _, of)| (*of, *at)).collect();
+        simulation.deaths.iter().filter(was_live).map(|death| (death.dead, death.at)).collect();
     wrong.sort_unstable();
     wrong.dedup_by(|b, a| a.0 == b.0 && b.1 - a.1 < 10_000_000);
     outcome.wrong = wrong.len();
-    outcome.wrong_an_hour = wrong.len() as f64 * 3600.0 / span.max(1.0);
-    let each = world.nodes.len() as f64 * span.max(1.0);
-    let most = world.nodes.iter().map(|node| node.sent[1]).max().unwrap_or_default() as f64;
-    outcome.bytes = [world.totals[0] as f64 / each, most];
-    outcome.datagrams = world.totals[1] as f64 / each;
+    outcome.wrong_an_hour = wrong.len() as f64 * 3600.0 / seconds.max(1.0);
+    let node_seconds = simulation.nodes.len() as f64 * seconds.max(1.0);
+    let max_bytes =
+        simulation.nodes.iter().map(|node| node.max_bytes_per_second).max().unwrap_or_default() as f64;
+    outcome.bytes = [simulation.total_bytes as f64 / node_seconds, max_bytes];
+    outcome.datagrams = simulation.total_datagrams as f64 / node_seconds;
 }
 
 #[cfg(test)]
--- a/emulator/src/members/tests.rs
+++ b/emulator/src/members/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn setup() -> Setup {
+fn setup() -> MembershipSetup {
     let (pause_every, pause) = (0.0, 0.0);
-    Setup {
+    MembershipSetup {
         instances: 60,
         loss: 0.05,
         delay: 5.0,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn kills_are_known_to_all_and_the_same_seed_gives_the_same() {
+fn all_survivors_learn_of_kills_and_the_same_seed_gives_the_same_outcome() {
     let outcome = run(&setup()).unwrap();
     assert_eq!(outcome, run(&setup()).unwrap());
     assert_eq!((outcome.unknown, outcome.wrong), (0, 0));
@@ -25,8 +25,9 @@
 }
 
 #[test]
-fn pauses_longer_than_a_suspicion_are_seen_as_deaths_and_counted() {
-    let outcome = run(&Setup { kill_every: 0.0, pause_every: 30.0, pause: 6000.0, ..setup() }).unwrap();
+fn counts_pauses_longer_than_the_suspicion_timeout_as_wrong_deaths() {
+    let outcome =
+        run(&MembershipSetup { kill_every: 0.0, pause_every: 30.0, pause: 6000.0, ..setup() }).unwrap();
     assert!(outcome.wrong > 0, "{outcome:?}");
-    assert!(run(&Setup { instances: 1, ..setup() }).is_err());
+    assert!(run(&MembershipSetup { instances: 1, ..setup() }).is_err());
 }
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -1,4 +1,6 @@
-//! What came of a run, as a table, JSON or CSV. The same run gives the same bytes.
+//! The report of a run, as a table, JSON or CSV. The same run yields the same bytes.
+//!
+//! A share is the fraction of the worth requested inside the quotas that was answered in time.
 
 use crate::check::Breach;
 use crate::judge::Worth;
@@ -6,151 +8,164 @@
 use serde::Serialize;
 use std::fmt;
 
-/// What came of a class.
+/// Results of a class.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassReport {
-    /// Its name.
+    /// Name of the class.
     pub class: String,
-    /// Requests that were served, refused at last, and failed.
+    /// Requests that were served.
     pub served: u64,
-    /// Refused.
+    /// Requests whose last answer was a rejection.
     pub refused: u64,
-    /// Failed, or given up.
+    /// Requests that failed or that the client gave up.
     pub failed: u64,
-    /// From the first try to the answer, of those that were served, in milliseconds.
+    /// Median latency of served requests from the first try to the answer, in milliseconds.
     pub p50_ms: f64,
-    /// The same.
+    /// 90th percentile of the latency, in milliseconds.
     pub p90_ms: f64,
-    /// The same.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// The part of the worth asked inside quotas that was answered in time.
+    /// Share of the class.
     pub share: f64,
 }
 
-/// A second of a run.
+/// Results of one second of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// It begins then, in seconds.
+    /// Start of the second, in seconds.
     pub at: f64,
-    /// Worth asked inside the quotas, and of that answered in time.
+    /// Worth requested inside the quotas.
     pub asked: f64,
-    /// The latter.
+    /// Worth of `asked` that was answered in time.
     pub served: f64,
-    /// Tries inside the quotas that were refused at once, by what was full: the room.
+    /// Tries inside the quotas that were rejected at once for lack of backend capacity.
     pub no_room: u64,
-    /// The same for other reasons: the quota as it is known here, or no real server to be had.
+    /// Tries inside the quotas that were rejected at once for other reasons: the quota as the ingress knows it, or no usable
+    /// backend.
     pub no_way: u64,
-    /// Attempts sent, and how they ended badly.
+    /// Attempts sent.
     pub attempts: u64,
-    /// Given up.
+    /// Attempts that timed out.
     pub timed_out: u64,
-    /// Turned away.
+    /// Attempts that a backend rejected because its queue was full.
     pub full: u64,
-    /// Not reached.
+    /// Attempts that did not reach a backend.
     pub unreached: u64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// One figure: see `judge`.
+    /// Service score: combines all shares into one figure.
     pub service: f64,
-    /// The share of the whole run.
+    /// Share of the whole run.
     pub whole: f64,
-    /// The share of the worst window, and when it begins, in milliseconds.
+    /// Share of the worst window of 10 s.
     pub worst: f64,
-    /// The latter.
+    /// Start of the worst window, in milliseconds.
     pub worst_at: f64,
-    /// What requests beyond the quotas cost, as a part of the worth asked.
+    /// Cost of the requests sent on beyond the quotas, as a fraction of the worth requested inside them.
     pub beyond: f64,
-    /// By class.
+    /// Results by class.
     pub classes: Vec<ClassReport>,
-    /// By plan: the share.
+    /// Share by plan.
     pub plans: Vec<(String, f64)>,
-    /// By second.
+    /// Results by second.
     pub seconds: Vec<Second>,
-    /// Requests, tries and attempts.
+    /// Number of requests.
     pub requests: u64,
-    /// Tries.
+    /// Number of tries of clients.
     pub tries: u64,
-    /// Attempts.
+    /// Number of attempts of ingresses.
     pub attempts: u64,
-    /// New connections to real servers.
+    /// Number of new connections to backends.
     pub connections: u64,
-    /// Messages between ingresses, and those dropped for their limits.
+    /// Number of messages between ingresses.
     pub messages: u64,
-    /// Dropped.
+    /// Number of messages that ingresses dropped because of their rate limit.
     pub messages_dropped: u64,
-    /// Calls to the counter.
+    /// Number of calls to the counter.
     pub calls: u64,
-    /// Rules that were broken, by name, and the first breaches.
+    /// Number of violations by rule, for rules that were violated.
     pub broken: Vec<(String, u64)>,
-    /// The latter.
+    /// The first violations in detail.
     pub breaches: Vec<Breach>,
-    /// Events of the emulator.
+    /// Number of simulation events.
     pub events: u64,
 }
 
-/// Counts and latencies of a class while a run goes on.
+/// Collects outcomes and latencies of a class during a run.
 #[derive(Debug, Clone)]
-pub struct Tally {
-    /// Served, refused, failed.
-    pub ends: [u64; 3],
+pub struct ClassStats {
+    /// Number of requests that were served, rejected and failed, in this order.
+    pub outcomes: [u64; 3],
     latencies: Histogram<u64>,
 }
 
-impl Tally {
-    /// Nothing yet.
+impl ClassStats {
+    /// Returns empty statistics.
+    ///
+    /// # Errors
+    /// Returns an error if the histogram cannot be created.
     pub fn new() -> Result<Self, String> {
-        // Microseconds up to an hour, to three digits.
+        // Microseconds up to an hour, with three significant digits.
         let latencies = Histogram::new_with_bounds(1, 3_600_000_000, 3).map_err(|e| e.to_string())?;
-        Ok(Self { ends: [0; 3], latencies })
+        Ok(Self { outcomes: [0; 3], latencies })
     }
 
-    /// One was served after so many milliseconds.
-    pub fn served(&mut self, took: f64) {
-        self.ends[0] += 1;
-        self.latencies.saturating_record((took.max(0.001) * 1000.0) as u64);
+    /// Records a served request with its latency in milliseconds.
+    pub fn record_served(&mut self, latency: f64) {
+        self.outcomes[0] += 1;
+        self.latencies.saturating_record((latency.max(0.001) * 1000.0) as u64);
     }
 
-    /// As a report has it.
+    /// Returns the report of the class `class` with the share of `worth`.
     pub fn report(&self, class: &str, worth: &Worth) -> ClassReport {
-        let at = |quantile| self.latencies.value_at_quantile(quantile) as f64 / 1000.0;
+        let latency_ms = |quantile| self.latencies.value_at_quantile(quantile) as f64 / 1000.0;
         ClassReport {
             class: class.to_owned(),
-            served: self.ends[0],
-            refused: self.ends[1],
-            failed: self.ends[2],
-            p50_ms: at(0.5),
-            p90_ms: at(0.9),
-            p99_ms: at(0.99),
+            served: self.outcomes[0],
+            refused: self.outcomes[1],
+            failed: self.outcomes[2],
+            p50_ms: latency_ms(0.5),
+            p90_ms: latency_ms(0.9),
+            p99_ms: latency_ms(0.99),
             share: worth.share(),
         }
     }
 }
 
 impl Report {
-    /// The part of all requests that was served.
-    pub fn served(&self) -> f64 {
+    /// Returns the fraction of all requests that was served.
+    pub fn served_fraction(&self) -> f64 {
         let served: u64 = self.classes.iter().map(|c| c.served).sum();
         served as f64 / self.requests.max(1) as f64
     }
 
-    /// As one line of JSON.
-    pub fn json(&self) -> Result<String, String> {
+    /// Returns the report as one line of JSON.
+    ///
+    /// # Errors
+    /// Returns an error if the report cannot be serialized.
+    pub fn to_json(&self) -> Result<String, String> {
         serde_json::to_string(self).map_err(|e| e.to_string())
     }
 
-    /// The seconds as CSV.
-    pub fn csv(&self) -> Result<String, String> {
-        rows(&self.seconds)
+    /// Returns the results by second as CSV.
+    ///
+    /// # Errors
+    /// Returns an error if they cannot be serialized.
+    pub fn seconds_to_csv(&self) -> Result<String, String> {
+        to_csv(&self.seconds)
     }
 }
 
-/// Rows as CSV with a head.
-pub fn rows<T: Serialize>(rows: &[T]) -> Result<String, String> {
+/// Returns rows as CSV with a header line.
+///
+/// # Errors
+/// Returns an error if a row cannot be serialized.
+pub fn to_csv<T: Serialize>(rows: &[T]) -> Result<String, String> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     rows.iter().try_for_each(|row| writer.serialize(row)).map_err(|e| e.to_string())?;
     let bytes = writer.into_inner().map_err(|e| e.to_string())?;
@@ -194,8 +209,8 @@
             self.messages_dropped,
             self.calls
         )?;
-        for (rule, times) in &self.broken {
-            writeln!(f, "BROKEN {rule}: {times} times")?;
+        for (rule, count) in &self.broken {
+            writeln!(f, "BROKEN {rule}: {count} times")?;
         }
         for breach in &self.breaches {
             writeln!(f, "  at {:.0} ms: {}", breach.at, breach.what)?;
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -315,7 +315,7 @@
         }
         if how == TryOutcome::Served {
             self.asked[n].done = true;
-            self.tallies[class].served(self.now - at);
+            self.tallies[class].record_served(self.now - at);
             if self.asked[n].inside && self.now - at <= kind.aim {
                 let (plan, units) = (self.customers[c].plan, f64::from(self.asked[n].units));
                 let worth = Judge::worth(plan, class, units, script);
@@ -350,7 +350,7 @@
             None => {
                 self.asked[n].done = true;
                 let end = if matches!(how, TryOutcome::Rejected { .. }) { 1 } else { 2 };
-                self.tallies[class].ends[end] += 1;
+                self.tallies[class].outcomes[end] += 1;
             }
         }
     }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -16,7 +16,7 @@
 use crate::check::Checker;
 use crate::cold::ColdStartMonitor;
 use crate::judge::Judge;
-use crate::report::{Report, Second, Tally};
+use crate::report::{ClassStats, Report, Second};
 use crate::script::{Script, UniformRange};
 use crate::server::{Reported, Server};
 use crate::shared::{Counter, Intake};
@@ -79,7 +79,7 @@
     surge: (f64, f64),
     check: Checker,
     judge: Judge,
-    tallies: Vec<Tally>,
+    tallies: Vec<ClassStats>,
     seconds: Vec<Second>,
     next_request: u64,
     totals: Totals,
@@ -132,7 +132,7 @@
             server.hall = (i % usize::from(halls)) as u8;
             server.cell = (i / usize::from(script.servers.cell)) as u16;
         }
-        let tallies = script.classes.iter().map(|_| Tally::new()).collect::<Result<_, _>>()?;
+        let tallies = script.classes.iter().map(|_| ClassStats::new()).collect::<Result<_, _>>()?;
         // Sizes fall off by half each.
         let units: Vec<f64> = (0..script.load.largest).map(|k| 0.5f64.powi(k as i32)).collect();
         let all = servers.len();
--- a/emulator/src/world/watching.rs
+++ b/emulator/src/world/watching.rs
@@ -106,7 +106,7 @@
     pub(super) fn outcomes(mut self, seed: u64) -> Outcomes {
         // Whoever still waits has waited in vain.
         for asked in self.asked.iter().filter(|asked| !asked.done) {
-            self.tallies[asked.class].ends[2] += 1;
+            self.tallies[asked.class].outcomes[2] += 1;
         }
         let (whole, (worst, worst_at)) = (self.judge.whole(), self.judge.worst());
         let classes = self.script.classes.iter().zip(&self.tallies).zip(&self.judge.classes);
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -23,7 +23,7 @@
     let troubles = "[[troubles]]\nat = 3000.0\ndo = { crash = { share = 0.7, down = [1000.0, 2000.0] } }\n\
                     [[troubles]]\nat = 5000.0\ndo = { release = { share = 0.5, at_once = 0.2, over = 4000.0, grace = 1500.0 } }";
     let script = script(CALM, troubles);
-    let text = |seed| play(&script, seed).unwrap().json().unwrap();
+    let text = |seed| play(&script, seed).unwrap().to_json().unwrap();
     assert_eq!(text(3), text(3));
     assert_ne!(text(3), text(4));
     let traced = run(&script, 3, &shipped, Trace { every: 100.0 }).unwrap();
--- a/emulator/tests/sockets.rs
+++ b/emulator/tests/sockets.rs
@@ -185,12 +185,12 @@
             let sockets = load.await.unwrap();
             let modelled = play(&script(rate, 12.0, troubles), 7).unwrap();
             let (one, two) = (sockets.latency_ms(0.99), modelled.classes[0].p99_ms);
-            assert!((sockets.served_fraction() - modelled.served()).abs() < 0.03, "{what}");
+            assert!((sockets.served_fraction() - modelled.served_fraction()).abs() < 0.03, "{what}");
             assert!((one / two - 1.0).abs() < 0.25, "{what}: {one} and {two} ms");
             println!(
                 "{what}: served {:.3} on sockets, {:.3} in the emulator; p50 {:.0} and {:.0} ms, p99 {:.0} and {:.0} ms",
                 sockets.served_fraction(),
-                modelled.served(),
+                modelled.served_fraction(),
                 sockets.latency_ms(0.5),
                 modelled.classes[0].p50_ms,
                 sockets.latency_ms(0.99),
