--- a/emulator/src/cold.rs
+++ b/emulator/src/cold.rs
@@ -1,16 +1,19 @@
-//! Records the work that cold backends receive: every fall with the ingresses that filled its window, and the fullest window of
-//! a run.
+//! Records the work that cold backends receive: every fall with the ingresses that filled its window, and the
+//! fullest window of a run.
 //!
-//! A cold backend falls over if it receives more work within one fall window than it tolerates. A fall violates the rule
-//! against overloading cold backends only if most of that work came from ingresses that had been notified of the start.
+//! A cold backend falls over if it receives more work within one fall window than it tolerates. A fall
+//! violates the rule against overloading cold backends only if most of that work came from ingresses that had
+//! been notified of the start.
 
 use crate::script::Script;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A fall violates the rule if more than this fraction of its window came from ingresses notified of the start.
+/// A fall violates the rule if more than this fraction of its window came from ingresses notified of the
+/// start.
 const MAX_NOTIFIED_FRACTION: f64 = 2.0 / 3.0;
-/// Start times closer than this denote the same start, in milliseconds; they are rounded when the time of day is added.
+/// Start times closer than this denote the same start, in milliseconds; they are rounded when the time of day
+/// is added.
 const START_TOLERANCE_MS: f64 = 1.0;
 /// An attempt that took longer than this to reach its backend waited for a new connection, in milliseconds.
 const LATE_CONNECTION_MS: f64 = 100.0;
@@ -53,7 +56,8 @@
     pub served: f64,
 }
 
-/// What a cold backend received within one fall window. Times are in milliseconds, amounts in requests of mean work.
+/// What a cold backend received within one fall window. Times are in milliseconds, amounts in requests of
+/// mean work.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ColdWindow {
     /// End of the window.
@@ -194,8 +198,8 @@
         }
     }
 
-    /// Records an attempt that reached `backend`, which tolerates `limit` work in a window and fell over by it if `fell`.
-    /// Returns whether the fall violates the rule.
+    /// Records an attempt that reached `backend`, which tolerates `limit` work in a window and fell over by
+    /// it if `fell`. Returns whether the fall violates the rule.
     pub fn record_arrival(
         &mut self,
         backend: usize,
--- a/emulator/src/cold_sweep.rs
+++ b/emulator/src/cold_sweep.rs
@@ -1,4 +1,5 @@
-//! Cold backends over many runs: how often one fell over, how close the fullest window came to its limit, and who had sent it.
+//! Cold backends over many runs: how often one fell over, how close the fullest window came to its limit, and
+//! who had sent it.
 
 use crate::cold::{ColdReport, ColdWindow, Sender};
 use crate::script::Script;
@@ -68,7 +69,8 @@
     }
 }
 
-/// Runs each script with each seed in parallel and returns the results for cold backends, ordered by script and seed.
+/// Runs each script with each seed in parallel and returns the results for cold backends, ordered by script
+/// and seed.
 ///
 /// # Errors
 /// Returns the first error of a run.
@@ -85,7 +87,8 @@
         .collect()
 }
 
-/// Summary of the runs of one value. Fractions of what was sent are means over the fullest window of each run.
+/// Summary of the runs of one value. Fractions of what was sent are means over the fullest window of each
+/// run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ColdSummary {
     /// The swept value.
@@ -122,7 +125,8 @@
     pub service: f64,
 }
 
-/// Summarizes runs by value, in the order in which the values first occur; runs of one value must be adjacent.
+/// Summarizes runs by value, in the order in which the values first occur; runs of one value must be
+/// adjacent.
 pub fn summarize(runs: &[ColdRun]) -> Vec<ColdSummary> {
     let mut values: Vec<&str> = runs.iter().map(|run| run.value.as_str()).collect();
     values.dedup();
--- a/emulator/src/compare.rs
+++ b/emulator/src/compare.rs
@@ -1,4 +1,5 @@
-//! Batches of runs: sweeps of a value over seeds, and comparisons of two settings or builds on the same seeds.
+//! Batches of runs: sweeps of a value over seeds, and comparisons of two settings or builds on the same
+//! seeds.
 
 use crate::report::Report;
 use crate::script::Script;
@@ -108,8 +109,8 @@
     ProgressBar::new(runs as u64).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Runs each script with each seed in parallel and returns the results, ordered by script and seed. Draws a progress bar on
-/// stderr if `show_progress`.
+/// Runs each script with each seed in parallel and returns the results, ordered by script and seed. Draws a
+/// progress bar on stderr if `show_progress`.
 ///
 /// # Errors
 /// Returns the first error of a run.
@@ -129,7 +130,8 @@
         .collect()
 }
 
-/// Runs a script with each seed by another build of this program and returns the results under the name `value`.
+/// Runs a script with each seed by another build of this program and returns the results under the name
+/// `value`.
 ///
 /// # Errors
 /// Returns an error if the build cannot be run, fails, or prints a report without the expected figures.
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -67,21 +67,24 @@
         #[arg(long, default_value_t = 30)]
         seeds: u64,
     },
-    /// Report what cold backends receive, over seeds and over values of one key: falls, fullest windows, and senders.
+    /// Report what cold backends receive, over seeds and over values of one key: falls, fullest windows, and
+    /// senders.
     Cold {
         #[command(flatten)]
         args: ScriptArgs,
         /// The key and its values, as PATH=VALUE,VALUE: servers.fall_multiple=1.5,2,4.
         #[arg(long)]
         over: Option<String>,
-        /// The number of seeds, starting with --seed; with one seed and no --over or --csv, all its falls are listed.
+        /// The number of seeds, starting with --seed; with one seed and no --over or --csv, all its falls are
+        /// listed.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
         /// Write the results of each run as CSV to this file.
         #[arg(long)]
         csv: Option<PathBuf>,
     },
-    /// Simulate the membership of a large fleet with kills, pauses and datagram loss; prints a line of CSV per run.
+    /// Simulate the membership of a large fleet with kills, pauses and datagram loss; prints a line of CSV
+    /// per run.
     Members(MembersArgs),
     /// Print the state of ingresses or backends at regular intervals as CSV.
     Trace {
@@ -228,7 +231,8 @@
     std::iter::once(header).chain(summarize(runs).into_iter().map(line)).collect::<Vec<_>>().join("\n")
 }
 
-/// Returns the path of the swept key, and each of its values with its script. Without `over` returns the unchanged script.
+/// Returns the path of the swept key, and each of its values with its script. Without `over` returns the
+/// unchanged script.
 fn sweep_scripts(base: Script, over: Option<&str>) -> Result<(String, Vec<(String, Script)>), String> {
     let Some(over) = over else {
         return Ok(("seed".to_owned(), vec![("as it is".to_owned(), base)]));
--- a/emulator/src/members.rs
+++ b/emulator/src/members.rs
@@ -1,7 +1,8 @@
 //! Simulation of the membership among ingresses at fleet sizes that cannot be run as processes.
 //!
-//! Each ingress is the shipped [`Cluster`]; datagrams are delayed or lost, and ingresses are killed and paused, all drawn from
-//! the seed. Measures how soon a kill is known, how many live ingresses are taken for dead, and the traffic.
+//! Each ingress is the shipped [`Cluster`]; datagrams are delayed or lost, and ingresses are killed and
+//! paused, all drawn from the seed. Measures how soon a kill is known, how many live ingresses are taken for
+//! dead, and the traffic.
 
 use serde::Serialize;
 use std::cmp::Reverse;
@@ -41,11 +42,13 @@
 pub struct MembershipOutcome {
     /// Time from the start of the first ingress until all know each other; all start within one second.
     pub joined: f64,
-    /// Time from a kill until a survivor knows of it, over all kills and survivors: median, 99th percentile, maximum.
+    /// Time from a kill until a survivor knows of it, over all kills and survivors: median, 99th percentile,
+    /// maximum.
     pub known: [f64; 3],
     /// Number of kills that at least one survivor did not learn of.
     pub unknown: usize,
-    /// Number of times that a live ingress was taken for dead; repeats for one ingress less than 10 s apart count once.
+    /// Number of times that a live ingress was taken for dead; repeats for one ingress less than 10 s apart
+    /// count once.
     pub wrong: usize,
     /// `wrong` per hour, for the whole fleet.
     pub wrong_an_hour: f64,
@@ -57,8 +60,8 @@
     pub joining: f64,
 }
 
-/// An entry of the event queue, ordered by time (in microseconds) and sequence number: the receiving node, and for a datagram
-/// its sender and payload; `None` if the node's timer is due.
+/// An entry of the event queue, ordered by time (in microseconds) and sequence number: the receiving node,
+/// and for a datagram its sender and payload; `None` if the node's timer is due.
 type QueuedEvent = Reverse<(u64, u64, usize, Option<(usize, Vec<u8>)>)>;
 
 /// Base of the clusters' clock, in milliseconds since the Unix epoch.
--- a/emulator/src/plot.rs
+++ b/emulator/src/plot.rs
@@ -42,7 +42,8 @@
     Ok(text)
 }
 
-/// Plots a run by second: the share, the attempts relative to the busiest second, and the fraction of attempts that timed out.
+/// Plots a run by second: the share, the attempts relative to the busiest second, and the fraction of
+/// attempts that timed out.
 ///
 /// # Errors
 /// Returns the error of the plotting library.
@@ -65,8 +66,8 @@
     chart(title, "seconds", "share", (0.0, end), 1.2, &lines)
 }
 
-/// Plots a sweep by value: mean and lowest service score and the mean share of the worst window. A value that is not a number is
-/// placed at its index.
+/// Plots a sweep by value: mean and lowest service score and the mean share of the worst window. A value that
+/// is not a number is placed at its index.
 ///
 /// # Errors
 /// Returns the error of the plotting library.
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -40,8 +40,8 @@
     pub served: f64,
     /// Tries inside the quotas that were rejected at once for lack of backend capacity.
     pub no_room: u64,
-    /// Tries inside the quotas that were rejected at once for other reasons: the quota as the ingress knows it, or no usable
-    /// backend.
+    /// Tries inside the quotas that were rejected at once for other reasons: the quota as the ingress knows
+    /// it, or no usable backend.
     pub no_way: u64,
     /// Attempts sent.
     pub attempts: u64,
--- a/emulator/src/script/fleet.rs
+++ b/emulator/src/script/fleet.rs
@@ -51,7 +51,8 @@
 
 /// Properties of the backends of all kinds: cold starts, overload, load reports and connections.
 ///
-/// A backend that receives more work within a window than it tolerates falls over: its process ends and stays down.
+/// A backend that receives more work within a window than it tolerates falls over: its process ends and stays
+/// down.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendSettings {
@@ -65,9 +66,11 @@
     pub fall_multiple: f64,
     /// Window over which received work is summed up.
     pub fall_window: f64,
-    /// Tolerance for random variation: if N requests of mean work are tolerated, a further `fall_slack * (sqrt(N) + 1)` are.
+    /// Tolerance for random variation: if N requests of mean work are tolerated, a further `fall_slack *
+    /// (sqrt(N) + 1)` are.
     pub fall_slack: f64,
-    /// The tolerated work follows `told_cold_from` and `told_cold` at the usual speed, not the backend's actual capacity.
+    /// The tolerated work follows `told_cold_from` and `told_cold` at the usual speed, not the backend's
+    /// actual capacity.
     pub fall_as_told: bool,
     /// Answers carry load reports.
     pub reports: bool,
@@ -158,7 +161,8 @@
 pub enum DiscoverySource {
     /// Changes are pushed.
     Push,
-    /// Ingresses request a list, and requests are answered one after the other; later changes are pushed to them.
+    /// Ingresses request a list, and requests are answered one after the other; later changes are pushed to
+    /// them.
     #[serde(rename = "asked")]
     OnRequest,
     /// Answers of Consul's health endpoint, evaluated by the shipped membership.
--- a/emulator/src/script/load.rs
+++ b/emulator/src/script/load.rs
@@ -30,8 +30,8 @@
     /// Timeout of a try, as a fraction of the `give_up` time of its class.
     #[serde(default = "part")]
     pub try_share: UniformRange,
-    /// Fractions of the customers: those that use nearly all of their quota, those that always request several times their
-    /// quota, and those that do so for seconds now and then.
+    /// Fractions of the customers: those that use nearly all of their quota, those that always request
+    /// several times their quota, and those that do so for seconds now and then.
     #[serde(default = "kinds")]
     pub kinds: [f64; 3],
     /// The highest demand of the customers that always and that temporarily exceed their quota, in quotas.
@@ -45,8 +45,8 @@
     /// Size of the largest request, in units.
     #[serde(default = "six_units")]
     pub largest: u32,
-    /// How unevenly requests are spread over ingresses: the standard deviation of the logarithm of the ingresses' weights. At
-    /// 1 one ingress in a hundred has ten times the median.
+    /// How unevenly requests are spread over ingresses: the standard deviation of the logarithm of the
+    /// ingresses' weights. At 1 one ingress in a hundred has ten times the median.
     #[serde(default)]
     pub uneven: f64,
 }
@@ -126,7 +126,8 @@
     pub rate: f64,
     /// Burst, in seconds of the rate.
     pub burst: f64,
-    /// Units are not counted: the cap on attempts in flight is the whole quota, and the rate only sets the demand.
+    /// Units are not counted: the cap on attempts in flight is the whole quota, and the rate only sets the
+    /// demand.
     #[serde(default)]
     pub unrated: bool,
     /// The most attempts in flight at once; 0 for no cap.
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -1,5 +1,6 @@
-//! Scripts describe a fleet, its load and its troubles in TOML. Fields have the names of their keys; times are in
-//! milliseconds. An unknown key or an invalid value is rejected before the run with an error of one line that names the key.
+//! Scripts describe a fleet, its load and its troubles in TOML. Fields have the names of their keys; times
+//! are in milliseconds. An unknown key or an invalid value is rejected before the run with an error of one
+//! line that names the key.
 
 mod check;
 mod fleet;
--- a/emulator/src/script/trouble.rs
+++ b/emulator/src/script/trouble.rs
@@ -65,7 +65,8 @@
         /// Time from the start of a backend's drain until its process ends.
         grace: f64,
     },
-    /// Backends crash in batches, unnoticed by discovery, and come back cold; discovery reports the new start late.
+    /// Backends crash in batches, unnoticed by discovery, and come back cold; discovery reports the new start
+    /// late.
     #[serde(rename = "restart")]
     RestartBackends {
         /// Fraction of the backends that restart.
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -1,4 +1,5 @@
-//! Cold backends: what they receive, when they fall over, and that the shipped decisions protect them in scripts with many starts.
+//! Cold backends: what they receive, when they fall over, and that the shipped decisions protect them in
+//! scripts with many starts.
 
 use weldhub::interface::{BackendId, BackendState};
 use weldhub::view::View;
@@ -19,7 +20,8 @@
     COLD_SCRIPTS.map(|text| Script::read(text).unwrap()).to_vec()
 }
 
-/// The shipped limiter, except that every attempt goes to the backend with the start that it was notified of last.
+/// The shipped limiter, except that every attempt goes to the backend with the start that it was notified of
+/// last.
 struct FloodsColdBackend {
     inner: Limiter,
     cold: Option<BackendId>,
--- a/emulator/tests/two_cores.rs
+++ b/emulator/tests/two_cores.rs
@@ -1,4 +1,4 @@
-//! Few ingresses before small backends, with a plan whose quota is a cap on attempts out.
+//! Few ingresses in front of small backends, with a plan whose quota is a cap on attempts in flight.
 
 use weldhub_emulator::report::Report;
 use weldhub_emulator::script::Script;
@@ -9,20 +9,20 @@
 const SHRINK: &str = include_str!("../scripts/two-cores-shrink.toml");
 const ONE_SLOW: &str = include_str!("../scripts/two-cores-one-slow.toml");
 
-fn played(text: &str) -> Report {
+fn run_script(text: &str) -> Report {
     play(&Script::read(text).unwrap(), 1).unwrap()
 }
 
 #[test]
-fn no_rule_is_broken_and_what_is_served_follows_what_goes_wrong() {
+fn violates_no_rule_and_keeps_the_service_score_in_each_trouble() {
     for (text, least) in [(OVERLOAD, 0.6), (SLOW, 0.6), (SHRINK, 0.7), (ONE_SLOW, 0.8)] {
-        let report = played(text);
+        let report = run_script(text);
         assert!(report.broken.is_empty() && report.service > least, "{report}");
     }
 }
 
 #[test]
-fn a_fleet_that_shrinks_has_no_successors() {
+fn removed_backends_have_no_successors() {
     let outcomes = run(&Script::read(SHRINK).unwrap(), 1, &shipped, Trace { every: 1000.0 }).unwrap();
     let up_at = |at: f64| outcomes.servers.iter().filter(|s| s.at == at && s.up).count();
     assert_eq!((up_at(0.0), up_at(44_000.0)), (13, 5));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_plan_without_a_rate_is_held_by_its_cap_alone() {
+fn unrated_plan_is_limited_by_its_cap_alone() {
     let asked = |script: &Script| -> f64 {
         let report = play(script, 1).unwrap();
         assert!(report.broken.is_empty(), "{report}");
@@ -39,7 +39,7 @@
     let script = Script::read(ONE_SLOW).unwrap();
     let [narrow, wide] = ["1.0", "6.0"].map(|cap| asked(&script.with_value("plans.0.at_once", cap).unwrap()));
     assert!(narrow < wide * 0.95, "{narrow} and {wide}");
-    // The rate says what is asked for, and lets nobody in: a tiny burst changes nothing.
+    // The rate sets the demand and admits nothing: a tiny burst changes nothing.
     let tiny = script.with_value("plans.0.burst", "0.01").unwrap();
     assert_eq!(asked(&script), asked(&tiny));
     let why = script.with_value("plans.0.at_once", "0").unwrap_err().to_string();
