--- a/emulator/src/backend.rs
+++ b/emulator/src/backend.rs
@@ -4,7 +4,7 @@
 //! Progress is kept as a virtual time that advances at the rate at which each request in service is
 //! processed, so that a change of that rate takes the same time however many requests there are.
 
-use crate::script::Servers;
+use crate::script::BackendSettings;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
@@ -141,7 +141,7 @@
     }
 
     /// Returns the fraction of its full capacity that it has now: 1 if it is warm.
-    pub fn warmth(&self, now: f64, config: &Servers) -> f64 {
+    pub fn warmth(&self, now: f64, config: &BackendSettings) -> f64 {
         if self.started_at < 0.0 {
             return 1.0;
         }
@@ -154,13 +154,13 @@
 
     /// Returns how long it would take a fully busy backend to do the work done since the last start, in
     /// milliseconds.
-    fn busy_time(&self, config: &Servers) -> f64 {
+    fn busy_time(&self, config: &BackendSettings) -> f64 {
         let mean_warmth = f64::midpoint(config.cold_from, 1.0);
         (self.work_done - self.work_done_before_start) / (self.cores * self.speed * mean_warmth)
     }
 
     /// Returns whether it is cold, so that overload crashes it.
-    pub fn can_crash(&self, now: f64, config: &Servers) -> bool {
+    pub fn can_crash(&self, now: f64, config: &BackendSettings) -> bool {
         match config.fall_as_told {
             true => self.started_at >= 0.0 && now - self.started_at < config.told_cold,
             false => self.warmth(now, config) < 1.0,
@@ -169,13 +169,13 @@
 
     /// Returns the rate at which each request in service is processed, in milliseconds of work per
     /// millisecond.
-    fn service_rate(&self, now: f64, config: &Servers) -> f64 {
+    fn service_rate(&self, now: f64, config: &BackendSettings) -> f64 {
         let in_service = self.in_service.len() as f64;
         self.speed * self.warmth(now, config) / self.slowdown * (self.cores / in_service.max(1.0)).min(1.0)
     }
 
     /// Advances the virtual time to `now`, at the service rate in the middle of the interval.
-    fn advance(&mut self, now: f64, config: &Servers) {
+    fn advance(&mut self, now: f64, config: &BackendSettings) {
         let (virtual_time, updated_at) = (self.virtual_time, self.updated_at);
         let span = (now - updated_at).max(0.0);
         let rate = self.service_rate(updated_at + span / 2.0, config);
@@ -185,7 +185,7 @@
     }
 
     /// Makes it slower by `factor` from now on.
-    pub fn slow_down(&mut self, now: f64, factor: f64, config: &Servers) {
+    pub fn slow_down(&mut self, now: f64, factor: f64, config: &BackendSettings) {
         self.advance(now, config);
         self.slowdown *= factor;
         self.version += 1;
@@ -208,7 +208,7 @@
     }
 
     /// Handles the arrival of an attempt with `work` milliseconds of work.
-    pub fn admit(&mut self, now: f64, attempt: AttemptId, work: f64, config: &Servers) -> Admission {
+    pub fn admit(&mut self, now: f64, attempt: AttemptId, work: f64, config: &BackendSettings) -> Admission {
         self.advance(now, config);
         if self.can_crash(now, config) {
             self.cold_arrivals.push_back((now, work));
@@ -239,7 +239,7 @@
 
     /// Returns the work that may arrive within the overload window at its present warmth, in milliseconds.
     /// More crashes it.
-    pub fn overload_limit(&self, now: f64, config: &Servers) -> f64 {
+    pub fn overload_limit(&self, now: f64, config: &BackendSettings) -> f64 {
         let warmth = match config.fall_as_told {
             true => ramp(now - self.started_at, config.told_cold_from, config.told_cold),
             false => self.warmth(now, config) / self.slowdown.max(1.0),
@@ -252,7 +252,7 @@
     }
 
     /// Removes and returns the attempts that have completed by now, and moves queued ones into service.
-    pub fn take_completed(&mut self, now: f64, config: &Servers) -> Vec<AttemptId> {
+    pub fn take_completed(&mut self, now: f64, config: &BackendSettings) -> Vec<AttemptId> {
         self.advance(now, config);
         let mut completed = Vec::new();
         while let Some(Reverse((ends, attempt))) = self.in_service.peek().copied() {
@@ -273,7 +273,7 @@
 
     /// Returns when to call [`Self::take_completed`] next: at the next completion at the present rate, or
     /// earlier while the backend warms up. `None` if no request is in service.
-    pub fn next_completion(&self, now: f64, config: &Servers) -> Option<f64> {
+    pub fn next_completion(&self, now: f64, config: &BackendSettings) -> Option<f64> {
         let Reverse((ends, _)) = self.in_service.peek()?;
         let left = (*ends as f64 / NANOS_PER_MS - self.virtual_time).max(0.0);
         let span = left / self.service_rate(now, config).max(1e-9);
@@ -305,7 +305,7 @@
     }
 
     /// Ends its process. Returns the attempts that were in service, then those in the queue.
-    pub fn stop(&mut self, now: f64, config: &Servers) -> Vec<AttemptId> {
+    pub fn stop(&mut self, now: f64, config: &BackendSettings) -> Vec<AttemptId> {
         self.advance(now, config);
         self.up = false;
         self.version += 1;
--- a/emulator/src/backend/tests.rs
+++ b/emulator/src/backend/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Plays `arrivals` of (time, work) and returns each completed arrival with its time of completion.
-fn play(backend: &mut Backend, arrivals: &[(f64, f64)], config: &Servers) -> Vec<(AttemptId, f64)> {
+fn play(backend: &mut Backend, arrivals: &[(f64, f64)], config: &BackendSettings) -> Vec<(AttemptId, f64)> {
     let mut ends = Vec::new();
     let mut arrivals = arrivals.iter().copied().enumerate().peekable();
     let mut now = 0.0;
@@ -24,7 +24,7 @@
 
 #[test]
 fn requests_in_service_share_the_cores_and_others_queue() {
-    let config = Servers::default();
+    let config = BackendSettings::default();
     // One core of speed 2 with two slots: two requests in service take twice as long each.
     let mut backend = Backend::new(1, 2.0, 2.0, 10.0, -1.0);
     let ends = play(&mut backend, &[(0.0, 100.0), (0.0, 100.0), (0.0, 100.0)], &config);
@@ -40,7 +40,7 @@
 
 #[test]
 fn cold_backend_is_slower_and_crashes_on_overload() {
-    let config = Servers { cold_from: 0.25, cold: 10_000.0, ..Servers::default() };
+    let config = BackendSettings { cold_from: 0.25, cold: 10_000.0, ..BackendSettings::default() };
     let mut cold = Backend::new(1, 1.0, 1.0, 100.0, 0.0);
     let ends = play(&mut cold, &[(0.0, 100.0)], &config);
     assert!((370.0..400.0).contains(&ends[0].1), "{ends:?}");
--- a/emulator/src/check.rs
+++ b/emulator/src/check.rs
@@ -1,6 +1,6 @@
 //! Invariants that must hold in every run, checked on the actions of the ingresses and on their effects.
 
-use crate::script::{Repeat, Script};
+use crate::script::{RepeatSafety, Script};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -89,16 +89,16 @@
     pub fn attempt_repeats(
         &mut self,
         now: f64,
-        repeat: Repeat,
+        repeat: RepeatSafety,
         maybe_executed: Option<(f64, u16)>,
         cell: u16,
         request: u64,
     ) {
         let Some((first, first_cell)) = maybe_executed else { return };
         let allowed = match repeat {
-            Repeat::Safe => true,
-            Repeat::Keyed { window } => first_cell == cell && now - first < window,
-            Repeat::Unsafe => false,
+            RepeatSafety::Safe => true,
+            RepeatSafety::Keyed { window } => first_cell == cell && now - first < window,
+            RepeatSafety::Unsafe => false,
         };
         if !allowed {
             self.record(Rule::Resend, now, || {
--- a/emulator/src/world/attempts.rs
+++ b/emulator/src/world/attempts.rs
@@ -202,12 +202,12 @@
             at: now,
             work,
             ingress,
-            further: attempt_index > 0,
-            waited: now - sent_at,
+            is_retry: attempt_index > 0,
+            transit_time: now - sent_at,
             ingress_age: now - self.ingresses[ingress].up_since,
         };
         let limit = backend.overload_limit(now, config);
-        self.cold.arrives(index, backend.started_at, arrival, limit, admission == Admission::Crashed)
+        self.cold.record_arrival(index, backend.started_at, arrival, limit, admission == Admission::Crashed)
     }
 
     /// Schedules the next completion at a backend, as its load is now.
@@ -311,7 +311,7 @@
             _ => {}
         }
         if outcome == Outcome::Served {
-            self.cold.served(backend, ingress, self.now, self.attempts[attempt].work);
+            self.cold.record_served(backend, ingress, self.now, self.attempts[attempt].work);
             self.answer_client(ingress, request_id, TryOutcome::Served);
         }
         let cell = self.backends[backend].cell;
--- a/emulator/src/world/clients.rs
+++ b/emulator/src/world/clients.rs
@@ -4,7 +4,7 @@
 use super::ingresses::{Ingress, IngressRequest};
 use super::{ANSWER_MARGIN_MS, ATTEMPT_MARGIN_MS, EPOCH_MS, MAX_MARGIN_SHARE, World};
 use crate::score::Score;
-use crate::script::{Clients, Repeat};
+use crate::script::{ClientPolicy, RepeatSafety};
 use weldhub::Event;
 use weldhub::interface::{ClassId, CustomerId, IngressId, PlanId, Request, RequestId};
 use weldhub_client::ingresses::{HealthSignal, Ingresses};
@@ -83,7 +83,7 @@
         let script = self.script;
         let load = &script.load;
         let mean_units = self.mean_units();
-        let requests_per_second = load.level * script.power() / script.mean_work() * 1000.0;
+        let requests_per_second = load.level * script.warm_capacity() / script.mean_work() * 1000.0;
         let shares: f64 = script.plans.iter().map(|p| p.share).sum();
         let [near_quota, over_quota, flooding] = load.kinds;
         for (plan_index, plan) in script.plans.iter().enumerate() {
@@ -138,7 +138,7 @@
             ingresses: Ingresses::new(ingress_count, IngressPolicy::default(), 0.0),
             budget: RetryBudget::new(&RetryPolicy::default()),
         };
-        if load.clients == Clients::Library {
+        if load.clients == ClientPolicy::Library {
             self.clients = (0..MAX_CLIENTS.min(self.customers.len())).map(client).collect();
         }
     }
@@ -191,11 +191,11 @@
         let worth = self.score.record_demand(self.now, id, plan, class_index, f64::from(units), script);
         self.current_second().asked += worth;
         let class = &script.classes[class_index];
-        let retry_state = (script.load.clients == Clients::Library).then(|| {
+        let retry_state = (script.load.clients == ClientPolicy::Library).then(|| {
             let retry_safety = match class.repeat {
-                Repeat::Safe => RetrySafety::Safe,
-                Repeat::Keyed { window } => RetrySafety::Keyed { window },
-                Repeat::Unsafe => RetrySafety::Unsafe,
+                RepeatSafety::Safe => RetrySafety::Safe,
+                RepeatSafety::Keyed { window } => RetrySafety::Keyed { window },
+                RepeatSafety::Unsafe => RetrySafety::Unsafe,
             };
             RetryState::new(retry_safety, self.now + class.give_up)
         });
@@ -391,7 +391,7 @@
         }
         if outcome == TryOutcome::Served {
             self.client_requests[request_index].done = true;
-            self.tallies[class_index].served(self.now - arrived_at);
+            self.tallies[class_index].record_served(self.now - arrived_at);
             if self.client_requests[request_index].within_quota && self.now - arrived_at <= class.aim {
                 let (plan, units) =
                     (self.customers[customer].plan, f64::from(self.client_requests[request_index].units));
@@ -416,7 +416,7 @@
             }
             None => {
                 // Retries after any outcome, unless an unsafe request may have been executed.
-                let safe = class.repeat != Repeat::Unsafe || !outcome.may_have_run();
+                let safe = class.repeat != RepeatSafety::Unsafe || !outcome.may_have_run();
                 let backoff = self.draw(script.load.backoff);
                 let in_time = self.now + backoff < arrived_at + class.give_up;
                 let retries_left = self.client_requests[request_index].tries <= script.load.retries;
@@ -428,7 +428,7 @@
             None => {
                 self.client_requests[request_index].done = true;
                 let end = if matches!(outcome, TryOutcome::Rejected { .. }) { 1 } else { 2 };
-                self.tallies[class_index].ends[end] += 1;
+                self.tallies[class_index].outcomes[end] += 1;
             }
         }
     }
--- a/emulator/src/world/discovery.rs
+++ b/emulator/src/world/discovery.rs
@@ -4,7 +4,7 @@
 use super::event::EventKind;
 use super::ingresses::KnownState;
 use super::{CATALOGUE_DELAY_MS, EPOCH_MS, World, backend_name};
-use crate::script::By;
+use crate::script::DiscoverySource;
 use std::collections::BTreeSet;
 use weldhub::Event;
 use weldhub::entries::{BackendList, ServiceEntry, backend_id};
@@ -58,7 +58,7 @@
             if let (Some(backend), Some(start)) =
                 (self.backend_by_id.get(&e.entry.backend), e.entry.last_start)
             {
-                self.cold.told(ingress, *backend, start - EPOCH_MS);
+                self.cold.record_notification(ingress, *backend, start - EPOCH_MS);
             }
             let known = node
                 .known_states
@@ -89,7 +89,9 @@
             let delay = self.draw(self.script.discovery.spread);
             let incarnation = self.ingresses[ingress].incarnation;
             match by {
-                By::Consul => self.schedule_after(delay, EventKind::CompleteListRead(ingress, incarnation)),
+                DiscoverySource::Consul => {
+                    self.schedule_after(delay, EventKind::CompleteListRead(ingress, incarnation))
+                }
                 _ => {
                     let entry = self.service_entry(backend, state);
                     self.schedule_after(
@@ -111,7 +113,7 @@
         let published: Vec<(usize, BackendState)> =
             self.published.iter().map(|(backend, state)| (*backend, *state)).collect();
         let entries = published.into_iter().map(|(backend, state)| self.service_entry(backend, state));
-        if self.script.discovery.by != By::Consul {
+        if self.script.discovery.by != DiscoverySource::Consul {
             let entries = entries.collect();
             return self.list_received(ingress, ListKind::Full, entries);
         }
--- a/emulator/src/world/ingresses.rs
+++ b/emulator/src/world/ingresses.rs
@@ -7,7 +7,7 @@
 use super::{DISCOVERY_TIMEOUT_MS, EPOCH_MS, MIN_CHECKED_TIMEOUT_MS, World};
 use crate::backend::AttemptId;
 use crate::check::Rule;
-use crate::script::By;
+use crate::script::DiscoverySource;
 use crate::shared::{CounterReply, RateLimiter};
 use std::collections::{HashMap, VecDeque};
 use weldhub::interface::{
@@ -222,7 +222,7 @@
             known.entries
         };
         self.list_received(ingress, ListKind::Cached, first);
-        if incarnation > 0 && self.script.discovery.by != By::Asked {
+        if incarnation > 0 && self.script.discovery.by != DiscoverySource::OnRequest {
             let delay = RESTARTED_LIST_DELAY_MS + self.draw(self.script.discovery.spread);
             self.schedule_after(delay, EventKind::CompleteListRead(ingress, incarnation));
         }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -15,10 +15,10 @@
 
 use crate::backend::{Backend, LoadReport};
 use crate::check::Checker;
-use crate::cold::ColdWatch;
-use crate::report::{Report, Second, Tally};
+use crate::cold::ColdStartMonitor;
+use crate::report::{ClassStats, Report, Second};
 use crate::score::Score;
-use crate::script::{Script, Span};
+use crate::script::{Script, UniformRange};
 use crate::shared::{Counter, RateLimiter};
 use attempts::Attempt;
 use clients::{Client, ClientRequest, Customer};
@@ -74,7 +74,7 @@
     visible_reports: Vec<LoadReport>,
     /// The last start that discovery knows of, in milliseconds, by backend; below 0 if before the run.
     published_starts: Vec<f64>,
-    cold: ColdWatch,
+    cold: ColdStartMonitor,
     /// The relative preference of clients for each ingress.
     ingress_weights: Vec<f64>,
     backend_by_id: HashMap<BackendId, usize>,
@@ -99,7 +99,7 @@
     checker: Checker,
     score: Score,
     /// By class.
-    tallies: Vec<Tally>,
+    tallies: Vec<ClassStats>,
     seconds: Vec<Second>,
     last_request_id: u64,
     totals: Totals,
@@ -165,7 +165,7 @@
             backend.zone = (i % usize::from(zones)) as u8;
             backend.cell = (i / usize::from(script.servers.cell)) as u16;
         }
-        let tallies = script.classes.iter().map(|_| Tally::new()).collect::<Result<_, _>>()?;
+        let tallies = script.classes.iter().map(|_| ClassStats::new()).collect::<Result<_, _>>()?;
         // Each size is half as frequent as the one below.
         let size_weights: Vec<f64> = (0..script.load.largest).map(|k| 0.5f64.powi(k as i32)).collect();
         let backend_count = backends.len();
@@ -181,7 +181,7 @@
             backend_incarnations: vec![0; backend_count],
             visible_reports: vec![LoadReport::default(); backend_count],
             published_starts: vec![-1.0; backend_count],
-            cold: ColdWatch::new(script),
+            cold: ColdStartMonitor::new(script),
             ingress_weights: Vec::new(),
             backend_by_id: (0..backend_count).map(|i| (backend_id(&backend_name(i)), i)).collect(),
             published: (0..backend_count).map(|i| (i, BackendState::Ready)).collect(),
@@ -272,7 +272,7 @@
     }
 
     /// Draws from a uniform distribution over `span`.
-    fn draw(&mut self, span: Span) -> f64 {
+    fn draw(&mut self, span: UniformRange) -> f64 {
         span[0] + self.rng.f64() * (span[1] - span[0])
     }
 
--- a/emulator/src/world/sampling.rs
+++ b/emulator/src/world/sampling.rs
@@ -126,7 +126,7 @@
     /// Returns the outcome of the run. Requests that are still open count as failed.
     pub(super) fn into_outcome(mut self, seed: u64) -> RunOutcome {
         for request in self.client_requests.iter().filter(|request| !request.done) {
-            self.tallies[request.class].ends[2] += 1;
+            self.tallies[request.class].outcomes[2] += 1;
         }
         let (total, (worst, worst_at)) = (self.score.total(), self.score.worst_window());
         let classes = self.script.classes.iter().zip(&self.tallies).zip(&self.score.classes);
--- a/emulator/src/world/settings.rs
+++ b/emulator/src/world/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of an ingress, derived from the script.
 
-use crate::script::{By, Repeat, Script};
+use crate::script::{DiscoverySource, RepeatSafety, Script};
 use weldhub::Settings;
 use weldhub::interface::{Class, ColdStart, DedupScope, IngressId, Plan, RetrySafety, ZoneId};
 
@@ -10,9 +10,9 @@
         aim: class.aim,
         worth: class.worth,
         retry_safety: match class.repeat {
-            Repeat::Safe => RetrySafety::Safe,
-            Repeat::Keyed { window } => RetrySafety::Keyed { scope: DedupScope::Cell, window },
-            Repeat::Unsafe => RetrySafety::Unsafe,
+            RepeatSafety::Safe => RetrySafety::Safe,
+            RepeatSafety::Keyed { window } => RetrySafety::Keyed { scope: DedupScope::Cell, window },
+            RepeatSafety::Unsafe => RetrySafety::Unsafe,
         },
     };
     let plan = |plan: &crate::script::Plan| {
@@ -44,7 +44,7 @@
         hedging: script.ingresses.second_copies,
         cancellation: true,
         max_retry_after: 1000.0,
-        list_on_request: script.discovery.by == By::Asked,
+        list_on_request: script.discovery.by == DiscoverySource::OnRequest,
         cold: ColdStart {
             initial_capacity: script.servers.told_cold_from,
             warm_after: script.servers.told_cold,
--- a/emulator/src/world/troubles.rs
+++ b/emulator/src/world/troubles.rs
@@ -4,7 +4,7 @@
 use super::settings::ingress_settings;
 use super::{EPOCH_MS, World, backend_name};
 use crate::backend::{Backend, LoadReport};
-use crate::script::{Span, What as Trouble};
+use crate::script::{TroubleKind, UniformRange};
 use weldhub::Event;
 use weldhub::entries::backend_id;
 use weldhub::interface::{BackendState, ListKind, Outcome};
@@ -41,69 +41,69 @@
     pub(super) fn begin_trouble(&mut self, index: usize) {
         let now = self.now;
         let ingress_count = self.ingresses.len();
-        match self.script.troubles[index].what.clone() {
-            Trouble::Crash { share, down } => {
+        match self.script.troubles[index].kind.clone() {
+            TroubleKind::CrashIngresses { share, down } => {
                 for ingress in self.choose(ingress_count, Self::count_of_share(share, ingress_count)) {
                     let down = self.draw(down);
                     self.schedule_at(now, EventKind::IngressDies(ingress, down));
                 }
             }
-            Trouble::Roll { share, at_once, over, down } => {
+            TroubleKind::RollIngresses { share, at_once, over, down } => {
                 self.restart_in_groups(share, at_once, over, down)
             }
-            Trouble::Upgrade => self.upgrade_ingresses(),
-            Trouble::Release { share, at_once, over, grace } => {
+            TroubleKind::UpgradeIngresses => self.upgrade_ingresses(),
+            TroubleKind::ReplaceBackends { share, at_once, over, grace } => {
                 for (backend, at) in self.schedule_in_groups(share, at_once, over) {
                     self.schedule_at(at, EventKind::BackendReplaced(backend, grace));
                 }
             }
-            Trouble::Shrink { share, at_once, over, grace } => {
+            TroubleKind::RemoveBackends { share, at_once, over, grace } => {
                 for (backend, at) in self.schedule_in_groups(share, at_once, over) {
                     self.schedule_at(at, EventKind::BackendRemoved(backend, grace));
                 }
             }
-            Trouble::Restart { share, at_once, over, down, told } => {
+            TroubleKind::RestartBackends { share, at_once, over, down, told } => {
                 for (backend, at) in self.schedule_in_groups(share, at_once, over) {
                     let (down, known_after) = (self.draw(down), self.draw(told));
                     self.schedule_at(at, EventKind::BackendStops(backend));
                     self.schedule_at(at + down, EventKind::BackendRestarts(backend, known_after));
                 }
             }
-            Trouble::Hand { servers, lasting } => self.disable_backends(servers, lasting),
-            Trouble::Slow { times, lasting } => {
+            TroubleKind::DisableBackends { servers, lasting } => self.disable_backends(servers, lasting),
+            TroubleKind::SlowBackends { times, lasting } => {
                 for backend in 0..self.backends.len() {
                     self.schedule_at(now, EventKind::BackendSlowed(backend, times));
                     self.schedule_after(lasting, EventKind::BackendSlowed(backend, 1.0 / times));
                 }
             }
-            Trouble::Bad { servers, times, errors, lasting } => {
+            TroubleKind::DegradeBackends { servers, times, errors, lasting } => {
                 self.degrade_backends(servers, times, errors, lasting)
             }
-            Trouble::Cut { hall, lasting } => {
+            TroubleKind::PartitionHall { hall, lasting } => {
                 self.partitioned_zones.insert(hall);
                 self.schedule_after(lasting, EventKind::PartitionHeals(hall));
             }
-            Trouble::CounterLost { lasting } => {
+            TroubleKind::CounterOutage { lasting } => {
                 if let Some(counter) = &mut self.counter {
                     counter.unavailable_until = now + lasting;
                 }
             }
-            Trouble::CounterReplaced => {
+            TroubleKind::CounterReplaced => {
                 if let Some(counter) = &mut self.counter {
                     counter.clear();
                 }
             }
-            Trouble::Silence { loss, lasting } => {
+            TroubleKind::PeerMessageLoss { loss, lasting } => {
                 (self.peer_loss, self.peer_loss_until) = (loss, now + lasting)
             }
-            Trouble::Shift { share } => {
+            TroubleKind::ShiftCustomers { share } => {
                 let customer_count = self.customers.len();
                 for customer in self.choose(customer_count, Self::count_of_share(share, customer_count)) {
                     let spread = self.customers[customer].spread;
                     self.customers[customer].weights = self.draw_customer_weights(spread);
                 }
             }
-            Trouble::Surge { times, lasting } => {
+            TroubleKind::LoadSurge { times, lasting } => {
                 (self.surge_factor, self.surge_until) = (times, now + lasting)
             }
         }
@@ -111,7 +111,7 @@
 
     /// Restarts a share of the ingresses, in groups of the share `at_once` that follow each other over `over`
     /// milliseconds. Each is down for a time drawn from `down`.
-    fn restart_in_groups(&mut self, share: f64, at_once: f64, over: f64, down: Span) {
+    fn restart_in_groups(&mut self, share: f64, at_once: f64, over: f64, down: UniformRange) {
         let ingress_count = self.ingresses.len();
         let group = Self::count_of_share(at_once, ingress_count);
         let chosen = self.choose(ingress_count, Self::count_of_share(share, ingress_count));
