--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -4,11 +4,11 @@
 use weldhub::interface::{BackendId, BackendState};
 use weldhub::view::View;
 use weldhub::{Action, Event, Limiter, Settings};
+use weldhub_emulator::backend::Backend;
 use weldhub_emulator::cold::{Arrival, ColdStartMonitor};
 use weldhub_emulator::cold_sweep::{ColdReportTable, summarize, sweep};
 use weldhub_emulator::script::{BackendSettings, Script};
-use weldhub_emulator::server::Server;
-use weldhub_emulator::world::{Decide, DecisionModuleFactory, Trace, run, shipped_limiter};
+use weldhub_emulator::world::{DecisionModule, DecisionModuleFactory, Trace, run, shipped_limiter};
 
 const COLD_SCRIPTS: [&str; 3] = [
     include_str!("../scripts/cold-split.toml"),
@@ -27,7 +27,7 @@
     cold: Option<BackendId>,
 }
 
-impl Decide for FloodsColdBackend {
+impl DecisionModule for FloodsColdBackend {
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         if let Event::BackendList(_, entries) = &event {
             let mut started =
@@ -55,7 +55,7 @@
     }
 }
 
-fn flooding_limiter(settings: Settings, seed: u64) -> Result<Box<dyn Decide>, String> {
+fn flooding_limiter(settings: Settings, seed: u64) -> Result<Box<dyn DecisionModule>, String> {
     let inner = Limiter::new(settings, seed).map_err(|e| e.to_string())?;
     Ok(Box::new(FloodsColdBackend { inner, cold: None }))
 }
@@ -138,15 +138,16 @@
     let mut server = Backend::new(4, 1.0, 4.0, 20.0, -1.0);
     server.start(0.0);
     server.mean_work = 100.0;
-    let requests =
-        |server: &Server, settings: &BackendSettings| server.bears(0.0, settings) / server.mean_work;
+    let requests = |server: &Backend, settings: &BackendSettings| {
+        server.overload_limit(0.0, settings) / server.mean_work
+    };
     let near = |allowed: f64, n: f64| (allowed - (n + 2.0 * n.sqrt() + 2.0)).abs() < 1e-9;
     // 2 times a quarter of 4 cores for 3 s, in requests of 100 ms.
     assert!(near(requests(&server, &settings), 60.0));
     let by_own_capacity = BackendSettings { fall_as_told: false, ..settings.clone() };
     assert!(near(requests(&server, &by_own_capacity), 120.0));
     assert_eq!(requests(&server, &BackendSettings { fall_slack: 0.0, ..settings.clone() }), 60.0);
-    server.slows(0.0, 3.0, &settings);
+    server.slow_down(0.0, 3.0, &settings);
     assert!(near(requests(&server, &settings), 60.0) && near(requests(&server, &by_own_capacity), 40.0));
-    assert!(server.may_fall(17_999.0, &settings) && !server.may_fall(18_000.0, &settings));
+    assert!(server.can_crash(17_999.0, &settings) && !server.can_crash(18_000.0, &settings));
 }
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -131,7 +131,7 @@
     cold: Option<BackendId>,
 }
 
-impl Decide for RuleViolator {
+impl DecisionModule for RuleViolator {
     fn handle(&mut self, now: f64, mut event: Event, actions: &mut Vec<Action>) {
         if let Event::BackendList(_, entries) = &mut event {
             for e in entries.iter_mut() {
@@ -210,7 +210,7 @@
         ("answer", "answer"),
         ("ceiling", "ceiling"),
     ] {
-        let maker = move |mut settings: Settings, seed| -> Result<Box<dyn Decide>, String> {
+        let maker = move |mut settings: Settings, seed| -> Result<Box<dyn DecisionModule>, String> {
             if violation == "ceiling" {
                 // Knows of no quotas.
                 for plan in &mut settings.plans {
