--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -156,7 +156,7 @@
 #[test]
 fn a_repeat_whose_window_ends_between_its_order_and_its_turn_is_never_written() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let mut side = Side::start(server.at, 5000.0);
         side.order(1, None);
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Served));
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -157,7 +157,7 @@
 #[test]
 fn three_ingresses_that_restart_together_are_found_again() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let mut fleet = Fleet::start("restart", 3, &[server.at], 1e6).await;
         let client = fleet.client();
         for _ in 0..10 {
@@ -195,7 +195,7 @@
             [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n".to_vec(), vec![7; 200_000]].concat();
         let keyed = RetrySafety::Keyed { window: 60_000.0 };
         for (retry_safety, served) in [(keyed, true), (RetrySafety::Unsafe, false)] {
-            let server = RealServer::start(Serve::Bytes(half.clone())).await;
+            let server = Backend::start(Serve::Bytes(half.clone())).await;
             let mut fleet = Fleet::start("half", 2, &[server.at], 1e6).await;
             let client = fleet.client();
             let request = fleet.submit(retry_safety, 2900);
@@ -225,7 +225,7 @@
 #[test]
 fn a_key_whose_window_has_passed_is_not_sent_again() {
     local(async {
-        let server = RealServer::start(Serve::Stall).await;
+        let server = Backend::start(Serve::Stall).await;
         let fleet = Fleet::start("window", 2, &[server.at], 1e6).await;
         // The ingress fails it after a while: 504, and by then the key holds no longer.
         let mut told = fleet.submit(RetrySafety::Keyed { window: 100.0 }, 2900);
@@ -241,7 +241,7 @@
 #[test]
 fn a_deadline_that_ends_during_back_off_is_kept() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let fleet = Fleet::start("deadline", 1, &[server.at], 1.0).await;
         let client = fleet.client();
         assert!(client.send(&fleet.board(900)).await.is_ok());
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -35,15 +35,15 @@
 }
 
 /// Real servers that answer by their names.
-async fn servers(n: usize) -> Vec<RealServer> {
+async fn servers(n: usize) -> Vec<Backend> {
     let mut all = Vec::new();
     for i in 0..n {
-        all.push(RealServer::start(ok(&format!("s{i}"))).await);
+        all.push(Backend::start(ok(&format!("s{i}"))).await);
     }
     all
 }
 
-fn listed(servers: &[RealServer], status: impl Fn(usize) -> &'static str) -> Vec<Value> {
+fn listed(servers: &[Backend], status: impl Fn(usize) -> &'static str) -> Vec<Value> {
     servers.iter().enumerate().map(|(i, s)| instance(&format!("s{i}"), s.at, 0, status(i))).collect()
 }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -484,8 +484,8 @@
 // State.
 
 /// An ingress with two plans: one of 27 units and one of 6, which never fill again.
-async fn two_plans() -> (RealServer, Ingress, Agent) {
-    let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
+async fn two_plans() -> (Backend, Ingress, Agent) {
+    let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
     let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
     let mut small = told["settings"]["tariffs"][0].clone();
     (small["name"], small["storeSize"]) = (json!("guest"), json!(6.0));
@@ -538,7 +538,7 @@
 fn it_is_ready_in_time_though_discovery_accepts_and_never_says_a_word() {
     local(async {
         for known in [true, false] {
-            let (server, agent) = (RealServer::start(ok("x")).await, listener().await);
+            let (server, agent) = (Backend::start(ok("x")).await, listener().await);
             let known = known.then(|| service_entry("s1", server.at, 0, "in_service"));
             let told = told(agent.local_addr().unwrap(), known.clone().into_iter().collect());
             let began = Instant::now();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -70,7 +70,7 @@
 
 async fn filled_while_discovery_is_down(sockets: usize, mode: &str) {
     let agent = DownAgent::start().await;
-    let (slow, new) = (RealServer::start(Serve::Stall).await, RealServer::start(ok("new")).await);
+    let (slow, new) = (Backend::start(Serve::Stall).await, Backend::start(ok("new")).await);
     let (counter, door, peer) = (Counter::start().await, own_address(), own_address());
     // Their cells differ: that a few are slow keeps nothing from the others.
     let known = (0..40).map(|i| service_entry(&format!("k{i}"), slow.at, i, "in_service")).collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -154,7 +154,7 @@
 fn what_operators_say_at_one_door_holds_at_all_until_it_ends_whoever_was_away() {
     local(async {
         let mut fleet = Fleet::new("almaty-words", 3).await;
-        let server = RealServer::start(ok("e4")).await;
+        let server = Backend::start(ok("e4")).await;
         fleet.known = vec![
             service_entry("s1", server.at, 0, "in_service"),
             service_entry("s2", server.at, 0, "in_service"),
--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -145,7 +145,7 @@
 fn requests_behind_the_one_that_waits_are_not_sent_on_once_their_client_has_left() {
     local(async {
         for cancelling in [true, false] {
-            let server = RealServer::start(Serve::Late(Duration::from_millis(400), "x".into())).await;
+            let server = Backend::start(Serve::Late(Duration::from_millis(400), "x".into())).await;
             let (ingress, _agent) = before(&[server.at], cancelling).await;
             let mut client = Client::new(ingress.at).await;
             for i in 0..20 {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -67,10 +67,8 @@
 #[test]
 fn a_list_of_1100_ingresses_and_2000_servers_counts_whole_within_48_mb() {
     local(async {
-        let (server, agent) = (
-            RealServer::on_all(Serve::Late(Duration::from_millis(10), "x".into())).await,
-            Agent::start().await,
-        );
+        let (server, agent) =
+            (Backend::on_all(Serve::Late(Duration::from_millis(10), "x".into())).await, Agent::start().await);
         let servers = addresses(server.at.port());
         let known = (0..SERVERS).map(|i| entry(i, servers[i], "in_service")).collect();
         let mut told = told(agent.at, known);
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -112,7 +112,7 @@
 #[ignore = "a measurement"]
 fn requests_lost_in_twenty_upgrades_under_load() {
     local(async {
-        let (agent, server) = (Agent::start().await, RealServer::start(ok("x")).await);
+        let (agent, server) = (Agent::start().await, Backend::start(ok("x")).await);
         let free = own_address();
         let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["listen"] = json!(free.to_string());
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 /// An ingress with a door, for these real servers.
-async fn with_door(servers: &[(&str, &RealServer)]) -> (Ingress, SocketAddr, Agent) {
+async fn with_door(servers: &[(&str, &Backend)]) -> (Ingress, SocketAddr, Agent) {
     let agent = Agent::start().await;
     let known =
         servers.iter().map(|(name, server)| service_entry(name, server.at, 0, "in_service")).collect();
@@ -29,7 +29,7 @@
 #[test]
 fn a_call_may_be_cut_anywhere_and_whoever_says_nothing_is_in_nobodys_way() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let (_ingress, door, _agent) = with_door(&[("s1", &server)]).await;
         let mut silent = Vec::new();
         for i in 0..20 {
@@ -54,7 +54,7 @@
 #[test]
 fn figures_are_what_clients_and_real_servers_saw() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let (ingress, door, _agent) = with_door(&[("s1", &server)]).await;
         let mut client = Client::new(ingress.at).await;
         let mut seen = BTreeMap::new();
@@ -107,14 +107,14 @@
 #[test]
 fn nothing_goes_to_a_real_server_that_is_out_whatever_discovery_says() {
     local(async {
-        let (one, two) = (RealServer::start(ok("1")).await, RealServer::start(ok("2")).await);
+        let (one, two) = (Backend::start(ok("1")).await, Backend::start(ok("2")).await);
         let (ingress, door, agent) = with_door(&[("s1", &one), ("s2", &two)]).await;
         assert_eq!(call(door, "disable-server s1\n").await, "ok\n");
         assert_eq!(call(door, "disable-server s1\r\n").await, "ok\n");
         let all = figures(door).await;
         assert_eq!((all["svc_members"], all["svc_members_unavailable"]), (2, 1));
         until(|| agent.asked.borrow().len() == 1).await;
-        let entry = |name, server: &RealServer| service_entry(name, server.at, 0, "in_service");
+        let entry = |name, server: &Backend| service_entry(name, server.at, 0, "in_service");
         agent.say(50, true, vec![entry("s1", &one), entry("s2", &two), entry("s3", &two)]);
         while figures(door).await["svc_members"] != 3 {}
         let mut client = Client::new(ingress.at).await;
@@ -134,7 +134,7 @@
 #[test]
 fn a_drain_says_no_at_once_closes_what_is_open_and_ends_with_resume() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let (ingress, door, _agent) = with_door(&[("s1", &server)]).await;
         let mut idle = Client::new(ingress.at).await;
         let mut busy = Client::new(ingress.at).await;
@@ -172,7 +172,7 @@
 #[test]
 fn a_full_table_and_a_broken_long_answer_are_counted_as_clients_saw_them() {
     local(async {
-        let server = RealServer::start(Serve::Stall).await;
+        let server = Backend::start(Serve::Stall).await;
         let agent = Agent::start().await;
         let known = (0..8).map(|i| service_entry(&format!("s{i}"), server.at, 0, "in_service")).collect();
         let mut told = told(agent.at, known);
@@ -239,7 +239,7 @@
 #[test]
 fn a_caller_that_leaves_has_said_what_it_said_whole() {
     local(async {
-        let (one, two) = (RealServer::start(ok("1")).await, RealServer::start(ok("2")).await);
+        let (one, two) = (Backend::start(ok("1")).await, Backend::start(ok("2")).await);
         let (ingress, door, _agent) = with_door(&[("s1", &one), ("s2", &two)]).await;
         for (said, resets) in [
             ("disable-server s1", false),
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -78,7 +78,7 @@
 #[test]
 fn what_breaks_after_its_last_byte_may_have_run_and_is_not_sent_again_by_the_network_code() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
         let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["settings"]["limits"]["maxAttempts"] = json!(1);
         let ingress = start(&told).await;
@@ -142,8 +142,8 @@
 }
 
 /// An ingress of 74 descriptors, which leaves 21 for client connections, and a real server that lets many flows in.
-async fn small(manner: Serve) -> (RealServer, Ingress, Agent) {
-    let (server, agent) = (RealServer::start(manner).await, Agent::start().await);
+async fn small(manner: Serve) -> (Backend, Ingress, Agent) {
+    let (server, agent) = (Backend::start(manner).await, Agent::start().await);
     let known = (0..8).map(|i| service_entry(&format!("s{i}"), server.at, 0, "in_service")).collect();
     let mut told = told(agent.at, known);
     told["limits"]["sockets"] = json!(74);
@@ -296,7 +296,7 @@
 #[test]
 fn idle_connections_make_room_for_new_ones() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
         let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["limits"]["sockets"] = json!(64);
         let ingress = start(&told).await;
@@ -371,7 +371,7 @@
 #[test]
 fn it_serves_from_the_known_list_while_discovery_is_silent_and_follows_it_then() {
     local(async {
-        let (old, new) = (RealServer::start(ok("old")).await, RealServer::start(ok("new")).await);
+        let (old, new) = (Backend::start(ok("old")).await, Backend::start(ok("new")).await);
         let agent = Agent::start().await;
         let ingress = start(&told(agent.at, vec![service_entry("s1", old.at, 0, "in_service")])).await;
         let served = async |id: &str| ask(ingress.at, &board(id, 900, 1)).await;
@@ -403,7 +403,7 @@
 #[test]
 fn changes_after_generation_0_are_taken_in_without_a_new_watch() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
         let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["known"]["generation"] = json!(0);
         let ingress = start(&told).await;
@@ -441,7 +441,7 @@
 #[test]
 fn an_idle_connection_is_closed_before_the_real_server_may_close_it() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
         let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["settings"]["limits"]["connIdle"] = json!(50.0);
         let ingress = start(&told).await;
@@ -485,7 +485,7 @@
 #[test]
 fn an_agent_that_was_silent_is_heard_as_soon_as_it_speaks_though_what_was_asked_before_is_never_answered() {
     local(async {
-        let server = RealServer::start(ok("e4")).await;
+        let server = Backend::start(ok("e4")).await;
         let listener = listener().await;
         let drains = serde_json::json!({"generation": 42, "reset": true,
             "instances": [service_entry("s1", server.at, 0, "terminating")]});
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_new_configuration_moves_discovery_at_once_and_a_bad_one_changes_nothing() {
     local(async {
-        let (one, two) = (RealServer::start(ok("one")).await, RealServer::start(ok("two")).await);
+        let (one, two) = (Backend::start(ok("one")).await, Backend::start(ok("two")).await);
         let (old, new) = (Agent::start().await, Agent::start().await);
         let known = vec![service_entry("s1", one.at, 0, "in_service")];
         let first = told(old.at, known.clone());
--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -47,8 +47,8 @@
 }
 
 /// An ingress with one real server.
-pub async fn one(manner: Serve) -> (RealServer, Ingress, Agent) {
-    let (server, agent) = (RealServer::start(manner).await, Agent::start().await);
+pub async fn one(manner: Serve) -> (Backend, Ingress, Agent) {
+    let (server, agent) = (Backend::start(manner).await, Agent::start().await);
     let ingress = start(&told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")])).await;
     (server, ingress, agent)
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -333,7 +333,7 @@
 
 /// A real server.
 #[derive(Clone)]
-pub struct RealServer {
+pub struct Backend {
     pub at: SocketAddr,
     manner: Rc<RefCell<Serve>>,
     /// The requests that came whole, each with the number of its connection.
@@ -342,7 +342,7 @@
     pub connections: Rc<Cell<[usize; 2]>>,
 }
 
-impl RealServer {
+impl Backend {
     pub async fn start(manner: Serve) -> Self {
         Self::on(listener().await, manner)
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -18,7 +18,7 @@
     told: Value,
     at: SocketAddr,
     doors: [SocketAddr; 3],
-    servers: [RealServer; 2],
+    servers: [Backend; 2],
     _agent: Agent,
 }
 
@@ -32,9 +32,9 @@
     async fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("weldhub-{}-{name}.d", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let servers = [RealServer::start(ok("1")).await, RealServer::start(ok("2")).await];
+        let servers = [Backend::start(ok("1")).await, Backend::start(ok("2")).await];
         let agent = Agent::start().await;
-        let entry = |name, server: &RealServer| service_entry(name, server.at, 0, "in_service");
+        let entry = |name, server: &Backend| service_entry(name, server.at, 0, "in_service");
         let mut told = told(agent.at, vec![entry("s1", &servers[0]), entry("s2", &servers[1])]);
         let [at, d0, d1, d2] = [0; 4].map(|_| own_address());
         told["listen"] = json!(at.to_string());
