--- a/tests/client.rs
+++ b/tests/client.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use serde_json::json;
-use stand_ins::door::figures;
+use stand_ins::admin::figures;
 use stand_ins::ingress::told;
 use stand_ins::program::Program;
 use stand_ins::*;
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -3,8 +3,8 @@
 mod stand_ins;
 
 use serde_json::{Value, json};
+use stand_ins::admin::figures;
 use stand_ins::consul::Script;
-use stand_ins::door::figures;
 use stand_ins::ingress::{Client, Ingress, ask, board, status, told};
 use stand_ins::program::Program;
 use stand_ins::*;
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use serde_json::{Value, json};
-use stand_ins::door::call;
+use stand_ins::admin::call;
 use stand_ins::ingress::{board, told};
 use stand_ins::program::Program;
 use stand_ins::*;
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -518,7 +518,7 @@
 
 #[test]
 fn the_operators_door_counts_checks_takes_authorisers_out_and_drains_callers() {
-    use stand_ins::door::{call as tell, figures};
+    use stand_ins::admin::{call as tell, figures};
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
@@ -569,7 +569,7 @@
 
 #[test]
 fn a_health_answer_that_loses_most_is_put_to_the_catalogue_and_a_critical_is_obeyed_at_once() {
-    use stand_ins::door::figures;
+    use stand_ins::admin::figures;
     local(async {
         let mut authorisers = Vec::new();
         for _ in 0..6 {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use serde_json::{Value, json};
-use stand_ins::door::figures;
+use stand_ins::admin::figures;
 use stand_ins::ingress::{Client, board, header, status, told};
 use stand_ins::program::Program;
 use stand_ins::*;
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use serde_json::json;
-use stand_ins::door::*;
+use stand_ins::admin::*;
 use stand_ins::ingress::*;
 use stand_ins::program::Program;
 use stand_ins::*;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::door::*;
+use stand_ins::admin::*;
 use stand_ins::full::Full;
 use stand_ins::ingress::*;
 use stand_ins::*;
--- a/tests/stand_ins/door.rs
+++ b/tests/stand_ins/admin.rs
@@ -1,4 +1,4 @@
-//! Calls at the operators' door.
+//! Calls at the operators' address.
 
 use super::*;
 
@@ -8,14 +8,14 @@
     text
 }
 
-pub async fn call(door: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(door).await.unwrap();
+pub async fn call(address: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(line.as_bytes()).await.unwrap();
     answer_of(stream).await
 }
 
-pub async fn figures(door: SocketAddr) -> BTreeMap<String, u64> {
-    let text = call(door, "show-stat\n").await;
+pub async fn figures(address: SocketAddr) -> BTreeMap<String, u64> {
+    let text = call(address, "show-stat\n").await;
     let figures = text.strip_suffix("eof\n").expect("the figures end with eof");
     figures
         .lines()
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -2,8 +2,8 @@
 //! counter, discovery and real servers. All listen on loopback, at ports of the system's choice.
 #![allow(dead_code)]
 
+pub mod admin;
 pub mod consul;
-pub mod door;
 pub mod full;
 pub mod ingress;
 pub mod own_time;
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use serde_json::json;
-use stand_ins::door::figures;
+use stand_ins::admin::figures;
 use stand_ins::ingress::*;
 use stand_ins::*;
 use std::cell::{Cell, RefCell};
