--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use socket2::SockRef;
 use stand_ins::ingress::*;
-use stand_ins::own_time::OwnTime;
+use stand_ins::thread_timer::ThreadTimer;
 use stand_ins::*;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -324,7 +324,7 @@
 const GONE: Duration = Duration::from_millis(100);
 
 async fn left(side: &mut Side) {
-    let since = OwnTime::start();
+    let since = ThreadTimer::start();
     let news = side.news.recv().await.unwrap();
     assert!(matches!(news, EngineEvent::ClientLeft(_)), "{news:?}");
     assert!(since.elapsed() < GONE, "known after {:?}", since.elapsed());
@@ -428,7 +428,7 @@
             }
             all.push(one);
         }
-        let since = OwnTime::start();
+        let since = ThreadTimer::start();
         let verdicts: Vec<_> = all.into_iter().map(|(_, verdict)| verdict).collect();
         for _ in 0..verdicts.len() {
             let news = side.news.recv().await.unwrap();
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -6,8 +6,8 @@
 pub mod consul;
 pub mod full;
 pub mod ingress;
-pub mod own_time;
 pub mod program;
+pub mod thread_timer;
 
 #[allow(unused_imports)]
 pub use consul::{Consul, Fault, instance};
--- a/tests/stand_ins/own_time.rs
+++ b/tests/stand_ins/thread_timer.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 /// Time since a moment, less what this thread has waited for a processor since.
-pub struct OwnTime {
+pub struct ThreadTimer {
     began: Instant,
     waited: Duration,
 }
 
-impl OwnTime {
+impl ThreadTimer {
     pub fn start() -> Self {
         Self { began: Instant::now(), waited: waited() }
     }
