--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::full::Full;
+use stand_ins::full_backlog::FullBacklog;
 use stand_ins::ingress::*;
 use stand_ins::*;
 use std::cell::Cell;
@@ -105,7 +105,7 @@
 #[test]
 fn a_repeat_whose_connection_comes_up_after_its_window_is_never_written() {
     local(async {
-        let server = Full::new().await;
+        let server = FullBacklog::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, Some(200.0));
         let saying = spawn_local(async {
@@ -121,7 +121,7 @@
 #[test]
 fn what_is_given_up_while_its_connection_comes_up_is_never_written() {
     local(async {
-        let server = Full::new().await;
+        let server = FullBacklog::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
         side.orders
@@ -135,7 +135,7 @@
 #[test]
 fn what_is_withdrawn_ends_only_where_nothing_of_it_was_written() {
     local(async {
-        let server = Full::new().await;
+        let server = FullBacklog::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
         side.orders.send(ClientSideCommand::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
@@ -178,7 +178,7 @@
 #[test]
 fn a_keyed_request_is_not_repeated_on_a_connection_that_comes_up_after_the_window() {
     local(async {
-        let mut server = Full::new().await;
+        let mut server = FullBacklog::new().await;
         let agent = Agent::start().await;
         let mut told = told(agent.at, vec![service_entry("s1", server.at(), 0, "in_service")]);
         told["settings"]["classes"][1]["window"] = json!(400.0);
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -4,7 +4,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use prost::Message;
-use stand_ins::full::Full;
+use stand_ins::full_backlog::FullBacklog;
 use stand_ins::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -208,7 +208,7 @@
 fn a_check_cancelled_while_the_connection_to_its_authoriser_comes_up_is_never_written() {
     local(async {
         for cancelling in ["true", "false"] {
-            let full = Full::new().await;
+            let full = FullBacklog::new().await;
             let consul = Consul::start(vec![instance("a", full.at(), 0, "passing")]).await;
             let cancelling = format!("cancelling = {cancelling}");
             let changes =
--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::full::Full;
+use stand_ins::full_backlog::FullBacklog;
 use stand_ins::ingress::*;
 use stand_ins::*;
 use std::time::Duration;
@@ -65,7 +65,7 @@
 }
 
 async fn handshake_under_way(how: Leaves, cancelling: bool) {
-    let server = Full::new().await;
+    let server = FullBacklog::new().await;
     let (ingress, _agent) = before(&[server.at()], cancelling).await;
     comes_and_leaves(&ingress, how).await;
     tokio::time::sleep(GONE).await;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use socket2::SockRef;
 use stand_ins::admin::*;
-use stand_ins::full::Full;
+use stand_ins::full_backlog::FullBacklog;
 use stand_ins::ingress::*;
 use stand_ins::*;
 use std::collections::BTreeMap;
@@ -220,7 +220,7 @@
 #[test]
 fn what_waits_for_a_connection_to_a_real_server_that_is_taken_out_never_goes_there() {
     local(async {
-        let (full, agent) = (Full::new().await, Agent::start().await);
+        let (full, agent) = (FullBacklog::new().await, Agent::start().await);
         let mut told = told(agent.at, vec![service_entry("s1", full.at(), 0, "in_service")]);
         let door = own_address();
         told["management"] = json!(door.to_string());
--- a/tests/stand_ins/full.rs
+++ b/tests/stand_ins/full_backlog.rs
@@ -7,12 +7,12 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A real server whose backlog is full: connections to it do not come up until it is emptied.
-pub struct Full {
+pub struct FullBacklog {
     pub listener: TcpListener,
     pub fill: Vec<TcpStream>,
 }
 
-impl Full {
+impl FullBacklog {
     pub async fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod admin;
 pub mod consul;
-pub mod full;
+pub mod full_backlog;
 pub mod ingress;
 pub mod program;
 pub mod thread_timer;
