--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -111,7 +111,7 @@
         let saying = spawn_local(async {
             // The window is over, and the system has not yet tried again to connect.
             tokio::time::sleep(Duration::from_millis(600)).await;
-            server.all_said().await
+            server.accept_and_read_text().await
         });
         assert_eq!(side.ended().await, (RequestId(1), Outcome::ConnectFailed));
         assert_eq!(saying.await.unwrap(), "");
@@ -128,7 +128,7 @@
             .send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(1), Outcome::Cancelled))
             .unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
-        assert_eq!(server.all_said().await, "");
+        assert_eq!(server.accept_and_read_text().await, "");
     });
 }
 
@@ -140,7 +140,7 @@
         side.order(1, None);
         side.orders.send(ClientSideCommand::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
-        assert_eq!(server.all_said().await, "");
+        assert_eq!(server.accept_and_read_text().await, "");
         // This one is out: whoever may not cancel it lets it run.
         let listener = listener().await;
         let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
@@ -198,7 +198,7 @@
         let saying = spawn_local(async {
             // The window is over, and the system has not yet tried again to connect.
             tokio::time::sleep(Duration::from_millis(600)).await;
-            server.all_said().await
+            server.accept_and_read_text().await
         });
         assert_eq!(status(&client.answer().await.unwrap()), 502);
         assert!(began.elapsed() < Duration::from_millis(900), "it is failed at once: {:?}", began.elapsed());
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -218,7 +218,7 @@
             tokio::time::sleep(2 * GONE).await;
             asking.abort();
             tokio::time::sleep(GONE).await;
-            let said = full.all_bytes().await;
+            let said = full.accept_and_read_bytes().await;
             assert!(!said.windows(MOVE.len()).any(|bytes| bytes == MOVE.as_bytes()), "{cancelling}");
         }
     });
--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -70,7 +70,7 @@
     comes_and_leaves(&ingress, how).await;
     tokio::time::sleep(GONE).await;
     // Now connections come up; the system tries again by itself.
-    let said = server.all_said().await;
+    let said = server.accept_and_read_text().await;
     assert_eq!(said.lines().next(), None, "{how:?}, cancelling: {cancelling}");
 }
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -230,7 +230,7 @@
         client.send(&submit("a", 2900)).await;
         tokio::time::sleep(Duration::from_millis(150)).await;
         assert_eq!(call(door, "disable-server s1\n").await, "ok\n");
-        assert_eq!(full.all_said().await, "");
+        assert_eq!(full.accept_and_read_text().await, "");
         assert_ne!(status(&client.answer().await.unwrap()), 200);
     });
 }
--- a/tests/stand_ins/full_backlog.rs
+++ b/tests/stand_ins/full_backlog.rs
@@ -36,12 +36,12 @@
     }
 
     /// Takes in all that come until nobody has for some time, and returns what they say to the end.
-    pub async fn all_said(self) -> String {
-        String::from_utf8(self.all_bytes().await).unwrap()
+    pub async fn accept_and_read_text(self) -> String {
+        String::from_utf8(self.accept_and_read_bytes().await).unwrap()
     }
 
     /// The same where it is no text.
-    pub async fn all_bytes(self) -> Vec<u8> {
+    pub async fn accept_and_read_bytes(self) -> Vec<u8> {
         drop(self.fill);
         let mut said = Vec::new();
         while let Ok(Ok((mut stream, _))) =
