--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -41,7 +41,7 @@
 impl Side {
     /// One that knows a real server there, and waits for connections for so long.
     fn start(server: SocketAddr, connect_timeout: Millis) -> Self {
-        let told = told("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
+        let told = ingress_config("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
         let mut site = Config::read(&told, |_| None).unwrap().instance.site;
         site.connect_timeout = connect_timeout;
         let (exchange, news) = Exchange::new();
@@ -180,7 +180,7 @@
     local(async {
         let mut server = FullBacklog::new().await;
         let agent = Agent::start().await;
-        let mut told = told(agent.at, vec![service_entry("s1", server.at(), 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at(), 0, "in_service")]);
         told["settings"]["classes"][1]["window"] = json!(400.0);
         told["settings"]["limits"]["connectTimeout"] = json!(2500.0);
         let ingress = start(&told).await;
@@ -235,7 +235,8 @@
 /// A real server that the test plays by hand.
 async fn by_hand() -> (TcpListener, Ingress, Agent) {
     let (listener, agent) = (listener().await, Agent::start().await);
-    let told = told(agent.at, vec![service_entry("s1", listener.local_addr().unwrap(), 0, "in_service")]);
+    let told =
+        ingress_config(agent.at, vec![service_entry("s1", listener.local_addr().unwrap(), 0, "in_service")]);
     let ingress = start(&told).await;
     (listener, ingress, agent)
 }
@@ -325,7 +326,7 @@
             stream
         });
         let agent = Agent::start().await;
-        let ingress = start(&told(agent.at, vec![service_entry("s1", at, 0, "in_service")])).await;
+        let ingress = start(&ingress_config(agent.at, vec![service_entry("s1", at, 0, "in_service")])).await;
         let (mut client, asked) = (Client::new(ingress.at).await, Instant::now());
         client.send(&board("a", 500, 1)).await;
         gets.await.unwrap();
@@ -377,7 +378,7 @@
         let agent = Agent::start().await;
         let (one, two) = (listener().await, listener().await);
         let entry = |name, at: &TcpListener| service_entry(name, at.local_addr().unwrap(), 0, "in_service");
-        let mut told = told(agent.at, vec![entry("s1", &one), entry("s2", &two)]);
+        let mut told = ingress_config(agent.at, vec![entry("s1", &one), entry("s2", &two)]);
         told["settings"]["classes"][1]["effect"] = json!("non_idempotent");
         let ingress = start(&told).await;
         let text = submit("a", 900).replace("Idempotency-Key: 5c0f6e\r\n", "");
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use stand_ins::admin::figures;
-use stand_ins::ingress::told;
+use stand_ins::ingress::ingress_config;
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
             Self { at: Vec::new(), doors: Vec::new(), told: Vec::new(), programs: Vec::new(), name };
         for i in 0..many {
             let [at, door] = [own_address(), own_address()];
-            let mut told = told(agent.at, known.clone());
+            let mut told = ingress_config(agent.at, known.clone());
             told["listen"] = json!(at.to_string());
             told["settings"]["balancers"] = json!(many);
             told["settings"]["myNumber"] = json!(i);
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use stand_ins::admin::figures;
 use stand_ins::consul::Script;
-use stand_ins::ingress::{Client, Ingress, ask, board, status, told};
+use stand_ins::ingress::{Client, Ingress, ask, board, ingress_config, status};
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 /// What an ingress is told whose real servers are found by Consul, with these keys, and its door.
 async fn consulted(agents: &[SocketAddr], keys: Value) -> (Value, SocketAddr) {
-    let mut told = told(agents[0], vec![]);
+    let mut told = ingress_config(agents[0], vec![]);
     let fields = told.as_object_mut().unwrap();
     fields.remove("discovery");
     fields.remove("known");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -28,7 +28,7 @@
 use weldhub::stats::Stats;
 
 fn site() -> Site {
-    let told = told("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
+    let told = ingress_config("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
     Config::read(&told, |_| None).unwrap().instance.site
 }
 
@@ -486,7 +486,7 @@
 /// An ingress with two plans: one of 27 units and one of 6, which never fill again.
 async fn two_plans() -> (Backend, Ingress, Agent) {
     let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
-    let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+    let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
     let mut small = told["settings"]["tariffs"][0].clone();
     (small["name"], small["storeSize"]) = (json!("guest"), json!(6.0));
     told["settings"]["tariffs"].as_array_mut().unwrap().push(small);
@@ -540,7 +540,7 @@
         for known in [true, false] {
             let (server, agent) = (Backend::start(ok("x")).await, listener().await);
             let known = known.then(|| service_entry("s1", server.at, 0, "in_service"));
-            let told = told(agent.local_addr().unwrap(), known.clone().into_iter().collect());
+            let told = ingress_config(agent.local_addr().unwrap(), known.clone().into_iter().collect());
             let began = Instant::now();
             let ingress = start(&told).await;
             assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use serde_json::{Value, json};
 use stand_ins::admin::call;
-use stand_ins::ingress::{board, told};
+use stand_ins::ingress::{board, ingress_config};
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
     let (counter, door, peer) = (Counter::start().await, own_address(), own_address());
     // Their cells differ: that a few are slow keeps nothing from the others.
     let known = (0..40).map(|i| service_entry(&format!("k{i}"), slow.at, i, "in_service")).collect();
-    let mut told = told(agent.at, known);
+    let mut told = ingress_config(agent.at, known);
     told["limits"]["sockets"] = json!(sockets);
     told["settings"]["membershipMode"] = json!(mode);
     told["settings"]["familyInfo"] = json!({"largest": 6, "hasCounter": true, "counterTimeout": 50.0});
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -40,7 +40,7 @@
     }
 
     async fn start(&mut self, n: usize) {
-        let mut told = told(self.agent.at, self.known.clone());
+        let mut told = ingress_config(self.agent.at, self.known.clone());
         let (listen, door) = self.at[n];
         told["name"] = json!(format!("n{n}"));
         told["management"] = json!(door.to_string());
@@ -213,7 +213,7 @@
 #[test]
 fn what_cannot_be_a_fleet_ends_the_start_with_its_key() {
     let read = |cluster: serde_json::Value| {
-        let mut told = told(SocketAddr::from(([127, 0, 0, 1], 9)), Vec::new());
+        let mut told = ingress_config(SocketAddr::from(([127, 0, 0, 1], 9)), Vec::new());
         told["cluster"] = cluster;
         weldhub::config::Config::read(&told.to_string(), |_| None).map(drop).map_err(|e| e.to_string())
     };
--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -22,7 +22,7 @@
 async fn before(servers: &[std::net::SocketAddr], cancelling: bool) -> (Ingress, Agent) {
     let agent = Agent::start().await;
     let entry = |(i, at): (usize, &_)| service_entry(&format!("s{i}"), *at, 0, "in_service");
-    let mut told = told(agent.at, servers.iter().enumerate().map(entry).collect());
+    let mut told = ingress_config(agent.at, servers.iter().enumerate().map(entry).collect());
     told["settings"]["limits"]["connectTimeout"] = json!(5000.0);
     told["settings"]["limits"]["cancelling"] = json!(cancelling);
     (start(&told).await, agent)
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 use stand_ins::admin::figures;
-use stand_ins::ingress::{Client, board, header, status, told};
+use stand_ins::ingress::{Client, board, header, ingress_config, status};
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::collections::BTreeSet;
@@ -71,7 +71,7 @@
             (Backend::on_all(Serve::Late(Duration::from_millis(10), "x".into())).await, Agent::start().await);
         let servers = addresses(server.at.port());
         let known = (0..SERVERS).map(|i| entry(i, servers[i], "in_service")).collect();
-        let mut told = told(agent.at, known);
+        let mut told = ingress_config(agent.at, known);
         let socket = || UdpSocket::bind("127.0.0.1:0").unwrap();
         let (own, last) = (socket().local_addr().unwrap(), socket());
         let mut peers: Vec<SocketAddr> = (0..INGRESSES)
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -54,7 +54,7 @@
     local(async {
         let (agent, at) = (Agent::start().await, servers(32 << 20).await);
         let known = (0..8).map(|i| service_entry(&format!("s{i}"), at, 0, "in_service")).collect();
-        let mut told = told(agent.at, known);
+        let mut told = ingress_config(agent.at, known);
         told["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
         told["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
         let door = own_address();
@@ -114,7 +114,7 @@
     local(async {
         let (agent, server) = (Agent::start().await, Backend::start(ok("x")).await);
         let free = own_address();
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["listen"] = json!(free.to_string());
         told["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
         let folder = std::env::temp_dir().join(format!("weldhub-{}-measure.d", std::process::id()));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -20,7 +20,7 @@
     let agent = Agent::start().await;
     let known =
         servers.iter().map(|(name, server)| service_entry(name, server.at, 0, "in_service")).collect();
-    let mut told = told(agent.at, known);
+    let mut told = ingress_config(agent.at, known);
     let door = own_address();
     told["management"] = json!(door.to_string());
     (start(&told).await, door, agent)
@@ -175,7 +175,7 @@
         let server = Backend::start(Serve::Stall).await;
         let agent = Agent::start().await;
         let known = (0..8).map(|i| service_entry(&format!("s{i}"), server.at, 0, "in_service")).collect();
-        let mut told = told(agent.at, known);
+        let mut told = ingress_config(agent.at, known);
         let door = own_address();
         told["management"] = json!(door.to_string());
         told["limits"]["sockets"] = json!(64);
@@ -221,7 +221,7 @@
 fn what_waits_for_a_connection_to_a_real_server_that_is_taken_out_never_goes_there() {
     local(async {
         let (full, agent) = (FullBacklog::new().await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", full.at(), 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", full.at(), 0, "in_service")]);
         let door = own_address();
         told["management"] = json!(door.to_string());
         told["settings"]["limits"]["connectTimeout"] = json!(5000.0);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -79,7 +79,7 @@
 fn what_breaks_after_its_last_byte_may_have_run_and_is_not_sent_again_by_the_network_code() {
     local(async {
         let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["settings"]["limits"]["maxAttempts"] = json!(1);
         let ingress = start(&told).await;
         assert_eq!(status(&ask(ingress.at, &submit("a", 900)).await), 200);
@@ -145,7 +145,7 @@
 async fn small(manner: Serve) -> (Backend, Ingress, Agent) {
     let (server, agent) = (Backend::start(manner).await, Agent::start().await);
     let known = (0..8).map(|i| service_entry(&format!("s{i}"), server.at, 0, "in_service")).collect();
-    let mut told = told(agent.at, known);
+    let mut told = ingress_config(agent.at, known);
     told["limits"]["sockets"] = json!(74);
     let ingress = start(&told).await;
     (server, ingress, agent)
@@ -297,7 +297,7 @@
 fn idle_connections_make_room_for_new_ones() {
     local(async {
         let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["limits"]["sockets"] = json!(64);
         let ingress = start(&told).await;
         let mut clients = Vec::new();
@@ -373,7 +373,8 @@
     local(async {
         let (old, new) = (Backend::start(ok("old")).await, Backend::start(ok("new")).await);
         let agent = Agent::start().await;
-        let ingress = start(&told(agent.at, vec![service_entry("s1", old.at, 0, "in_service")])).await;
+        let ingress =
+            start(&ingress_config(agent.at, vec![service_entry("s1", old.at, 0, "in_service")])).await;
         let served = async |id: &str| ask(ingress.at, &board(id, 900, 1)).await;
         assert_eq!(&served("a").await.body[..], b"old");
         assert_eq!(agent.asked.borrow()[0], "/v1/endpoints?stream=1&index=41");
@@ -404,7 +405,7 @@
 fn changes_after_generation_0_are_taken_in_without_a_new_watch() {
     local(async {
         let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["known"]["generation"] = json!(0);
         let ingress = start(&told).await;
         assert_eq!(status(&ask(ingress.at, &board("a", 900, 1)).await), 200);
@@ -442,7 +443,7 @@
 fn an_idle_connection_is_closed_before_the_real_server_may_close_it() {
     local(async {
         let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["settings"]["limits"]["connIdle"] = json!(50.0);
         let ingress = start(&told).await;
         assert_eq!(status(&ask(ingress.at, &board("a", 900, 1)).await), 200);
@@ -456,7 +457,7 @@
 fn a_faulty_key_is_named_before_anything_listens() {
     let at = "127.0.0.1:1".parse().unwrap();
     let error = |edit: fn(&mut Value)| {
-        let mut told = told(at, vec![service_entry("s1", at, 0, "in_service")]);
+        let mut told = ingress_config(at, vec![service_entry("s1", at, 0, "in_service")]);
         edit(&mut told);
         Config::read(&told.to_string(), |_| None).unwrap_err().to_string()
     };
@@ -477,7 +478,7 @@
         assert!(text.contains(key), "{text}");
     }
     // What the environment says goes before the file.
-    let told = told(at, vec![]).to_string();
+    let told = ingress_config(at, vec![]).to_string();
     let config = Config::read(&told, |name| (name == "RELAY_NAME").then(|| "n7".to_owned())).unwrap();
     assert_eq!(config.instance.name, "n7");
 }
@@ -489,8 +490,10 @@
         let listener = listener().await;
         let drains = serde_json::json!({"generation": 42, "reset": true,
             "instances": [service_entry("s1", server.at, 0, "terminating")]});
-        let told =
-            told(listener.local_addr().unwrap(), vec![service_entry("s1", server.at, 0, "in_service")]);
+        let told = ingress_config(
+            listener.local_addr().unwrap(),
+            vec![service_entry("s1", server.at, 0, "in_service")],
+        );
         let begun = std::time::Instant::now();
         let silent = tokio::task::spawn_local(async move {
             // Whoever comes while discovery is down is never answered; it is up when five have come.
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use serde_json::{Value, json};
-use stand_ins::ingress::{Client, status, told};
+use stand_ins::ingress::{Client, ingress_config, status};
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     let entry = |i: usize| {
         service_entry(&format!("s{i}"), SocketAddr::from(([127, 0, 0, 1], 9)), i as u16, "in_service")
     };
-    let mut told = told(agent, (0..200).map(entry).collect());
+    let mut told = ingress_config(agent, (0..200).map(entry).collect());
     if !known {
         told.as_object_mut().unwrap().remove("known");
     }
--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -8,7 +8,7 @@
 use weldhub::node;
 
 /// What an ingress is told, with `known` as its list and a plan of 27 units at once that never fill again.
-pub fn told(agent: SocketAddr, known: Vec<Value>) -> Value {
+pub fn ingress_config(agent: SocketAddr, known: Vec<Value>) -> Value {
     let class = |name: &str, give_up: f64, effect: &str| json!({"name": name, "aim": 600.0, "giveUp": give_up, "effect": effect, "group": "cell", "window": 6000.0});
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": agent.to_string(), "seed": "8c1f30d27a5be964",
@@ -49,7 +49,8 @@
 /// An ingress with one real server.
 pub async fn one(manner: Serve) -> (Backend, Ingress, Agent) {
     let (server, agent) = (Backend::start(manner).await, Agent::start().await);
-    let ingress = start(&told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")])).await;
+    let ingress =
+        start(&ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")])).await;
     (server, ingress, agent)
 }
 
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -129,7 +129,7 @@
 
 async fn before(server: SocketAddr) -> (Ingress, Agent) {
     let agent = Agent::start().await;
-    let mut told = told(agent.at, vec![service_entry("s1", server, 0, "in_service")]);
+    let mut told = ingress_config(agent.at, vec![service_entry("s1", server, 0, "in_service")]);
     told["settings"]["limits"]["maxAttempts"] = json!(1);
     (start(&told).await, agent)
 }
@@ -237,7 +237,7 @@
             for version in ["HTTP/1.1", "HTTP/1.0"] {
                 let at = Streamer::default().start(bytes.clone(), 5000, true).await;
                 let agent = Agent::start().await;
-                let mut told = told(agent.at, vec![service_entry("s1", at, 0, "in_service")]);
+                let mut told = ingress_config(agent.at, vec![service_entry("s1", at, 0, "in_service")]);
                 let door = own_address();
                 told["management"] = json!(door.to_string());
                 let ingress = start(&told).await;
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::ingress::told;
+use stand_ins::ingress::ingress_config;
 use stand_ins::{listener, local, message, quiet, swept};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -131,7 +131,7 @@
 impl Watcher {
     /// A watch as a process begins it: some know a list and some know none.
     fn start(agent: SocketAddr, mode: &str, seed: u64) -> Self {
-        let mut text = told(agent, vec![]);
+        let mut text = ingress_config(agent, vec![]);
         text["settings"]["balancers"] = json!(FLEET);
         text["settings"]["membershipMode"] = json!(mode);
         let config = Config::read(&text.to_string(), |_| None).unwrap();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -35,7 +35,7 @@
         let servers = [Backend::start(ok("1")).await, Backend::start(ok("2")).await];
         let agent = Agent::start().await;
         let entry = |name, server: &Backend| service_entry(name, server.at, 0, "in_service");
-        let mut told = told(agent.at, vec![entry("s1", &servers[0]), entry("s2", &servers[1])]);
+        let mut told = ingress_config(agent.at, vec![entry("s1", &servers[0]), entry("s2", &servers[1])]);
         let [at, d0, d1, d2] = [0; 4].map(|_| own_address());
         told["listen"] = json!(at.to_string());
         Self { folder, told, at, doors: [d0, d1, d2], servers, _agent: agent }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::ingress::told;
+use stand_ins::ingress::ingress_config;
 use stand_ins::*;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
 
 /// Has one of so many instances watch this agent, which tells by itself or has to be asked.
 fn watches(agent: SocketAddr, instances: u16, seed: u64, on_request: bool) -> Watching {
-    let mut text = told(agent, vec![]);
+    let mut text = ingress_config(agent, vec![]);
     text["settings"]["balancers"] = json!(instances);
     text["settings"]["membershipMode"] = json!(if on_request { "on_request" } else { "pushed" });
     let config = Config::read(&text.to_string(), |_| None).unwrap();
