--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -96,11 +96,11 @@
 #[test]
 fn an_authorisers_verdict_passes_unchanged_and_so_does_the_check() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
         assert_eq!(ask(at, BOARD, 1).await, allow());
-        authoriser.behave(Manner::Answer(deny()));
+        authoriser.behave(AuthoriserMode::Answer(deny()));
         assert_eq!(ask(at, MOVE, 1).await, deny());
         let calls = authoriser.calls.lock().unwrap();
         assert_eq!(
@@ -114,7 +114,7 @@
 #[test]
 fn a_customer_beyond_its_quota_is_rejected_at_once_and_not_scheduled() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[("perSecond = 5.8 ", "perSecond = 0.001 ")])).await;
         // 27 units may be used at once.
@@ -133,7 +133,7 @@
 #[test]
 fn a_stalled_authoriser_costs_a_denial_when_the_class_has_had_its_time() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Stall).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &BRIEF)).await;
         assert_eq!(denial(&ask(at, MOVE, 1).await).0, 504);
@@ -142,7 +142,7 @@
 }
 
 /// Both authorisers, each a cell of its own.
-async fn two_cells(manner: Manner) -> (Authoriser, Authoriser, Consul) {
+async fn two_cells(manner: AuthoriserMode) -> (Authoriser, Authoriser, Consul) {
     let (a, b) = (Authoriser::start(manner.clone()).await, Authoriser::start(manner).await);
     let both = vec![instance("a", a.at, 0, "passing"), instance("b", b.at, 1, "passing")];
     let consul = Consul::start(both).await;
@@ -152,8 +152,11 @@
 #[test]
 fn a_keyed_check_that_may_have_run_keeps_to_its_cell_whatever_code_it_fails_with() {
     local(async {
-        for manner in [Manner::Fail(Code::Unavailable), Manner::Fail(Code::ResourceExhausted), Manner::Vanish]
-        {
+        for manner in [
+            AuthoriserMode::Fail(Code::Unavailable),
+            AuthoriserMode::Fail(Code::ResourceExhausted),
+            AuthoriserMode::Disconnect,
+        ] {
             let (a, b, consul) = two_cells(manner).await;
             let at = start(config(&consul, &[])).await;
             assert_eq!(denial(&ask(at, MOVE, 1).await).0, 502);
@@ -165,7 +168,7 @@
 #[test]
 fn a_safe_check_whose_authoriser_vanishes_is_served_by_another() {
     local(async {
-        let (a, b, consul) = two_cells(Manner::VanishOnce(Arc::default(), allow())).await;
+        let (a, b, consul) = two_cells(AuthoriserMode::DisconnectOnce(Arc::default(), allow())).await;
         let at = start(config(&consul, &[])).await;
         assert_eq!(ask(at, BOARD, 1).await, allow());
         assert_eq!((a.count(), b.count()), (1, 1));
@@ -177,7 +180,7 @@
     local(async {
         // Nobody listens where the first one is said to be.
         let nobody = listener().await.local_addr().unwrap();
-        let b = Authoriser::start(Manner::Answer(allow())).await;
+        let b = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul =
             Consul::start(vec![instance("a", nobody, 0, "passing"), instance("b", b.at, 1, "passing")]).await;
         let at = start(config(&consul, &[])).await;
@@ -190,7 +193,7 @@
 #[test]
 fn a_caller_that_cancels_takes_its_scheduling_with_it() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Stall).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
         let asking: JoinHandle<Bytes> = spawn_local(async move { ask(at, BOARD, 1).await });
@@ -228,7 +231,7 @@
 #[test]
 fn no_further_attempt_begins_for_a_check_that_was_cancelled_during_the_first() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Stall).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[("cancelling = true", "cancelling = false")])).await;
         let asking: JoinHandle<Bytes> = spawn_local(async move { ask(at, BOARD, 1).await });
@@ -236,7 +239,7 @@
         asking.abort();
         tokio::time::sleep(GONE).await;
         // Another check has it close its connection, and with it the attempt of the one that was cancelled.
-        authoriser.behave(Manner::VanishOnce(Arc::default(), allow()));
+        authoriser.behave(AuthoriserMode::DisconnectOnce(Arc::default(), allow()));
         assert_eq!(ask(at, "/api/boards/18", 1).await, allow());
         authoriser.dropped.notified().await;
         tokio::time::sleep(4 * GONE).await;
@@ -248,7 +251,7 @@
 #[test]
 fn an_authoriser_whose_health_turns_critical_gets_nothing_new_and_finishes_what_it_has() {
     local(async {
-        let (a, b, consul) = two_cells(Manner::Answer(allow())).await;
+        let (a, b, consul) = two_cells(AuthoriserMode::Answer(allow())).await;
         let at = start(config(&consul, &[])).await;
         ask(at, BOARD, 1).await;
         consul.set(None, vec![instance("a", a.at, 0, "critical"), instance("b", b.at, 1, "warning")]);
@@ -261,7 +264,7 @@
         }
         assert_eq!(a.count(), before);
         // Gone altogether, with a check still out: that one is answered.
-        b.behave(Manner::Stall);
+        b.behave(AuthoriserMode::Stall);
         let asking = spawn_local(async move { ask(at, MOVE, 1).await });
         until(|| b.calls.lock().unwrap().iter().any(|(m, _)| *m == message(MOVE, 1))).await;
         consul.set(None, vec![]);
@@ -273,7 +276,7 @@
 #[test]
 fn while_all_authorisers_stall_every_check_has_one_answer_and_service_returns_with_them() {
     local(async {
-        let (a, b, consul) = two_cells(Manner::Stall).await;
+        let (a, b, consul) = two_cells(AuthoriserMode::Stall).await;
         let at =
             start(config(&consul, &[BRIEF[0], BRIEF[1], ("storeSize = 27.0", "storeSize = 1000.0")])).await;
         let paths = [BOARD, MOVE].into_iter().cycle().take(30);
@@ -282,8 +285,8 @@
             let (status, after) = denial(&one.await.unwrap().unwrap());
             assert!(matches!((status, after), (429, Some(_)) | (502 | 504, None)), "{status}");
         }
-        a.behave(Manner::Answer(allow()));
-        b.behave(Manner::Answer(allow()));
+        a.behave(AuthoriserMode::Answer(allow()));
+        b.behave(AuthoriserMode::Answer(allow()));
         // Ejected authorisers are tried again after a while.
         while ask(at, BOARD, 1).await != allow() {}
     });
@@ -309,7 +312,7 @@
 #[test]
 fn two_instances_share_a_quota_over_the_counter_and_grant_even_slices_without() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         // Half of 27 units each: four checks of 3.
         assert_eq!(let_in_by_two(&consul, &[]).await, [4, 4]);
@@ -337,7 +340,7 @@
 #[test]
 fn an_instance_borrows_what_the_other_does_not_need() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let counter = Counter::start().await;
         let at = format!("counter = \"{}\"", counter.at);
@@ -371,7 +374,7 @@
 #[test]
 fn told_to_stop_it_answers_what_it_has_taken_and_ends() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Stall).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let (listener, (stop, stopped)) = (listener().await, tokio::sync::oneshot::channel::<()>());
         let at = listener.local_addr().unwrap();
@@ -391,7 +394,7 @@
 #[test]
 fn a_connection_that_went_silent_is_given_up_for_a_new_one() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let cable = Cable::to(authoriser.at).await;
         let consul = Consul::start(vec![instance("a", cable.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
@@ -405,7 +408,7 @@
 #[test]
 fn a_bad_check_is_an_invalid_argument_and_reaches_nobody() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
         let without = |name: &str, value: Option<&str>| {
@@ -441,7 +444,7 @@
 #[test]
 fn only_where_the_operator_says_so_do_failures_allow() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(Bytes::from_static(b"\xff garbage"))).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(Bytes::from_static(b"\xff garbage"))).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let closed = start(config(&consul, &[])).await;
         assert_eq!(denial(&ask(closed, MOVE, 1).await).0, 502, "garbage is no verdict");
@@ -455,7 +458,7 @@
 #[test]
 fn consul_may_go_back_fail_or_lie_and_the_list_stays() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[("wait_ms = 55000", "wait_ms = 100")])).await;
         assert_eq!(ask(at, BOARD, 1).await, allow());
@@ -497,7 +500,7 @@
 #[test]
 fn callers_that_ask_once_and_stay_do_not_hold_the_room_for_good() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let changes = [
             ("sockets = 1024", "sockets = 64"),
@@ -520,7 +523,7 @@
 fn the_operators_door_counts_checks_takes_authorisers_out_and_drains_callers() {
     use stand_ins::admin::{call as tell, figures};
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let door = own_address();
         let said = format!("management = \"{door}\"");
@@ -548,8 +551,8 @@
 #[test]
 fn an_agent_that_fails_has_no_leader_or_is_too_old_is_left_for_the_next() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
-        let other = Authoriser::start(Manner::Answer(deny())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
+        let other = Authoriser::start(AuthoriserMode::Answer(deny())).await;
         let bad: [fn(&Consul); 3] = [
             |consul| *consul.lie.borrow_mut() = Some((500, "no".into())),
             |consul| consul.says.borrow_mut().push_str("X-Consul-KnownLeader: false\r\n"),
@@ -573,7 +576,7 @@
     local(async {
         let mut authorisers = Vec::new();
         for _ in 0..6 {
-            authorisers.push(Authoriser::start(Manner::Answer(allow())).await);
+            authorisers.push(Authoriser::start(AuthoriserMode::Answer(allow())).await);
         }
         let all = |status: &str, n: usize| -> Vec<_> {
             (0..n).map(|i| instance(&format!("a{i}"), authorisers[i].at, 0, status)).collect()
@@ -625,7 +628,7 @@
 #[test]
 fn a_check_that_crosses_the_word_to_connect_elsewhere_is_answered_or_was_never_looked_at() {
     local(async {
-        let authoriser = Authoriser::start(Manner::Answer(allow())).await;
+        let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let changes = [
             ("max_connection_age_ms = 60000", "max_connection_age_ms = 200"),
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -185,8 +185,8 @@
     local(async {
         let allow = bytes::Bytes::from_static(&[0x0a, 0x00, 0x1a, 0x00]);
         let (a, b) = (
-            Authoriser::start(Manner::Answer(allow.clone())).await,
-            Authoriser::start(Manner::Answer(allow)).await,
+            Authoriser::start(AuthoriserMode::Answer(allow.clone())).await,
+            Authoriser::start(AuthoriserMode::Answer(allow)).await,
         );
         let both = |status: &str| vec![instance("a", a.at, 0, status), instance("b", b.at, 0, "passing")];
         let consul = Consul::start(both("passing")).await;
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -131,14 +131,14 @@
 
 /// How an authoriser behaves.
 #[derive(Debug, Clone)]
-pub enum Manner {
+pub enum AuthoriserMode {
     Answer(Bytes),
     Fail(tonic::Code),
     Stall,
     /// It closes its connections in the middle of a call.
-    Vanish,
+    Disconnect,
     /// The first of those that share the flag does, once; all others answer.
-    VanishOnce(Arc<AtomicBool>, Bytes),
+    DisconnectOnce(Arc<AtomicBool>, Bytes),
 }
 
 type Calls = Arc<Mutex<Vec<(Bytes, Option<String>)>>>;
@@ -147,7 +147,7 @@
 #[derive(Clone)]
 pub struct Authoriser {
     pub at: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<AuthoriserMode>>,
     /// The checks that it got, with their time-outs.
     pub calls: Calls,
     pub called: Arc<Notify>,
@@ -180,13 +180,13 @@
         Box::pin(async move {
             let _dropped = dropped;
             match manner {
-                Manner::Answer(bytes) => return Ok(Response::new(bytes)),
-                Manner::Fail(code) => return Err(Status::new(code, "as told")),
-                Manner::Stall => {}
-                Manner::VanishOnce(done, bytes) if done.swap(true, Ordering::Relaxed) => {
+                AuthoriserMode::Answer(bytes) => return Ok(Response::new(bytes)),
+                AuthoriserMode::Fail(code) => return Err(Status::new(code, "as told")),
+                AuthoriserMode::Stall => {}
+                AuthoriserMode::DisconnectOnce(done, bytes) if done.swap(true, Ordering::Relaxed) => {
                     return Ok(Response::new(bytes));
                 }
-                Manner::Vanish | Manner::VanishOnce(..) => {
+                AuthoriserMode::Disconnect | AuthoriserMode::DisconnectOnce(..) => {
                     connections.lock().unwrap().drain(..).for_each(|c| c.abort())
                 }
             }
@@ -196,7 +196,7 @@
 }
 
 impl Authoriser {
-    pub async fn start(manner: Manner) -> Self {
+    pub async fn start(manner: AuthoriserMode) -> Self {
         let listener = listener().await;
         let this = Self {
             at: listener.local_addr().unwrap(),
@@ -228,7 +228,7 @@
         this
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub fn behave(&self, manner: AuthoriserMode) {
         *self.manner.lock().unwrap() = manner;
     }
 
