--- a/examples/stand_in_consul.rs
+++ b/examples/stand_in_consul.rs
@@ -26,7 +26,7 @@
                 spawn_local(serving.clone().serve(stream));
             }
         });
-        agent.longest.set(std::time::Duration::from_secs(600));
+        agent.max_wait.set(std::time::Duration::from_secs(600));
         agent.play(&script).await;
         println!("{} queries, {} bytes", agent.asked.borrow().len(), agent.bytes.get());
         Ok(())
--- a/load/tests/consul.rs
+++ b/load/tests/consul.rs
@@ -134,7 +134,7 @@
                     .collect()
             };
             let consul = Consul::start(list("passing")).await;
-            consul.longest.set(Duration::from_secs(60));
+            consul.max_wait.set(Duration::from_secs(60));
             let ingress = ingress(consul.at).await;
             let workload = workload(45.0, rate);
             let load = spawn_local(async move { run(&workload, &[ingress], 40).await.unwrap() });
@@ -145,7 +145,7 @@
                 consul.set(None, list("critical"));
                 sleep(Duration::from_millis(60)).await;
                 let written = consul
-                    .written
+                    .last_health_answer
                     .get()
                     .filter(|at| *at >= before)
                     .expect("the ingress queries Consul again at once");
@@ -227,7 +227,7 @@
                         (0..20).map(|i| instance(&format!("s{i}"), address(i), 0, status(i))).collect()
                     };
                     let consul = Consul::start(list(0)).await;
-                    consul.longest.set(Duration::from_secs(60));
+                    consul.max_wait.set(Duration::from_secs(60));
                     let counts = Rc::<QueryCounts>::default();
                     for seed in 0..u64::from(instances) {
                         let deadlines = Deadlines::new(Clock::new());
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -146,16 +146,20 @@
             ("half", |consul| consul.fail(Fault::Half, Fault::None)),
             ("endless", |consul| consul.fail(Fault::Endless, Fault::None)),
             ("rate limited", |consul| {
-                consul.says.borrow_mut().push_str("Retry-After: 0.1\r\n");
+                consul.extra_headers.borrow_mut().push_str("Retry-After: 0.1\r\n");
                 consul.fail(Fault::Status(429), Fault::None);
             }),
             ("silent", |consul| {
                 consul.fail(Fault::Silent, Fault::None);
                 consul.die();
             }),
-            ("nonsense", |consul| *consul.lie.borrow_mut() = Some((200, "[{\"Service\": 7".into()))),
-            ("none readable", |consul| *consul.lie.borrow_mut() = Some((200, "[{\"Service\": 7}]".into()))),
-            ("too old", |consul| consul.says.borrow_mut().push_str("X-Consul-LastContact: 900\r\n")),
+            ("nonsense", |consul| {
+                *consul.health_override.borrow_mut() = Some((200, "[{\"Service\": 7".into()))
+            }),
+            ("none readable", |consul| {
+                *consul.health_override.borrow_mut() = Some((200, "[{\"Service\": 7}]".into()))
+            }),
+            ("too old", |consul| consul.extra_headers.borrow_mut().push_str("X-Consul-LastContact: 900\r\n")),
         ];
         let (mut now, mut next) = (&one, &two);
         for (fault, spoil) in faults {
@@ -167,8 +171,8 @@
             assert_eq!(members(door).await, (2, 0), "{fault}");
             served(ingress.at, fault.replace(' ', "-").as_str()).await;
             now.fail(Fault::None, Fault::None);
-            now.says.borrow_mut().clear();
-            *now.lie.borrow_mut() = None;
+            now.extra_headers.borrow_mut().clear();
+            *now.health_override.borrow_mut() = None;
             std::mem::swap(&mut now, &mut next);
         }
         assert_eq!(figures(door).await["svc_consul_silent"], 0);
@@ -193,7 +197,7 @@
         let all = servers(2).await;
         let consul = Consul::start(listed(&all, passing)).await;
         // It would block for ever on an index that is behind it.
-        consul.longest.set(Duration::from_secs(600));
+        consul.max_wait.set(Duration::from_secs(600));
         let (_ingress, door) = start(&[consul.at], json!({})).await;
         for index in [500, 3, 0, 1, 2] {
             for status in ["critical", "passing"] {
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -467,10 +467,10 @@
             until(move || asked.borrow().len() >= before + n)
         };
         for lie in [(500, "no leader"), (200, "not json"), (200, "{}"), (200, "[]")] {
-            *consul.lie.borrow_mut() = Some((lie.0, lie.1.into()));
+            *consul.health_override.borrow_mut() = Some((lie.0, lie.1.into()));
             more_queries(2).await;
             assert_eq!(ask(at, BOARD, 1).await, allow(), "after {lie:?}");
-            *consul.lie.borrow_mut() = None;
+            *consul.health_override.borrow_mut() = None;
             more_queries(1).await;
         }
         // The index goes back: the next query does not wait for the old one.
@@ -554,9 +554,9 @@
         let authoriser = Authoriser::start(AuthoriserMode::Answer(allow())).await;
         let other = Authoriser::start(AuthoriserMode::Answer(deny())).await;
         let bad: [fn(&Consul); 3] = [
-            |consul| *consul.lie.borrow_mut() = Some((500, "no".into())),
-            |consul| consul.says.borrow_mut().push_str("X-Consul-KnownLeader: false\r\n"),
-            |consul| consul.says.borrow_mut().push_str("X-Consul-LastContact: 9000\r\n"),
+            |consul| *consul.health_override.borrow_mut() = Some((500, "no".into())),
+            |consul| consul.extra_headers.borrow_mut().push_str("X-Consul-KnownLeader: false\r\n"),
+            |consul| consul.extra_headers.borrow_mut().push_str("X-Consul-LastContact: 9000\r\n"),
         ];
         for spoil in bad {
             let one = Consul::start(vec![instance("b", other.at, 0, "passing")]).await;
@@ -591,7 +591,8 @@
             (all["svc_members"], all["svc_members_unavailable"])
         };
         assert_eq!(members().await, (6, 0));
-        *consul.lie.borrow_mut() = Some((200, serde_json::Value::from(all("passing", 1)).to_string()));
+        *consul.health_override.borrow_mut() =
+            Some((200, serde_json::Value::from(all("passing", 1)).to_string()));
         consul.set(None, all("passing", 6));
         until(|| consul.asked.borrow().iter().any(|target| target.starts_with("/v1/catalog/service/"))).await;
         let asked = consul.asked.borrow().len();
@@ -600,7 +601,7 @@
         // What the catalogue does not hold is gone.
         consul.set(None, all("passing", 1));
         while members().await != (1, 0) {}
-        *consul.lie.borrow_mut() = None;
+        *consul.health_override.borrow_mut() = None;
         consul.set(None, all("critical", 1));
         while members().await != (1, 1) {}
     });
--- a/tests/stand_ins/consul.rs
+++ b/tests/stand_ins/consul.rs
@@ -53,13 +53,13 @@
     /// The tokens that came.
     pub tokens: Rc<RefCell<Vec<String>>>,
     /// What the health answer says in place of the truth.
-    pub lie: Rc<RefCell<Option<(u16, String)>>>,
+    pub health_override: Rc<RefCell<Option<(u16, String)>>>,
     /// Header lines of its answers, each with its end.
-    pub says: Rc<RefCell<String>>,
+    pub extra_headers: Rc<RefCell<String>>,
     /// The longest that a query blocks, whatever it asks for.
-    pub longest: Rc<Cell<Duration>>,
+    pub max_wait: Rc<Cell<Duration>>,
     /// When the last byte of the last health answer was written.
-    pub written: Rc<Cell<Option<Instant>>>,
+    pub last_health_answer: Rc<Cell<Option<Instant>>>,
     /// Bytes of answers, heads included.
     pub bytes: Rc<Cell<u64>>,
 }
@@ -131,10 +131,10 @@
             cut: watch::Sender::new(()),
             asked: Rc::default(),
             tokens: Rc::default(),
-            lie: Rc::default(),
-            says: Rc::default(),
-            longest: Rc::new(Cell::new(Duration::from_millis(500))),
-            written: Rc::default(),
+            health_override: Rc::default(),
+            extra_headers: Rc::default(),
+            max_wait: Rc::new(Cell::new(Duration::from_millis(500))),
+            last_health_answer: Rc::default(),
             bytes: Rc::default(),
         }
     }
@@ -195,17 +195,17 @@
         let index = said("index").and_then(|index| index.parse::<u64>().ok());
         let health = path.starts_with("/v1/health/service/");
         let mut state = self.state.subscribe();
-        if let Some(known) = index.filter(|_| self.lie.borrow().is_none()) {
+        if let Some(known) = index.filter(|_| self.health_override.borrow().is_none()) {
             let wait = said("wait").and_then(|wait| wait.strip_suffix("ms")?.parse().ok()).unwrap_or(300_000);
             // As Consul does it: up to a sixteenth more.
-            let wait = Duration::from_millis(wait + wait / 16).min(self.longest.get());
+            let wait = Duration::from_millis(wait + wait / 16).min(self.max_wait.get());
             let ready = |state: &State| state.index != known || state.health != Fault::None;
             let _ = tokio::time::timeout(wait, state.wait_for(ready)).await;
         }
         let State { index, services, health: on_health, catalogue } = state.borrow_and_update().clone();
         let name = path.rsplit('/').next().unwrap_or_default();
         let list = services.get(name).or_else(|| services.get("")).cloned().unwrap_or_default();
-        let lie = self.lie.borrow().clone().filter(|_| health);
+        let lie = self.health_override.borrow().clone().filter(|_| health);
         let (mut status, body) =
             lie.unwrap_or((200, if health { Value::from(list) } else { catalogued(&list) }.to_string()));
         let fault = if health { on_health } else { catalogue };
@@ -215,7 +215,7 @@
             Fault::Status(other) => status = other,
             _ => {}
         }
-        let says = self.says.borrow().clone();
+        let says = self.extra_headers.borrow().clone();
         let head = format!("HTTP/1.1 {status} X\r\nX-Consul-Index: {index}\r\n{says}");
         let mut text = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
         if fault == Fault::Endless {
@@ -232,7 +232,7 @@
         self.bytes.set(self.bytes.get() + length as u64);
         stream.write_all(&text.as_bytes()[..length]).await.ok()?;
         if health {
-            self.written.set(Some(Instant::now()));
+            self.last_health_answer.set(Some(Instant::now()));
         }
         (fault != Fault::Half).then_some(())
     }
