--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -362,21 +362,21 @@
         let mut client = Client::new(at).await;
         client.send(&board("slow", 1400, 1)).await;
         until(|| all[0].count() + all[1].count() > 0).await;
-        program.reread(&file(&keys(&new, "service = \"boards\"\nwait_ms = 0"), door));
-        program.says("consul.wait_ms").await;
+        program.reload_config(&file(&keys(&new, "service = \"boards\"\nwait_ms = 0"), door));
+        program.wait_for_log("consul.wait_ms").await;
         assert!(new.asked.borrow().is_empty(), "a faulty file changes nothing");
         let both =
             "services = [{ name = \"boards\" }, { name = \"records\", tags = [\"v2\"] }]\nflap_hold_ms = 5";
-        program.reread(&file(&keys(&new, both), door));
+        program.reload_config(&file(&keys(&new, both), door));
         until_members(door, (3, 0)).await;
         assert!(new.asked.borrow().iter().any(|target| target.contains("records?tag=v2")));
         // Another agent that is silent: the list stays, and the old one is asked no more.
         old.fail(Fault::Silent, Fault::Silent);
         let asked = old.asked.borrow().len();
-        program.reread(&file(&keys(&old, both), door));
+        program.reload_config(&file(&keys(&old, both), door));
         until(|| old.asked.borrow().len() >= asked + 2).await;
         assert_eq!(members(door).await, (3, 0));
-        program.reread(&file(&keys(&new, "service = \"records\""), door));
+        program.reload_config(&file(&keys(&new, "service = \"records\""), door));
         until_members(door, (1, 0)).await;
         let answer = client.answer().await.unwrap();
         assert_eq!((status(&answer), &answer.body[..]), (200, b"late".as_slice()), "whatever moved");
@@ -484,7 +484,7 @@
         let at = program.serving().await;
         consul.fail(Fault::Silent, Fault::None);
         consul.die();
-        program.says("Consul does not answer").await;
+        program.wait_for_log("Consul does not answer").await;
         // Several at once, so that all real servers are tried.
         let asking: Vec<_> = (0..12)
             .map(|asker| {
@@ -496,9 +496,9 @@
                 })
             })
             .collect();
-        program.says("unreachable while Consul's word is in doubt").await;
+        program.wait_for_log("unreachable while Consul's word is in doubt").await;
         consul.fail(Fault::None, Fault::None);
-        program.says("Consul answers again").await;
+        program.wait_for_log("Consul answers again").await;
         asking.iter().for_each(|asking| asking.abort());
     });
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -88,7 +88,7 @@
         std::env::temp_dir().join(format!("weldhub-descriptors-{}-{sockets}-{mode}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let env = [("TMPDIR", folder.to_string_lossy().into_owned())];
-    let mut program = Program::limited(
+    let mut program = Program::start_with_ulimit(
         &format!("descriptors-{sockets}-{mode}"),
         &told.to_string(),
         &env,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -116,13 +116,13 @@
         stopped.signal("CONT");
         // Until somebody has told it who lives, it has not come back whole.
         for line in ["this process stood still", "stage: partial", "stage: whole"] {
-            fleet.programs[2].as_mut().unwrap().says(line).await;
+            fleet.programs[2].as_mut().unwrap().wait_for_log(line).await;
         }
         fleet.agree(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
         // Told to stop: it has left, and is never taken for dead.
         let leaving = fleet.programs[1].as_mut().unwrap();
         leaving.signal("TERM");
-        leaving.says("stopped").await;
+        leaving.wait_for_log("stopped").await;
         fleet.agree(&[0, 2, 3, 4], &["alive", "left", "alive", "alive", "alive"]).await;
         assert_eq!(figures(fleet.at[0].1).await["svc_cluster_dead"], 0);
         // Strangers and garbage are counted and change nothing.
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -51,13 +51,13 @@
         let mut program = Program::start("platform", &first.to_string(), &env, false);
         let at = program.serving().await;
         until(|| old.asked.borrow().len() == 1).await;
-        program.reread("{\"discovery\":");
-        program.says("the new configuration cannot be used").await;
-        program.reread(&first.to_string().replace(&format!("\"{}\"", old.at), "\"nowhere\""));
-        program.says("discovery").await;
+        program.reload_config("{\"discovery\":");
+        program.wait_for_log("the new configuration cannot be used").await;
+        program.reload_config(&first.to_string().replace(&format!("\"{}\"", old.at), "\"nowhere\""));
+        program.wait_for_log("discovery").await;
         assert_eq!(ask(at, "a").await, (200, b"one".to_vec()));
         assert_eq!((old.asked.borrow().len(), new.asked.borrow().len()), (1, 0));
-        program.reread(&told(new.at, known).to_string());
+        program.reload_config(&told(new.at, known).to_string());
         until(|| new.asked.borrow().len() == 1).await;
         assert!(new.asked.borrow()[0].ends_with("&index=41"), "it goes on from the list that it has");
         assert_eq!(ask(at, "b").await, (200, b"one".to_vec()), "the list is not lost meanwhile");
@@ -74,7 +74,7 @@
         // More than once, and near the end.
         program.signal("TERM");
         program.signal("HUP");
-        program.says("stopping").await;
+        program.wait_for_log("stopping").await;
         program.signal("HUP");
         assert!(program.end().await.success());
     });
@@ -95,9 +95,9 @@
         };
         let mut program = Program::start("authz", &file(old.at), &[], true);
         until(|| !old.asked.borrow().is_empty()).await;
-        program.reread("consul = 1");
-        program.says("the new configuration cannot be used").await;
-        program.reread(&file(new.at));
+        program.reload_config("consul = 1");
+        program.wait_for_log("the new configuration cannot be used").await;
+        program.reload_config(&file(new.at));
         until(|| !new.asked.borrow().is_empty()).await;
         program.signal("TERM");
         assert!(program.end().await.success());
--- a/tests/stand_ins/program.rs
+++ b/tests/stand_ins/program.rs
@@ -33,7 +33,7 @@
     }
 
     /// Starts it as the platform's ingress under a limit of the shell's, such as `-n 256`.
-    pub fn limited(name: &str, text: &str, env: &[(&str, String)], limit: &str) -> Self {
+    pub fn start_with_ulimit(name: &str, text: &str, env: &[(&str, String)], limit: &str) -> Self {
         let mut command = Command::new("/bin/sh");
         let program = env!("CARGO_BIN_EXE_weldhub");
         command.args(["-c", &format!("ulimit {limit} && exec '{program}'")]);
@@ -56,7 +56,7 @@
     }
 
     /// Waits for a line of the log that says this.
-    pub async fn says(&mut self, what: &str) -> String {
+    pub async fn wait_for_log(&mut self, what: &str) -> String {
         let mut others = Vec::new();
         while let Some(line) = self.log.recv().await {
             if line.contains(what) {
@@ -68,7 +68,7 @@
     }
 
     pub async fn serving(&mut self) -> SocketAddr {
-        let line = self.says("serving").await;
+        let line = self.wait_for_log("serving").await;
         line.split("listen: ").nth(1).unwrap().split(',').next().unwrap().trim().parse().unwrap()
     }
 
@@ -77,7 +77,7 @@
         assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
     }
 
-    pub fn reread(&self, text: &str) {
+    pub fn reload_config(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal("HUP");
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -120,7 +120,7 @@
         let env =
             [("TMPDIR", site.folder.display().to_string()), ("RELAY_MANAGEMENT", site.doors[2].to_string())];
         let mut third = Program::start("killed-3", &site.told.to_string(), &env, false);
-        third.says("a file of bans was passed over").await;
+        third.wait_for_log("a file of bans was passed over").await;
         third.serving().await;
         assert_eq!(figures(site.doors[2]).await["svc_members_unavailable"], 0);
     });
@@ -139,7 +139,7 @@
         assert_eq!(figures(site.doors[1]).await["svc_members_unavailable"], 2);
         assert_eq!(call(site.doors[1], "enable-server s2\n").await, "ok\n");
         new.child.kill().unwrap();
-        old.says("serving again").await;
+        old.wait_for_log("serving again").await;
         let before = site.servers[0].count();
         assert_eq!(status(&ask(site.at, &board("b", 900, 1)).await), 200);
         assert_eq!(site.servers[0].count(), before, "the ban that was called at the new one holds");
@@ -217,7 +217,7 @@
         assert_eq!(status(&client.ask(&board("a", 900, 1)).await), 200);
         program.signal("TERM");
         program.signal("HUP");
-        program.says("stopping").await;
+        program.wait_for_log("stopping").await;
         assert_eq!(call(site.doors[0], "resume\n").await, "ok\n");
         assert_eq!(ready().await, 503, "it ends all the same");
         assert!(program.end().await.success());
@@ -234,7 +234,7 @@
         busy.send(&submit("a", 3000)).await;
         until(|| site.servers.iter().any(|server| server.count() > 0)).await;
         program.signal("TERM");
-        program.says("draining").await;
+        program.wait_for_log("draining").await;
         // It would wait in the backlog of a listener that nobody accepts from.
         let refused = async { while TcpStream::connect(site.at).await.is_ok() {} };
         tokio::select! {
