--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -13,7 +13,7 @@
 fn a_flow_and_its_answer_pass_unchanged() {
     local(async {
         let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: a/b\r\n\r\n3\r\n\x00\xffz\r\n0\r\n\r\n";
-        let (server, ingress, _agent) = one(Serve::Bytes(answer.to_vec())).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Bytes(answer.to_vec())).await;
         let mut client = Client::new(ingress.at).await;
         for text in [board("9b1f03aa5c7e2d41", 900, 1), submit("9b1f03aa5c7e2d42", 900)] {
             let message = client.ask(&text).await;
@@ -38,7 +38,7 @@
 #[test]
 fn a_flow_beyond_the_quota_is_rejected_and_told_when_to_come_back() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let mut client = Client::new(ingress.at).await;
         for i in 0..4 {
             assert_eq!(status(&client.ask(&board(&format!("a{i}"), 900, 6)).await), 200);
@@ -56,7 +56,7 @@
 #[test]
 fn a_silent_real_server_costs_a_504_and_its_connection_is_closed() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         assert_eq!(status(&ask(ingress.at, &submit("a", 600)).await), 504);
         until(|| server.connections.get() == [1, 1]).await;
         assert_eq!(server.count(), 1);
@@ -66,7 +66,7 @@
 #[test]
 fn a_client_that_leaves_takes_its_scheduling_with_it() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&board("a", 1400, 1)).await;
         until(|| server.count() == 1).await;
@@ -98,7 +98,7 @@
 #[test]
 fn garbage_and_errors_of_a_real_server_are_failures() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let large = format!("HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n{}", "x".repeat(70000));
         let bad = [
             "\x00garbage\r\n\r\n",
@@ -122,7 +122,7 @@
 #[test]
 fn bad_requests_never_reach_a_real_server() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let huge = submit("a", 900).replace("Content-Length: 4", "Content-Length: 40000000");
         let cases = [
             ("\x00\x01\r\n\r\n".to_owned(), 400),
@@ -192,7 +192,7 @@
 #[test]
 fn silence_and_half_a_message_are_ended_before_the_longest_flow_is() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut flow = Client::new(ingress.at).await;
         let (mut silent, mut half, mut endless) =
             (Client::new(ingress.at).await, Client::new(ingress.at).await, Client::new(ingress.at).await);
@@ -216,7 +216,7 @@
 #[test]
 fn an_id_that_is_open_is_refused_and_its_flow_goes_on() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 600)).await;
         until(|| server.count() == 1).await;
@@ -231,7 +231,7 @@
 #[test]
 fn a_client_that_sends_on_after_its_refusal_still_gets_to_read_it() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 900).replace("Content-Length: 4", "Content-Length: 60000000")).await;
         for _ in 0..3 {
@@ -254,7 +254,7 @@
 #[test]
 fn what_comes_ahead_of_an_answer_or_behind_it_is_not_taken_for_one() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nServer-Load: rif=\u{1},q=many\r\n\r\nabc";
         let good = good.replace('\u{1}', "\t-");
         let ahead = format!("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 P\r\n\r\n{good}");
@@ -277,7 +277,7 @@
 #[test]
 fn an_answer_that_goes_on_for_ever_is_cut() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let endless = [
             "HTTP/1.1 102 P\r\n\r\n".repeat(5000),
             format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: p\r\n".repeat(3000)),
@@ -343,7 +343,7 @@
 #[test]
 fn told_to_stop_it_serves_what_comes_then_closes_and_ends_with_all_answered() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut early = Client::new(ingress.at).await;
         early.send(&submit("a", 1200)).await;
         until(|| server.count() == 1).await;
@@ -418,7 +418,7 @@
 #[test]
 fn a_watch_that_ends_or_tells_nonsense_is_opened_anew_and_the_list_stays() {
     local(async {
-        let (_server, ingress, agent) = one(ok("x")).await;
+        let (_server, ingress, agent) = start_with_backend(ok("x")).await;
         let watches = |n: usize| {
             let asked = agent.asked.clone();
             until(move || asked.borrow().len() >= n)
--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -47,7 +47,7 @@
 }
 
 /// An ingress with one real server.
-pub async fn one(manner: Serve) -> (Backend, Ingress, Agent) {
+pub async fn start_with_backend(manner: Serve) -> (Backend, Ingress, Agent) {
     let (server, agent) = (Backend::start(manner).await, Agent::start().await);
     let ingress =
         start(&ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")])).await;
@@ -92,7 +92,7 @@
     message.head.get(name).map(|value| String::from_utf8(value.to_vec()).unwrap())
 }
 
-pub fn common(id: &str, timeout: u32, units: u32) -> String {
+pub fn common_headers(id: &str, timeout: u32, units: u32) -> String {
     format!(
         "Host: x\r\nRequest-Id: {id}\r\nX-Tier: club\r\nRequest-Timeout-Ms: {timeout}\r\n\
          X-Call-Terms: units={units},spread=1,first=0\r\n"
@@ -102,12 +102,12 @@
 pub fn board(id: &str, timeout: u32, units: u32) -> String {
     format!(
         "GET /board-state/17?client=0000000000000007&x=%20y HTTP/1.1\r\n{}\r\n",
-        common(id, timeout, units)
+        common_headers(id, timeout, units)
     )
 }
 
 pub fn submit(id: &str, timeout: u32) -> String {
-    let common = common(id, timeout, 1);
+    let common = common_headers(id, timeout, 1);
     format!(
         "POST /move-submit/17?client=0000000000000007 HTTP/1.1\r\n{common}Idempotency-Key: 5c0f6e\r\n\
          Content-Length: 4\r\n\r\ne2e4"
