--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -45,7 +45,7 @@
         let mut site = Config::read(&told, |_| None).unwrap().instance.site;
         site.connect_timeout = connect_timeout;
         let (exchange, news) = Exchange::new();
-        let deadlines = swept();
+        let deadlines = swept_deadlines();
         let role = watch::Sender::new(Role::Active);
         let (passing, _) = mpsc::unbounded_channel();
         let (elsewhere, open) = (PredecessorConnections::default(), Rc::new(Cell::new(0)));
@@ -58,11 +58,11 @@
         let stats = Stats::new([]);
         let bounds = (8, MemoryBudget::new(1 << 20, elsewhere));
         let clock = deadlines.clock();
-        let side = ClientSide::new(exchange, deadlines, site, bounds, stats, links, quiet());
+        let side = ClientSide::new(exchange, deadlines, site, bounds, stats, links, discarding_logger());
         let (orders, ordered) = mpsc::unbounded_channel();
         let adopted = mpsc::unbounded_channel().1;
         spawn_local(side.run(ordered, adopted));
-        orders.send(ClientSideCommand::BackendList(one_ready("s1", server))).unwrap();
+        orders.send(ClientSideCommand::BackendList(single_backend_list("s1", server))).unwrap();
         Self { orders, news, clock, _role: role }
     }
 
@@ -160,7 +160,7 @@
         let mut side = Side::start(server.at, 5000.0);
         side.order(1, None);
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Served));
-        rested().await;
+        wait_until_reusable().await;
         // The thread has other things to do: the idle connection has its turn 20 ms too late.
         side.order(2, Some(30.0));
         std::thread::sleep(Duration::from_millis(50));
@@ -291,7 +291,7 @@
             assert_eq!(header(&request(&mut idle).await, "request-id"), Some(i.to_string()));
             idle.write_all(&good("one")).await.unwrap();
             assert_eq!(side.ended().await, (RequestId(i as u64), Outcome::Served));
-            rested().await;
+            wait_until_reusable().await;
             // In one turn: the system knows what the runtime has not been told when the connection is picked.
             let mut idle_now = idle.into_std().unwrap();
             if speaks.is_empty() {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -65,7 +65,7 @@
         let listener = listener().await;
         let at = listener.local_addr().unwrap();
         let (exchange, news) = Exchange::new();
-        let deadlines = if by_itself { swept() } else { Deadlines::new(Clock::new()) };
+        let deadlines = if by_itself { swept_deadlines() } else { Deadlines::new(Clock::new()) };
         let (phase, role, drain) = (
             watch::Sender::new(Phase::Serving),
             watch::Sender::new(Role::Active),
@@ -91,7 +91,7 @@
             (signals, passing),
             stats,
             (limits, 700.0),
-            quiet(),
+            discarding_logger(),
         );
         let running = spawn_local(side.run(listener, mpsc::unbounded_channel().1));
         Self { at, news, phase, drain, _role: role, running, deadlines }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use slog::Logger;
-use stand_ins::one_ready;
+use stand_ins::single_backend_list;
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use weldhub::Limiter;
@@ -64,7 +64,7 @@
         bounds,
         log,
     );
-    spawn_local(engine.run(Some(one_ready("s1", "127.0.0.1:1".parse().unwrap()))));
+    spawn_local(engine.run(Some(single_backend_list("s1", "127.0.0.1:1".parse().unwrap()))));
     EngineHarness { exchange, commands, counter_calls }
 }
 
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -32,7 +32,7 @@
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
     let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
-    spawn_local(node::serve_authz(config, listener, quiet(), ways, std::future::pending()));
+    spawn_local(node::serve_authz(config, listener, discarding_logger(), ways, std::future::pending()));
     at
 }
 
@@ -381,7 +381,7 @@
         let config = config(&consul, &[]);
         let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
         let stopped = async { drop(stopped.await) };
-        let running = spawn_local(node::serve_authz(config, listener, quiet(), ways, stopped));
+        let running = spawn_local(node::serve_authz(config, listener, discarding_logger(), ways, stopped));
         let asking = spawn_local(check(at, message(MOVE, 1), LONG));
         authoriser.called.notified().await;
         stop.send(()).unwrap();
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -199,7 +199,13 @@
         let listener = listener().await;
         let at = listener.local_addr().unwrap();
         let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
-        spawn_local(weldhub::node::serve_authz(config, listener, quiet(), ways, std::future::pending()));
+        spawn_local(weldhub::node::serve_authz(
+            config,
+            listener,
+            discarding_logger(),
+            ways,
+            std::future::pending(),
+        ));
         let headers = [("x-club", "Almaty-7"), ("x-tier", "club")];
         let headers = headers.map(|(name, value)| (name.to_owned(), value.to_owned())).into();
         let http =
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -19,7 +19,7 @@
             let message = client.ask(&text).await;
             assert_eq!((status(&message), &message.body[..]), (200, &b"\x00\xffz"[..]));
             assert_eq!(header(&message, "content-type").as_deref(), Some("a/b"));
-            rested().await;
+            wait_until_reusable().await;
         }
         let got = server.got.borrow();
         let (first, second) = (&got[0].1, &got[1].1);
@@ -87,7 +87,7 @@
         for (i, last) in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"].into_iter().enumerate()
         {
             server.behave(Serve::Last(last.to_vec()));
-            rested().await;
+            wait_until_reusable().await;
             assert_eq!(status(&ask(ingress.at, &submit(&format!("b{i}"), 900)).await), 502);
             assert_eq!(server.count(), 2 + i);
         }
@@ -265,7 +265,7 @@
             server.behave(Serve::Bytes(text.clone().into_bytes()));
             let answer = ask(ingress.at, &submit(&format!("a{i}"), 900)).await;
             assert_eq!((status(&answer), &answer.body[..]), (200, &b"abc"[..]), "{i}");
-            rested().await;
+            wait_until_reusable().await;
         }
         server.behave(ok("fresh"));
         assert_eq!(&ask(ingress.at, &submit("b", 900)).await.body[..], b"fresh");
--- a/tests/schedulings.rs
+++ b/tests/schedulings.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use stand_ins::one_ready;
+use stand_ins::single_backend_list;
 use std::cell::Cell;
 use tokio::sync::{mpsc, oneshot};
 use weldhub::entries::{BackendList, backend_id};
@@ -11,7 +11,7 @@
 use weldhub::net::attempts::{Attempts, Job, Stage};
 
 fn list(state: BackendState) -> BackendList {
-    let mut list = one_ready("s1", "127.0.0.1:1".parse().unwrap());
+    let mut list = single_backend_list("s1", "127.0.0.1:1".parse().unwrap());
     list.entries[0].entry.state = state;
     list
 }
--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -41,7 +41,7 @@
     let (stop, stopped) = oneshot::channel();
     let stopped = async move { drop(stopped.await) };
     let (_ways, ways) = watch::channel(config.reloadable());
-    let running = spawn_local(node::serve(config, listener, quiet(), ways, stopped));
+    let running = spawn_local(node::serve(config, listener, discarding_logger(), ways, stopped));
     while status(&get(at, "/ready").await) != 200 {}
     Ingress { at, stop, running }
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -57,7 +57,7 @@
         .into()
 }
 
-pub fn quiet() -> slog::Logger {
+pub fn discarding_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
@@ -90,8 +90,8 @@
     });
 }
 
-/// Deadlines that are swept as an engine does it, for a part that runs alone.
-pub fn swept() -> Deadlines {
+/// Deadlines that are swept_deadlines as an engine does it, for a part that runs alone.
+pub fn swept_deadlines() -> Deadlines {
     let deadlines = Deadlines::new(Clock::new());
     let sweeping = deadlines.clone();
     spawn_local(async move {
@@ -104,7 +104,7 @@
 }
 
 /// A list of one ready real server.
-pub fn one_ready(name: &str, at: SocketAddr) -> BackendList {
+pub fn single_backend_list(name: &str, at: SocketAddr) -> BackendList {
     let entry = BackendEntry {
         backend: backend_id(name),
         state: BackendState::Ready,
@@ -118,7 +118,7 @@
 }
 
 /// Longer than a connection to a real server rests after an answer: it may carry another flow then.
-pub async fn rested() {
+pub async fn wait_until_reusable() {
     tokio::time::sleep(std::time::Duration::from_millis(80)).await;
 }
 
--- a/tests/told_in_time.rs
+++ b/tests/told_in_time.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use socket2::SockRef;
 use stand_ins::ingress::ingress_config;
-use stand_ins::{listener, local, message, quiet, swept};
+use stand_ins::{discarding_logger, listener, local, message, swept_deadlines};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -138,7 +138,8 @@
         let (ways, moved) = watch::channel(config.reloadable());
         let agent = ReloadableAddress::new(&moved, agent, |ways| ways.discovery);
         let site = config.instance.site;
-        let discovery = Discovery { agent, site, deadlines: swept(), seed, log: quiet() };
+        let discovery =
+            Discovery { agent, site, deadlines: swept_deadlines(), seed, log: discarding_logger() };
         let (tell, told) = mpsc::unbounded_channel();
         let known = (!seed.is_multiple_of(3)).then_some(41);
         let running = spawn_local(discovery.run(known, move |list| drop(tell.send(list))));
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -61,10 +61,11 @@
     text["settings"]["balancers"] = json!(instances);
     text["settings"]["membershipMode"] = json!(if on_request { "on_request" } else { "pushed" });
     let config = Config::read(&text.to_string(), |_| None).unwrap();
-    let deadlines = swept();
+    let deadlines = swept_deadlines();
     let (ways, moved) = watch::channel(config.reloadable());
     let agent = ReloadableAddress::new(&moved, agent, |ways| ways.discovery);
-    let discovery = Discovery { agent, site: config.instance.site, deadlines, seed, log: quiet() };
+    let discovery =
+        Discovery { agent, site: config.instance.site, deadlines, seed, log: discarding_logger() };
     let (tell, tells) = mpsc::unbounded_channel();
     let running = spawn_local(discovery.run(Some(41), move |list| drop(tell.send(list))));
     (ways, tells, running)
