--- a/tests/stand_ins/consul.rs
+++ b/tests/stand_ins/consul.rs
@@ -1,5 +1,6 @@
-//! A stand-in Consul agent: the health and the catalogue of services by blocking queries, after Consul's published HTTP
-//! API, with faults, and a script with a clock. By hand: `cargo run --example stand_in_consul -- SCRIPT`.
+//! A stand-in for a Consul agent. It answers blocking queries on the health and the catalogue of services as Consul's
+//! published HTTP API describes, can be made to fail, and can run a timed script. To start it by hand:
+//! `cargo run --example stand_in_consul -- SCRIPT`.
 
 use bytes::BytesMut;
 use serde::Deserialize;
@@ -15,56 +16,60 @@
 use tokio::task::spawn_local;
 use weldhub::net::http::{MessageKind, take_message};
 
-/// What is wrong with the agent.
+/// A way in which the agent fails to answer one kind of query.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// It answers correctly.
     None,
-    /// It answers nothing, and takes connections all the same.
+    /// It accepts connections but never answers.
     Silent,
-    /// It answers so many milliseconds late.
+    /// It answers after this delay, in milliseconds.
     Late(u64),
-    /// It ends in the middle of an answer.
+    /// It closes the connection in the middle of the answer.
     Half,
-    /// It answers with this status.
+    /// It answers with this HTTP status.
     Status(u16),
-    /// Its bodies have no end.
+    /// It sends a chunked body that does not end.
     Endless,
 }
 
+/// StepAction the agent answers at present.
 #[derive(Debug, Clone)]
 struct State {
+    /// Consul's index of the last change (`X-Consul-Index`).
     index: u64,
-    /// The instances by service; those of the empty name are every other service's.
+    /// The instances by service name; the entry under the empty name stands for every service without its own.
     services: BTreeMap<String, Vec<Value>>,
     health: Fault,
     catalogue: Fault,
 }
 
-/// The agent.
+/// A running stand-in agent; clones share its state.
 #[derive(Clone)]
 pub struct Consul {
+    /// The address that the agent listens on.
     pub at: SocketAddr,
     state: watch::Sender<State>,
+    /// Closes all connections when it is sent to.
     cut: watch::Sender<()>,
-    /// The targets that were asked for.
+    /// The targets of the requests received, in order.
     pub asked: Rc<RefCell<Vec<String>>>,
-    /// The tokens that came.
+    /// The `X-Consul-Token` values received, in order.
     pub tokens: Rc<RefCell<Vec<String>>>,
-    /// What the health answer says in place of the truth.
+    /// The status and body of health answers; `None` if they follow the state.
     pub health_override: Rc<RefCell<Option<(u16, String)>>>,
-    /// Header lines of its answers, each with its end.
+    /// Header lines added to every answer, each with its line end.
     pub extra_headers: Rc<RefCell<String>>,
-    /// The longest that a query blocks, whatever it asks for.
+    /// The upper bound on how long a query blocks, whatever `wait` it asks for.
     pub max_wait: Rc<Cell<Duration>>,
     /// When the last byte of the last health answer was written.
     pub last_health_answer: Rc<Cell<Option<Instant>>>,
-    /// Bytes of answers, heads included.
+    /// The number of bytes written in answers, heads included.
     pub bytes: Rc<Cell<u64>>,
 }
 
-/// An instance as Consul lists it.
+/// Returns an instance as Consul's health endpoint lists it.
 pub fn instance(id: &str, at: SocketAddr, cell: u16, status: &str) -> Value {
     json!({
         "Node": {"Node": "n1", "Address": "127.0.0.1"},
@@ -74,8 +79,8 @@
     })
 }
 
-/// The same instances as the catalogue lists them.
-fn catalogued(health: &[Value]) -> Value {
+/// Returns the same instances as Consul's catalogue lists them.
+fn catalogue_entries(health: &[Value]) -> Value {
     let entry = |e: &Value| {
         json!({"Node": e["Node"]["Node"], "Address": e["Node"]["Address"], "ServiceID": e["Service"]["ID"],
             "ServiceAddress": e["Service"]["Address"], "ServicePort": e["Service"]["Port"]})
@@ -84,6 +89,7 @@
 }
 
 impl Consul {
+    /// Starts an agent that lists `instances` for every service.
     pub async fn start(instances: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let this = Self::new(listener.local_addr().unwrap(), instances);
@@ -96,7 +102,7 @@
         this
     }
 
-    /// One that speaks TLS only; its certificate is its own authority.
+    /// Starts an agent that accepts TLS only, with a self-signed certificate for `names`; returns the certificate in PEM.
     pub async fn start_tls(instances: Vec<Value>, names: &[&str]) -> (Self, String) {
         use tokio_rustls::rustls::{ServerConfig, crypto::ring::default_provider};
         let names: Vec<String> = names.iter().map(|name| (*name).to_owned()).collect();
@@ -122,6 +128,7 @@
         (this, signed.cert.pem())
     }
 
+    /// Creates an agent for the address `at`; the caller accepts its connections and calls [`Self::serve`].
     pub fn new(at: SocketAddr, instances: Vec<Value>) -> Self {
         let services = [(String::new(), instances)].into();
         let state = State { index: 10, services, health: Fault::None, catalogue: Fault::None };
@@ -139,12 +146,12 @@
         }
     }
 
-    /// The instances from now on; the index moves on, or is set.
+    /// Replaces the instances of the services that have no list of their own, and sets the index (`None` adds one).
     pub fn set(&self, index: Option<u64>, instances: Vec<Value>) {
         self.set_service("", index, instances);
     }
 
-    /// Those of one service.
+    /// Replaces the instances of one service, and sets the index (`None` adds one).
     pub fn set_service(&self, service: &str, index: Option<u64>, instances: Vec<Value>) {
         self.state.send_modify(|state| {
             state.index = index.unwrap_or(state.index + 1);
@@ -152,21 +159,22 @@
         });
     }
 
-    /// What is wrong with its answers on health and of its catalogue from now on, blocked queries included.
+    /// Sets the faults of health answers and catalogue answers; they apply to queries that are blocked now, too.
     pub fn fail(&self, health: Fault, catalogue: Fault) {
         self.state.send_modify(|state| (state.health, state.catalogue) = (health, catalogue));
     }
 
-    /// All connections end at once, as when the process dies.
+    /// Closes all connections at once, as if the process had died.
     pub fn die(&self) {
         self.cut.send_replace(());
     }
 
-    /// How often this part of the API was asked for.
+    /// The number of requests whose target contains `path`.
     pub fn count(&self, path: &str) -> usize {
         self.asked.borrow().iter().filter(|target| target.contains(path)).count()
     }
 
+    /// Answers the requests on one connection until either side closes it.
     pub async fn serve(self, mut stream: impl AsyncRead + AsyncWrite + Unpin) {
         let mut cut = self.cut.subscribe();
         tokio::select! {
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Answers one request; none where the connection has ended, or is to.
+    /// Answers one request; `None` if the connection has ended or has to be closed.
     async fn answer(&self, stream: &mut (impl AsyncRead + AsyncWrite + Unpin)) -> Option<()> {
         let mut buffer = BytesMut::new();
         let request = loop {
@@ -191,38 +199,41 @@
         let token = request.head.get("x-consul-token");
         self.tokens.borrow_mut().extend(token.map(|token| String::from_utf8_lossy(token).into_owned()));
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
-        let said = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-        let index = said("index").and_then(|index| index.parse::<u64>().ok());
+        let parameter =
+            |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+        let index = parameter("index").and_then(|index| index.parse::<u64>().ok());
         let health = path.starts_with("/v1/health/service/");
         let mut state = self.state.subscribe();
         if let Some(known) = index.filter(|_| self.health_override.borrow().is_none()) {
-            let wait = said("wait").and_then(|wait| wait.strip_suffix("ms")?.parse().ok()).unwrap_or(300_000);
-            // As Consul does it: up to a sixteenth more.
+            let wait =
+                parameter("wait").and_then(|wait| wait.strip_suffix("ms")?.parse().ok()).unwrap_or(300_000);
+            // Consul adds up to a sixteenth of jitter.
             let wait = Duration::from_millis(wait + wait / 16).min(self.max_wait.get());
             let ready = |state: &State| state.index != known || state.health != Fault::None;
             let _ = tokio::time::timeout(wait, state.wait_for(ready)).await;
         }
-        let State { index, services, health: on_health, catalogue } = state.borrow_and_update().clone();
+        let State { index, services, health: health_fault, catalogue: catalogue_fault } =
+            state.borrow_and_update().clone();
         let name = path.rsplit('/').next().unwrap_or_default();
         let list = services.get(name).or_else(|| services.get("")).cloned().unwrap_or_default();
-        let lie = self.health_override.borrow().clone().filter(|_| health);
-        let (mut status, body) =
-            lie.unwrap_or((200, if health { Value::from(list) } else { catalogued(&list) }.to_string()));
-        let fault = if health { on_health } else { catalogue };
+        let health_override = self.health_override.borrow().clone().filter(|_| health);
+        let (mut status, body) = health_override
+            .unwrap_or((200, if health { Value::from(list) } else { catalogue_entries(&list) }.to_string()));
+        let fault = if health { health_fault } else { catalogue_fault };
         match fault {
             Fault::Silent => std::future::pending().await,
             Fault::Late(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             Fault::Status(other) => status = other,
             _ => {}
         }
-        let says = self.extra_headers.borrow().clone();
-        let head = format!("HTTP/1.1 {status} X\r\nX-Consul-Index: {index}\r\n{says}");
+        let extra_headers = self.extra_headers.borrow().clone();
+        let head = format!("HTTP/1.1 {status} X\r\nX-Consul-Index: {index}\r\n{extra_headers}");
         let mut text = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
         if fault == Fault::Endless {
             text = format!("{head}Transfer-Encoding: chunked\r\n\r\n");
             stream.write_all(text.as_bytes()).await.ok()?;
             let piece = [format!("{:x}\r\n", 1 << 20).as_bytes(), &vec![b' '; 1 << 20], b"\r\n"].concat();
-            // Bounded all the same.
+            // Bounded, so that a client that reads everything does not keep the test running.
             for _ in 0..64 {
                 stream.write_all(&piece).await.ok()?;
             }
@@ -238,32 +249,37 @@
     }
 }
 
-/// A script: what is there at first, and what happens when.
+/// A script: the instances at the start, and the changes and faults that follow at set times.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Where to listen.
-    #[serde(default = "anywhere")]
+    /// The address to listen on; a port of the system's choice on loopback by default.
+    #[serde(default = "any_loopback_port")]
     pub listen: SocketAddr,
-    /// It ends then.
+    /// The time at which the script ends, in milliseconds from its start.
     pub end_ms: u64,
-    pub instances: Vec<Listed>,
+    /// The instances listed at the start.
+    pub instances: Vec<ScriptedInstance>,
+    /// The changes, in any order.
     #[serde(default)]
     pub steps: Vec<Step>,
 }
 
-fn anywhere() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
+/// An instance of a service in a script.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listed {
+pub struct ScriptedInstance {
     pub service: String,
     pub id: String,
     pub address: SocketAddr,
+    /// The status of its check: `passing`, `warning` or `critical`.
     #[serde(default = "passing")]
     pub status: String,
+    /// Whether a step has removed it from the list.
     #[serde(skip)]
     gone: bool,
 }
@@ -272,40 +288,45 @@
     "passing".into()
 }
 
+/// A change or fault of a script.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
+    /// The time of the step, in milliseconds from the start.
     pub at_ms: u64,
-    /// Again and again: every so many milliseconds, so often.
+    /// The interval between repetitions, in milliseconds.
     #[serde(default)]
     pub every_ms: u64,
+    /// The number of repetitions after the first time.
     #[serde(default)]
     pub times: u64,
     #[serde(rename = "do")]
-    pub what: What,
+    pub action: StepAction,
 }
 
+/// What a step does.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
-    /// The checks of these instances say this; `gone` and `flap` (from well to critical and back) are states, too.
-    Set {
-        ids: Vec<String>,
-        status: String,
-    },
+pub enum StepAction {
+    /// Sets the check status of these instances. `gone` removes them from the list, and `flap` switches a passing
+    /// instance to critical and any other to passing.
+    Set { ids: Vec<String>, status: String },
+    /// Sets the fault of health answers.
     Health(Fault),
+    /// Sets the fault of catalogue answers.
     Catalogue(Fault),
-    /// The index goes back to 1.
+    /// Sets the index back to 1.
     IndexReset,
+    /// Closes all connections.
     Die,
 }
 
 impl Script {
-    /// Reads a script, in TOML; an error names the key.
+    /// Parses a script in TOML; an error names the key at fault.
     pub fn read(text: &str) -> Result<Self, String> {
         let script: Self = toml::from_str(text).map_err(|e| e.to_string().replace('\n', " "))?;
         for step in &script.steps {
-            if let What::Set { ids, .. } = &step.what
+            if let StepAction::Set { ids, .. } = &step.action
                 && let Some(id) = ids.iter().find(|id| script.instances.iter().all(|i| i.id != **id))
             {
                 return Err(format!("steps: ids: {id} is no instance"));
@@ -314,12 +335,12 @@
         Ok(script)
     }
 
-    /// Every step by its time.
-    fn times(&self) -> Vec<(u64, What)> {
+    /// Returns every action with its time in milliseconds, repetitions included, in order of time.
+    fn timeline(&self) -> Vec<(u64, StepAction)> {
         let all = self
             .steps
             .iter()
-            .flat_map(|step| (0..=step.times).map(|n| (step.at_ms + n * step.every_ms, step.what.clone())));
+            .flat_map(|step| (0..=step.times).map(|n| (step.at_ms + n * step.every_ms, step.action.clone())));
         let mut all: Vec<_> = all.collect();
         all.sort_by_key(|(at, _)| *at);
         all
@@ -327,35 +348,36 @@
 }
 
 impl Consul {
-    /// Plays a script from now on, to its end.
+    /// Runs a script from now to its end.
     pub async fn play(&self, script: &Script) {
         let mut instances = script.instances.clone();
         let start = tokio::time::Instant::now();
-        self.list(&instances, None);
-        for (at, what) in script.times() {
+        self.publish(&instances, None);
+        for (at, action) in script.timeline() {
             tokio::time::sleep_until(start + Duration::from_millis(at)).await;
-            match what {
-                What::Set { ids, status } => {
-                    for listed in instances.iter_mut().filter(|listed| ids.contains(&listed.id)) {
-                        listed.gone = status == "gone";
-                        listed.status = match status.as_str() {
-                            "flap" if listed.status == "passing" => "critical".into(),
+            match action {
+                StepAction::Set { ids, status } => {
+                    for instance in instances.iter_mut().filter(|instance| ids.contains(&instance.id)) {
+                        instance.gone = status == "gone";
+                        instance.status = match status.as_str() {
+                            "flap" if instance.status == "passing" => "critical".into(),
                             "flap" => "passing".into(),
                             other => other.into(),
                         };
                     }
-                    self.list(&instances, None);
+                    self.publish(&instances, None);
                 }
-                What::Health(fault) => self.state.send_modify(|state| state.health = fault),
-                What::Catalogue(fault) => self.state.send_modify(|state| state.catalogue = fault),
-                What::IndexReset => self.list(&instances, Some(1)),
-                What::Die => self.die(),
+                StepAction::Health(fault) => self.state.send_modify(|state| state.health = fault),
+                StepAction::Catalogue(fault) => self.state.send_modify(|state| state.catalogue = fault),
+                StepAction::IndexReset => self.publish(&instances, Some(1)),
+                StepAction::Die => self.die(),
             }
         }
         tokio::time::sleep_until(start + Duration::from_millis(script.end_ms)).await;
     }
 
-    fn list(&self, instances: &[Listed], index: Option<u64>) {
+    /// Publishes the listed instances by service, and sets the index (`None` adds one for each service).
+    fn publish(&self, instances: &[ScriptedInstance], index: Option<u64>) {
         let mut services: BTreeMap<String, Vec<Value>> = BTreeMap::new();
         for listed in instances {
             let service = services.entry(listed.service.clone()).or_default();
