--- a/tests/stand_ins/program.rs
+++ b/tests/stand_ins/program.rs
@@ -1,4 +1,4 @@
-//! The program itself, started for a test.
+//! The `weldhub` program as a child process of a test.
 
 use super::*;
 use std::io::{BufRead, BufReader};
@@ -6,10 +6,12 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use tokio::sync::mpsc;
 
-/// The program, its configuration and the lines of its log.
+/// A running `weldhub` process with its configuration file and its log. It is killed when this is dropped.
 pub struct Program {
     pub child: Child,
+    /// The configuration file, removed on drop.
     file: PathBuf,
+    /// The lines of its standard error.
     log: mpsc::UnboundedReceiver<String>,
 }
 
@@ -22,7 +24,8 @@
 }
 
 impl Program {
-    /// Starts it with this text as its file, and the environment of the platform or of the other front.
+    /// Starts the program with `text` as its configuration file and `env` added to its environment: as the platform's
+    /// ingress, or with `--ext-authz` if `authz` is set.
     pub fn start(name: &str, text: &str, env: &[(&str, String)], authz: bool) -> Self {
         let file = Self::write(name, text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_weldhub"));
@@ -32,7 +35,7 @@
         Self::run(command, file, env)
     }
 
-    /// Starts it as the platform's ingress under a limit of the shell's, such as `-n 256`.
+    /// Starts the program as the platform's ingress under `ulimit` with these arguments, such as `-n 256`.
     pub fn start_with_ulimit(name: &str, text: &str, env: &[(&str, String)], limit: &str) -> Self {
         let mut command = Command::new("/bin/sh");
         let program = env!("CARGO_BIN_EXE_weldhub");
@@ -40,12 +43,14 @@
         Self::run(command, Self::write(name, text), env)
     }
 
+    /// Writes a configuration file into the folder for temporary files.
     fn write(name: &str, text: &str) -> PathBuf {
         let file = std::env::temp_dir().join(format!("weldhub-{}-{name}", std::process::id()));
         std::fs::write(&file, text).unwrap();
         file
     }
 
+    /// Spawns the command and collects the lines of its standard error.
     fn run(mut command: Command, file: PathBuf, env: &[(&str, String)]) -> Self {
         command.env("RELAY_CONFIG", &file).envs(env.iter().cloned()).stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
@@ -55,7 +60,7 @@
         Self { child, file, log }
     }
 
-    /// Waits for a line of the log that says this.
+    /// Waits for a log line that contains `what` and returns it; fails if the program ends without one.
     pub async fn wait_for_log(&mut self, what: &str) -> String {
         let mut others = Vec::new();
         while let Some(line) = self.log.recv().await {
@@ -64,24 +69,28 @@
             }
             others.push(line);
         }
-        panic!("it ended without saying {what}, but: {others:#?}")
+        panic!("the program ended without logging {what:?}; it logged: {others:#?}")
     }
 
+    /// Waits until the program serves and returns the address that it listens on.
     pub async fn serving(&mut self) -> SocketAddr {
         let line = self.wait_for_log("serving").await;
         line.split("listen: ").nth(1).unwrap().split(',').next().unwrap().trim().parse().unwrap()
     }
 
+    /// Sends the program the signal of this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
     }
 
+    /// Replaces the configuration file and has the program read it again (SIGHUP).
     pub fn reload_config(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal("HUP");
     }
 
+    /// Waits for the program to end and returns its exit status.
     pub async fn end(&mut self) -> ExitStatus {
         while self.log.recv().await.is_some() {}
         self.child.wait().unwrap()
