--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -1,4 +1,4 @@
-//! An ingress of the platform for tests, what it is told, and its clients.
+//! The platform's ingress running inside a test, its configuration, and HTTP clients for it.
 
 use super::*;
 use serde_json::{Value, json};
@@ -7,7 +7,8 @@
 use weldhub::config::Config;
 use weldhub::node;
 
-/// What an ingress is told, with `known` as its list and a plan of 27 units at once that never fill again.
+/// The configuration of an ingress, in the platform's JSON, with `known` as its list of backends and a plan whose
+/// burst is 27 units and whose rate (0.001 units a second) is too low to refill it during a test.
 pub fn ingress_config(agent: SocketAddr, known: Vec<Value>) -> Value {
     let class = |name: &str, give_up: f64, effect: &str| json!({"name": name, "aim": 600.0, "giveUp": give_up, "effect": effect, "group": "cell", "window": 6000.0});
     json!({
@@ -28,70 +29,84 @@
     })
 }
 
+/// An ingress that runs on the test's thread.
 pub struct Ingress {
+    /// The address that it listens on.
     pub at: SocketAddr,
+    /// Stops it when sent to or dropped.
     pub stop: oneshot::Sender<()>,
+    /// Ends with the result of `node::serve`.
     pub running: JoinHandle<std::io::Result<()>>,
 }
 
-pub async fn start(told: &Value) -> Ingress {
-    let config = Config::read(&told.to_string(), |_| None).unwrap();
+/// Starts an ingress with this configuration and waits until it is ready.
+pub async fn start(settings: &Value) -> Ingress {
+    let config = Config::read(&settings.to_string(), |_| None).unwrap();
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel();
     let stopped = async move { drop(stopped.await) };
-    let (_ways, ways) = watch::channel(config.reloadable());
-    let running = spawn_local(node::serve(config, listener, discarding_logger(), ways, stopped));
+    let (_updates, reloadable) = watch::channel(config.reloadable());
+    let running = spawn_local(node::serve(config, listener, discarding_logger(), reloadable, stopped));
     while status(&get(at, "/ready").await) != 200 {}
     Ingress { at, stop, running }
 }
 
-/// An ingress with one real server.
+/// Starts an ingress with one backend.
 pub async fn start_with_backend(manner: Serve) -> (Backend, Ingress, Agent) {
-    let (server, agent) = (Backend::start(manner).await, Agent::start().await);
+    let (backend, agent) = (Backend::start(manner).await, Agent::start().await);
     let ingress =
-        start(&ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")])).await;
-    (server, ingress, agent)
+        start(&ingress_config(agent.at, vec![service_entry("s1", backend.at, 0, "in_service")])).await;
+    (backend, ingress, agent)
 }
 
-/// A client's connection.
+/// A client's connection, with the bytes read but not parsed yet.
 pub struct Client(pub TcpStream, pub BytesMut);
 
 impl Client {
+    /// Connects to the ingress at this address.
     pub async fn new(at: SocketAddr) -> Self {
         Self(TcpStream::connect(at).await.unwrap(), BytesMut::new())
     }
 
+    /// Sends bytes without waiting for an answer.
     pub async fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.unwrap();
     }
 
+    /// Waits for the next answer; `None` if the connection has ended.
     pub async fn answer(&mut self) -> Option<Message> {
         message(&mut self.0, &mut self.1, MessageKind::Response).await
     }
 
+    /// Sends a request and waits for its answer.
     pub async fn ask(&mut self, text: &str) -> Message {
         self.send(text).await;
         self.answer().await.unwrap()
     }
 }
 
+/// Sends a request over a new connection and waits for its answer.
 pub async fn ask(at: SocketAddr, text: &str) -> Message {
     Client::new(at).await.ask(text).await
 }
 
+/// Sends a `GET` for `path` over a new connection and waits for its answer.
 pub async fn get(at: SocketAddr, path: &str) -> Message {
     ask(at, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n")).await
 }
 
+/// The HTTP status of an answer.
 pub fn status(message: &Message) -> u16 {
     message.head.status()
 }
 
+/// The value of a header field; `None` if it is absent.
 pub fn header(message: &Message, name: &str) -> Option<String> {
     message.head.get(name).map(|value| String::from_utf8(value.to_vec()).unwrap())
 }
 
+/// The header lines that every request needs; `timeout` is in milliseconds.
 pub fn common_headers(id: &str, timeout: u32, units: u32) -> String {
     format!(
         "Host: x\r\nRequest-Id: {id}\r\nX-Tier: club\r\nRequest-Timeout-Ms: {timeout}\r\n\
@@ -99,6 +114,7 @@
     )
 }
 
+/// A request of the class `board-state`, which is safe to repeat; `timeout` is in milliseconds.
 pub fn board(id: &str, timeout: u32, units: u32) -> String {
     format!(
         "GET /board-state/17?client=0000000000000007&x=%20y HTTP/1.1\r\n{}\r\n",
@@ -106,6 +122,7 @@
     )
 }
 
+/// A request of the class `move-submit`, which carries an idempotency key; `timeout` is in milliseconds.
 pub fn submit(id: &str, timeout: u32) -> String {
     let common = common_headers(id, timeout, 1);
     format!(
