--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what an instance talks with, written after the published protocols: authorisers, Consul, the
-//! counter, discovery and real servers. All listen on loopback, at ports of the system's choice.
+//! Stand-ins for the systems that an ingress talks to, written from the published protocols: authorisers, Consul, the
+//! counter, discovery and backends. All listen on ports of the system's choice, on loopback unless said otherwise.
 #![allow(dead_code)]
 
 pub mod admin;
@@ -36,32 +36,39 @@
 use weldhub::interface::{BackendEntry, BackendState, CellId, KindId, ZoneId};
 use weldhub::net::http::{Message, MessageKind, take_message};
 
-/// Runs a test on one thread; it fails if it takes longer than anything here may.
+/// Runs a test on one thread; it fails if the test takes longer than 60 s.
 pub fn local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let limited = async { tokio::time::timeout(std::time::Duration::from_secs(60), test).await.unwrap() };
-    LocalSet::new().block_on(&runtime, limited);
+    let with_timeout =
+        async { tokio::time::timeout(std::time::Duration::from_secs(60), test).await.unwrap() };
+    LocalSet::new().block_on(&runtime, with_timeout);
 }
 
+/// Listens on loopback, on a port of the system's choice.
 pub async fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// A loopback address that no other test has, for what only a configuration can name. Nothing is bound to find it: a
-/// listener that is closed to make room is still held by a process that another test is just about to start.
+/// Returns a loopback address that no other test uses, for addresses that have to stand in a configuration file before
+/// anything listens there. It is computed from the process id, not found by binding and closing a listener: a process
+/// that another test starts at that moment inherits the listener, which would keep the port in use.
 pub fn own_address() -> SocketAddr {
     static LAST: AtomicU16 = AtomicU16::new(0);
     let [low, high, ..] = std::process::id().to_le_bytes();
-    let [number, more] = LAST.fetch_add(1, Ordering::Relaxed).to_le_bytes();
-    (Ipv4Addr::new(127, 128 | high, low, number.max(1)), 7000 + u16::from(more) * 2 + u16::from(number == 0))
+    let [low_count, high_count] = LAST.fetch_add(1, Ordering::Relaxed).to_le_bytes();
+    (
+        Ipv4Addr::new(127, 128 | high, low, low_count.max(1)),
+        7000 + u16::from(high_count) * 2 + u16::from(low_count == 0),
+    )
         .into()
 }
 
+/// Returns a logger that drops all records.
 pub fn discarding_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-/// The next message on a stream; none once it has ended.
+/// Reads the next message from a stream; `None` if the stream has ended.
 pub async fn message(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -77,7 +84,7 @@
     }
 }
 
-/// Lets somebody serve every connection that comes.
+/// Accepts connections and runs `serve` for each, in a task of its own.
 fn serve_each<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
     mut serve: impl FnMut(TcpStream) -> F + 'static,
@@ -90,7 +97,7 @@
     });
 }
 
-/// Deadlines that are swept_deadlines as an engine does it, for a part that runs alone.
+/// Returns deadlines whose expired entries are removed as the engine does it, for a component that runs without one.
 pub fn swept_deadlines() -> Deadlines {
     let deadlines = Deadlines::new(Clock::new());
     let sweeping = deadlines.clone();
@@ -103,7 +110,7 @@
     deadlines
 }
 
-/// A list of one ready real server.
+/// Returns a complete list of one ready backend.
 pub fn single_backend_list(name: &str, at: SocketAddr) -> BackendList {
     let entry = BackendEntry {
         backend: backend_id(name),
@@ -117,50 +124,59 @@
     BackendList { generation: 1, complete: true, entries: vec![ServiceEntry { entry, address: Some(at) }] }
 }
 
-/// Longer than a connection to a real server rests after an answer: it may carry another flow then.
+/// Waits until a connection to a backend may carry another request: it is held back for a while after each answer, and
+/// this waits longer than that.
 pub async fn wait_until_reusable() {
     tokio::time::sleep(std::time::Duration::from_millis(80)).await;
 }
 
-/// Waits until something is so.
-pub async fn until(mut so: impl FnMut() -> bool) {
-    while !so() {
+/// Waits until a condition holds, checking it every 2 ms.
+pub async fn until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(std::time::Duration::from_millis(2)).await;
     }
 }
 
-/// How an authoriser behaves.
+/// How the stand-in for an authoriser treats a call.
 #[derive(Debug, Clone)]
 pub enum AuthoriserMode {
+    /// It answers with this message.
     Answer(Bytes),
+    /// It fails the call with this gRPC status.
     Fail(tonic::Code),
+    /// It never answers.
     Stall,
-    /// It closes its connections in the middle of a call.
+    /// It closes all its connections in the middle of the call.
     Disconnect,
-    /// The first of those that share the flag does, once; all others answer.
+    /// The first call to any authoriser that shares the flag is treated as by `Disconnect`; all later ones are answered
+    /// with this message.
     DisconnectOnce(Arc<AtomicBool>, Bytes),
 }
 
+/// The calls received: each message with its `grpc-timeout`, if any.
 type Calls = Arc<Mutex<Vec<(Bytes, Option<String>)>>>;
 
-/// An authoriser.
+/// A stand-in for an external authorisation server, over gRPC; clones share its state.
 #[derive(Clone)]
 pub struct Authoriser {
+    /// The address that it listens on.
     pub at: SocketAddr,
-    manner: Arc<Mutex<AuthoriserMode>>,
-    /// The checks that it got, with their time-outs.
+    mode: Arc<Mutex<AuthoriserMode>>,
+    /// The checks received, with their timeouts.
     pub calls: Calls,
+    /// Notified when a check is received.
     pub called: Arc<Notify>,
-    /// When the last one came.
+    /// When the last check was received.
     pub last: Arc<Mutex<Option<std::time::Instant>>>,
-    /// Calls that were dropped before an answer.
+    /// Notified when a call ends, answered or cancelled.
     pub dropped: Arc<Notify>,
     connections: Arc<Mutex<Vec<AbortHandle>>>,
 }
 
-struct Dropped(Arc<Notify>);
+/// Notifies when it is dropped.
+struct NotifyOnDrop(Arc<Notify>);
 
-impl Drop for Dropped {
+impl Drop for NotifyOnDrop {
     fn drop(&mut self) {
         self.0.notify_one();
     }
@@ -175,15 +191,17 @@
         self.calls.lock().unwrap().push((request.into_inner(), timeout));
         self.called.notify_one();
         *self.last.lock().unwrap() = Some(std::time::Instant::now());
-        let manner = self.manner.lock().unwrap().clone();
-        let (connections, dropped) = (self.connections.clone(), Dropped(self.dropped.clone()));
+        let mode = self.mode.lock().unwrap().clone();
+        let (connections, dropped) = (self.connections.clone(), NotifyOnDrop(self.dropped.clone()));
         Box::pin(async move {
             let _dropped = dropped;
-            match manner {
+            match mode {
                 AuthoriserMode::Answer(bytes) => return Ok(Response::new(bytes)),
                 AuthoriserMode::Fail(code) => return Err(Status::new(code, "as told")),
                 AuthoriserMode::Stall => {}
-                AuthoriserMode::DisconnectOnce(done, bytes) if done.swap(true, Ordering::Relaxed) => {
+                AuthoriserMode::DisconnectOnce(disconnected, bytes)
+                    if disconnected.swap(true, Ordering::Relaxed) =>
+                {
                     return Ok(Response::new(bytes));
                 }
                 AuthoriserMode::Disconnect | AuthoriserMode::DisconnectOnce(..) => {
@@ -196,11 +214,12 @@
 }
 
 impl Authoriser {
-    pub async fn start(manner: AuthoriserMode) -> Self {
+    /// Starts an authoriser on loopback.
+    pub async fn start(mode: AuthoriserMode) -> Self {
         let listener = listener().await;
         let this = Self {
             at: listener.local_addr().unwrap(),
-            manner: Arc::new(Mutex::new(manner)),
+            mode: Arc::new(Mutex::new(mode)),
             calls: Calls::default(),
             called: Arc::default(),
             last: Arc::default(),
@@ -228,38 +247,42 @@
         this
     }
 
-    pub fn behave(&self, manner: AuthoriserMode) {
-        *self.manner.lock().unwrap() = manner;
+    /// Sets how it treats calls received from now on.
+    pub fn behave(&self, mode: AuthoriserMode) {
+        *self.mode.lock().unwrap() = mode;
     }
 
+    /// The number of checks received.
     pub fn count(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 }
 
-/// A cable to somebody: passes bytes on, until it is cut for the connections that it carries.
+/// A TCP relay to another address. After a cut, the connections open at that moment stay open but carry nothing more.
 pub struct Cable {
+    /// The address that it listens on.
     pub at: SocketAddr,
     cut: watch::Sender<()>,
 }
 
 impl Cable {
-    pub async fn to(there: SocketAddr) -> Self {
+    /// Starts a relay to `target`.
+    pub async fn to(target: SocketAddr) -> Self {
         let listener = listener().await;
         let this = Self { at: listener.local_addr().unwrap(), cut: watch::Sender::new(()) };
         let mut cut = this.cut.subscribe();
         spawn_local(async move {
             loop {
-                let (mut here, _) = listener.accept().await.unwrap();
+                let (mut client, _) = listener.accept().await.unwrap();
                 let mut cut = {
                     cut.borrow_and_update();
                     cut.clone()
                 };
                 spawn_local(async move {
-                    let mut there = TcpStream::connect(there).await.unwrap();
+                    let mut server = TcpStream::connect(target).await.unwrap();
                     tokio::select! {
-                        _ = tokio::io::copy_bidirectional(&mut here, &mut there) => {}
-                        // Both ends stay open, and nothing passes.
+                        _ = tokio::io::copy_bidirectional(&mut client, &mut server) => {}
+                        // Both connections stay open, but nothing is relayed.
                         _ = cut.changed() => std::future::pending().await,
                     }
                 });
@@ -268,20 +291,25 @@
         this
     }
 
+    /// Stops relaying on the connections that are open now; new ones are relayed.
     pub fn cut(&self) {
         self.cut.send_replace(());
     }
 }
 
-/// The counter; it adds what it is told to, and answers nothing while it is silent.
+/// A stand-in for the fleet's shared counter: adds amounts to numbers by name.
 #[derive(Clone)]
 pub struct Counter {
+    /// The address that it listens on.
     pub at: SocketAddr,
+    /// The totals by name.
     pub numbers: Rc<RefCell<BTreeMap<String, f64>>>,
+    /// The number of additions.
     pub calls: Rc<Cell<usize>>,
 }
 
 impl Counter {
+    /// Starts a counter on loopback, with no totals.
     pub async fn start() -> Self {
         let listener = listener().await;
         let (numbers, calls) = Default::default();
@@ -291,6 +319,7 @@
         this
     }
 
+    /// Answers the lines of one connection until it ends.
     async fn answer(self, stream: TcpStream) {
         use tokio::io::{AsyncBufReadExt, BufReader};
         let mut stream = BufReader::new(stream);
@@ -314,62 +343,66 @@
     }
 }
 
-/// How a real server behaves on a request.
+/// How the stand-in for a backend treats a request.
 #[derive(Debug, Clone)]
 pub enum Serve {
-    /// These bytes, and the connection goes on.
+    /// It writes these bytes and keeps the connection open.
     Bytes(Vec<u8>),
-    /// These bytes, then the end of the connection.
+    /// It writes these bytes and closes the connection.
     Last(Vec<u8>),
-    /// A good answer with this body, after a time.
+    /// It answers 200 with this body after a delay.
     Late(std::time::Duration, String),
-    /// Nothing.
+    /// It never answers.
     Stall,
 }
 
+/// An answer 200 with this body, on a connection that stays open.
 pub fn ok(body: &str) -> Serve {
     Serve::Bytes(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes())
 }
 
-/// A real server.
+/// A stand-in for a backend, over HTTP/1.1; clones share its state.
 #[derive(Clone)]
 pub struct Backend {
+    /// The address that it listens on.
     pub at: SocketAddr,
-    manner: Rc<RefCell<Serve>>,
-    /// The requests that came whole, each with the number of its connection.
+    mode: Rc<RefCell<Serve>>,
+    /// The requests received in full, each with the number of its connection, from 0.
     pub got: Rc<RefCell<Vec<(usize, Message)>>>,
-    /// Connections opened, and those that the other side has closed.
+    /// The number of connections accepted, and of those that the other side has closed.
     pub connections: Rc<Cell<[usize; 2]>>,
 }
 
 impl Backend {
-    pub async fn start(manner: Serve) -> Self {
-        Self::on(listener().await, manner)
+    /// Starts a backend on loopback.
+    pub async fn start(mode: Serve) -> Self {
+        Self::on(listener().await, mode)
     }
 
-    /// One at all addresses of this machine's.
-    pub async fn on_all(manner: Serve) -> Self {
-        Self::on(TcpListener::bind("0.0.0.0:0").await.unwrap(), manner)
+    /// Starts a backend that listens on all addresses of the machine.
+    pub async fn on_all(mode: Serve) -> Self {
+        Self::on(TcpListener::bind("0.0.0.0:0").await.unwrap(), mode)
     }
 
-    fn on(listener: TcpListener, manner: Serve) -> Self {
+    fn on(listener: TcpListener, mode: Serve) -> Self {
         let (got, connections) = Default::default();
-        let manner = Rc::new(RefCell::new(manner));
-        let this = Self { at: listener.local_addr().unwrap(), manner, got, connections };
+        let mode = Rc::new(RefCell::new(mode));
+        let this = Self { at: listener.local_addr().unwrap(), mode, got, connections };
         let serving = this.clone();
         serve_each(listener, move |stream| serving.clone().serve(stream));
         this
     }
 
+    /// Serves the requests of one connection until either side closes it.
     async fn serve(self, mut stream: TcpStream) {
         let [number, closed] = self.connections.get();
         self.connections.set([number + 1, closed]);
         let mut buffer = BytesMut::new();
         while let Some(message) = message(&mut stream, &mut buffer, MessageKind::Request).await {
             self.got.borrow_mut().push((number, message));
-            let manner = self.manner.borrow().clone();
-            match manner {
-                // The other side may close in the middle of it.
+            let mode = self.mode.borrow().clone();
+            match mode {
+                // The other side may close the connection while the answer is written.
                 Serve::Bytes(bytes) if stream.write_all(&bytes).await.is_err() => break,
                 Serve::Bytes(_) => {}
                 Serve::Last(bytes) => {
@@ -389,31 +422,36 @@
         self.connections.set([opened, closed + 1]);
     }
 
-    pub fn behave(&self, manner: Serve) {
-        *self.manner.borrow_mut() = manner;
+    /// Sets how it treats requests received from now on.
+    pub fn behave(&self, mode: Serve) {
+        *self.mode.borrow_mut() = mode;
     }
 
+    /// The number of requests received in full.
     pub fn count(&self) -> usize {
         self.got.borrow().len()
     }
 }
 
-/// A service entry in discovery's form.
+/// Returns a service entry in discovery's JSON format.
 pub fn service_entry(name: &str, at: SocketAddr, cell: u16, lifecycle: &str) -> serde_json::Value {
     serde_json::json!({"instanceId": name, "hostPort": at.to_string(), "zone": "a", "machineType": "m",
         "cell": cell, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// Discovery's agent: gives every watch a sign of life at once and then the lines it is told, and remembers what was
-/// asked.
+/// A stand-in for discovery's agent. It answers every watch with an empty line (a keep-alive) at once, and then with the
+/// lines it is given. Clones share its state.
 #[derive(Clone)]
 pub struct Agent {
+    /// The address that it listens on.
     pub at: SocketAddr,
     lines: watch::Sender<Vec<String>>,
+    /// The targets of the requests received, in order.
     pub asked: Rc<RefCell<Vec<String>>>,
 }
 
 impl Agent {
+    /// Starts an agent on loopback, with no lines.
     pub async fn start() -> Self {
         let listener = listener().await;
         let this = Self {
@@ -422,33 +460,35 @@
             asked: Rc::default(),
         };
         let serving = this.clone();
-        serve_each(listener, move |stream| serving.clone().tell(stream));
+        serve_each(listener, move |stream| serving.clone().serve(stream));
         this
     }
 
-    /// Tells every watch a list; what is told before a watch begins is not repeated to it.
+    /// Sends a list to every open watch; watches opened later do not receive it.
     pub fn say(&self, generation: u64, reset: bool, entries: Vec<serde_json::Value>) {
         let list = serde_json::json!({"generation": generation, "reset": reset, "instances": entries});
         self.say_line(list.to_string());
     }
 
+    /// Sends a line to every open watch; an empty one ends the watches.
     pub fn say_line(&self, line: String) {
         self.lines.send_modify(|lines| lines.push(line));
     }
 
-    async fn tell(self, mut stream: TcpStream) {
+    /// Serves one watch until it ends.
+    async fn serve(self, mut stream: TcpStream) {
         let Some(request) = message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await else {
             return;
         };
         let mut lines = self.lines.subscribe();
-        let mut told = lines.borrow_and_update().len();
+        let mut sent = lines.borrow_and_update().len();
         self.asked.borrow_mut().push(String::from_utf8(request.head.request_line().1.to_vec()).unwrap());
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n").await;
         while lines.changed().await.is_ok() {
-            let new = lines.borrow_and_update()[told..].to_vec();
-            told += new.len();
+            let new = lines.borrow_and_update()[sent..].to_vec();
+            sent += new.len();
             for line in new {
-                // An empty line says that the watch ends.
+                // An empty line ends the watch.
                 let text = match line.as_str() {
                     "" => "0\r\n\r\n".to_owned(),
                     line => format!("{:x}\r\n{line}\n\r\n", line.len() + 1),
