--- a/tests/stand_ins/consul.rs
+++ b/tests/stand_ins/consul.rs
@@ -102,7 +102,8 @@
         this
     }
 
-    /// Starts an agent that accepts TLS only, with a self-signed certificate for `names`; returns the certificate in PEM.
+    /// Starts an agent that accepts TLS only, with a self-signed certificate for `names`, and returns the certificate
+    /// in PEM.
     pub async fn start_tls(instances: Vec<Value>, names: &[&str]) -> (Self, String) {
         use tokio_rustls::rustls::{ServerConfig, crypto::ring::default_provider};
         let names: Vec<String> = names.iter().map(|name| (*name).to_owned()).collect();
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -439,8 +439,8 @@
         "cell": cell, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// A stand-in for discovery's agent. It answers every watch with an empty line (a keep-alive) at once, and then with the
-/// lines it is given. Clones share its state.
+/// A stand-in for discovery's agent. It answers every watch with an empty line (a keep-alive) at once, and then with
+/// the lines it is given. Clones share its state.
 #[derive(Clone)]
 pub struct Agent {
     /// The address that it listens on.
