--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! One process after the other at the same address, with the program itself: what is open, known and banned passes on,
-//! whichever of them dies.
+//! Upgrades with the program itself: a new process takes over the address of a running one, with its connections, its
+//! quotas and its disabled backends, and an address stays served whichever of the two processes dies.
 
 mod stand_ins;
 
@@ -12,13 +12,15 @@
 use std::path::PathBuf;
 use tokio::net::TcpStream;
 
-/// Two processes to come at one address, in a folder of their own.
+/// One address for up to three processes in turn, with a temporary folder of their own, two backends and discovery.
 struct Site {
     folder: PathBuf,
-    told: Value,
+    /// The configuration of every process.
+    settings: Value,
     at: SocketAddr,
-    doors: [SocketAddr; 3],
-    servers: [Backend; 2],
+    /// The admin interface of each process.
+    admin: [SocketAddr; 3],
+    backends: [Backend; 2],
     _agent: Agent,
 }
 
@@ -32,33 +34,35 @@
     async fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("weldhub-{}-{name}.d", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let servers = [Backend::start(ok("1")).await, Backend::start(ok("2")).await];
+        let backends = [Backend::start(ok("1")).await, Backend::start(ok("2")).await];
         let agent = Agent::start().await;
-        let entry = |name, server: &Backend| service_entry(name, server.at, 0, "in_service");
-        let mut told = ingress_config(agent.at, vec![entry("s1", &servers[0]), entry("s2", &servers[1])]);
-        let [at, d0, d1, d2] = [0; 4].map(|_| own_address());
-        told["listen"] = json!(at.to_string());
-        Self { folder, told, at, doors: [d0, d1, d2], servers, _agent: agent }
+        let entry = |name, backend: &Backend| service_entry(name, backend.at, 0, "in_service");
+        let mut settings =
+            ingress_config(agent.at, vec![entry("s1", &backends[0]), entry("s2", &backends[1])]);
+        let [at, admin0, admin1, admin2] = [0; 4].map(|_| own_address());
+        settings["listen"] = json!(at.to_string());
+        Self { folder, settings, at, admin: [admin0, admin1, admin2], backends, _agent: agent }
     }
 
-    /// Starts a process with this door; it is ready when this returns.
+    /// Starts a process with admin interface `i` and waits until it is ready.
     async fn start(&self, i: usize) -> Program {
         let mut program = self.spawn(i);
         program.serving().await;
-        assert_eq!(call(self.doors[i], "ready\n").await, "ok ready\n");
+        assert_eq!(call(self.admin[i], "ready\n").await, "ok ready\n");
         program
     }
 
+    /// Starts a process with admin interface `i` and returns at once.
     fn spawn(&self, i: usize) -> Program {
         let env =
-            [("TMPDIR", self.folder.display().to_string()), ("RELAY_MANAGEMENT", self.doors[i].to_string())];
+            [("TMPDIR", self.folder.display().to_string()), ("RELAY_MANAGEMENT", self.admin[i].to_string())];
         let name = format!("{}-{i}", self.folder.file_name().unwrap().to_str().unwrap());
-        Program::start(&name, &self.told.to_string(), &env, false)
+        Program::start(&name, &self.settings.to_string(), &env, false)
     }
 }
 
 #[test]
-fn connections_quotas_and_bans_pass_on_and_nothing_is_closed_or_left_unread() {
+fn connections_quotas_and_disabled_backends_pass_to_the_new_process_and_every_request_is_answered() {
     local(async {
         let site = Site::new("all").await;
         let mut old = site.start(0).await;
@@ -66,102 +70,118 @@
         let (mut busy, mut early) = (Client::new(site.at).await, Client::new(site.at).await);
         assert_eq!(status(&kept.ask(&board("a", 900, 6)).await), 200);
         assert_eq!(status(&kept.ask(&board("b", 900, 6)).await), 200);
-        assert_eq!(call(site.doors[0], "disable-server s1\n").await, "ok\n");
+        assert_eq!(call(site.admin[0], "disable-server s1\n").await, "ok\n");
         let text = board("c", 900, 1);
         half.send(&text[..40]).await;
-        site.servers[1].behave(Serve::Stall);
-        let before = site.servers[1].count();
+        site.backends[1].behave(Serve::Stall);
+        let before = site.backends[1].count();
         busy.send(&submit("d", 1400)).await;
-        until(|| site.servers[1].count() > before).await;
+        until(|| site.backends[1].count() > before).await;
         let new = site.start(1).await;
-        assert_eq!(call(site.doors[0], "ready\n").await, "fail not ready\n");
+        assert_eq!(call(site.admin[0], "ready\n").await, "fail not ready\n");
         old.signal("TERM");
-        site.servers[1].behave(ok("2"));
-        // What came before and after, on the connections that were open: each has its answer.
+        site.backends[1].behave(ok("2"));
+        // Requests sent before and after the handover, on the open connections: each is answered.
         assert_eq!(status(&kept.ask(&board("e", 900, 1)).await), 200);
         half.send(&text[40..]).await;
         assert_eq!(status(&half.answer().await.unwrap()), 200);
         assert_eq!(status(&early.ask(&board("f", 900, 1)).await), 200);
-        // The old process answers what it took, by a second attempt if there is still time.
+        // The old process answers the request that it accepted, by a second attempt if there is still time.
         assert!(matches!(status(&busy.answer().await.unwrap()), 200 | 504));
         assert!(old.end().await.success());
-        assert_eq!(status(&busy.ask(&board("g", 900, 1)).await), 200, "and passes the connection on then");
-        // 27 units for good: 12 and 1 went before, 4 since.
+        assert_eq!(
+            status(&busy.ask(&board("g", 900, 1)).await),
+            200,
+            "the connection passes to the new process after its answer"
+        );
+        // The plan has 27 units that are not refilled in time: 13 were used before the handover and 4 since.
         assert_eq!(status(&kept.ask(&board("h", 900, 6)).await), 200);
-        assert_eq!(status(&kept.ask(&board("i", 900, 6)).await), 429, "the quota counts on");
-        assert_eq!(figures(site.doors[1]).await["svc_members_unavailable"], 1);
-        let banned = |id: &[u8]| {
-            site.servers[0].got.borrow().iter().any(|(_, m)| m.head.get("request-id") == Some(id))
+        assert_eq!(status(&kept.ask(&board("i", 900, 6)).await), 429, "the quota passes on");
+        assert_eq!(figures(site.admin[1]).await["svc_members_unavailable"], 1);
+        let reached_disabled = |id: &[u8]| {
+            site.backends[0]
+                .got
+                .borrow()
+                .iter()
+                .any(|(_, request)| request.head.get("request-id") == Some(id))
         };
-        assert!(!b"cdefgh".chunks(1).any(banned));
+        assert!(!b"cdefgh".chunks(1).any(reached_disabled));
         drop(new);
     });
 }
 
 #[test]
-fn a_killed_process_leaves_its_bans_and_no_other_trace() {
+fn a_killed_process_leaves_only_its_list_of_disabled_backends() {
     local(async {
         let site = Site::new("killed").await;
         let mut old = site.start(0).await;
-        assert_eq!(call(site.doors[0], "disable-server s2\n").await, "ok\n");
+        assert_eq!(call(site.admin[0], "disable-server s2\n").await, "ok\n");
         old.child.kill().unwrap();
         old.end().await;
         let mut new = site.start(1).await;
-        assert_eq!(figures(site.doors[1]).await["svc_members_unavailable"], 1);
+        assert_eq!(figures(site.admin[1]).await["svc_members_unavailable"], 1);
         assert_eq!(status(&ask(site.at, &board("a", 900, 1)).await), 200);
-        assert_eq!(site.servers[1].count(), 0);
+        assert_eq!(site.backends[1].count(), 0);
         new.child.kill().unwrap();
         new.end().await;
-        // A file that is cut is passed over, and said so.
+        // A truncated file is ignored, and the log says so.
         let (address, port) = (site.at.ip(), site.at.port());
-        let bans = site.folder.join(format!("weldhub-{address}-{port}.bans"));
-        let text = std::fs::read_to_string(&bans).unwrap();
-        std::fs::write(&bans, &text[..text.len() / 2]).unwrap();
+        let disabled_file = site.folder.join(format!("weldhub-{address}-{port}.bans"));
+        let text = std::fs::read_to_string(&disabled_file).unwrap();
+        std::fs::write(&disabled_file, &text[..text.len() / 2]).unwrap();
         let env =
-            [("TMPDIR", site.folder.display().to_string()), ("RELAY_MANAGEMENT", site.doors[2].to_string())];
-        let mut third = Program::start("killed-3", &site.told.to_string(), &env, false);
+            [("TMPDIR", site.folder.display().to_string()), ("RELAY_MANAGEMENT", site.admin[2].to_string())];
+        let mut third = Program::start("killed-3", &site.settings.to_string(), &env, false);
         third.wait_for_log("a file of bans was passed over").await;
         third.serving().await;
-        assert_eq!(figures(site.doors[2]).await["svc_members_unavailable"], 0);
+        assert_eq!(figures(site.admin[2]).await["svc_members_unavailable"], 0);
     });
 }
 
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_serving_with_what_was_called_in_between() {
+fn an_old_process_serves_on_with_the_commands_of_a_new_one_that_died() {
     local(async {
         let site = Site::new("back").await;
         let mut old = site.start(0).await;
         let mut client = Client::new(site.at).await;
         assert_eq!(status(&client.ask(&board("a", 900, 1)).await), 200);
         let mut new = site.start(1).await;
-        assert_eq!(call(site.doors[1], "disable-server s1\n").await, "ok\n");
-        assert_eq!(call(site.doors[0], "disable-server s2\n").await, "ok\n", "either door reaches both");
-        assert_eq!(figures(site.doors[1]).await["svc_members_unavailable"], 2);
-        assert_eq!(call(site.doors[1], "enable-server s2\n").await, "ok\n");
+        assert_eq!(call(site.admin[1], "disable-server s1\n").await, "ok\n");
+        assert_eq!(
+            call(site.admin[0], "disable-server s2\n").await,
+            "ok\n",
+            "a command at the old process reaches the new one"
+        );
+        assert_eq!(figures(site.admin[1]).await["svc_members_unavailable"], 2);
+        assert_eq!(call(site.admin[1], "enable-server s2\n").await, "ok\n");
         new.child.kill().unwrap();
         old.wait_for_log("serving again").await;
-        let before = site.servers[0].count();
+        let before = site.backends[0].count();
         assert_eq!(status(&ask(site.at, &board("b", 900, 1)).await), 200);
-        assert_eq!(site.servers[0].count(), before, "the ban that was called at the new one holds");
+        assert_eq!(
+            site.backends[0].count(),
+            before,
+            "the backend disabled at the new process stays disabled"
+        );
         // The next one gets all the same.
         let third = site.start(2).await;
         assert_eq!(status(&ask(site.at, &board("c", 900, 1)).await), 200);
-        assert_eq!(figures(site.doors[2]).await["svc_members_unavailable"], 1);
+        assert_eq!(figures(site.admin[2]).await["svc_members_unavailable"], 1);
         drop(third);
     });
 }
 
 #[test]
-fn an_upgrade_during_a_drain_goes_on_draining_and_a_hanging_old_process_keeps_no_one_out() {
+fn an_upgrade_keeps_a_drain_and_a_stopped_old_process_does_not_block_the_next() {
     local(async {
         let site = Site::new("drained").await;
         let mut old = site.start(0).await;
-        assert_eq!(call(site.doors[0], "drain\n").await, "ok draining\n");
+        assert_eq!(call(site.admin[0], "drain\n").await, "ok draining\n");
         let second = site.start(1).await;
         old.signal("TERM");
         assert!(old.end().await.success());
         assert_eq!(status(&get(site.at, "/ready").await), 503);
-        assert_eq!(call(site.doors[1], "resume\n").await, "ok\n");
+        assert_eq!(call(site.admin[1], "resume\n").await, "ok\n");
         assert_eq!(status(&get(site.at, "/ready").await), 200);
         second.signal("STOP");
         let third = site.start(2).await;
@@ -172,9 +192,10 @@
     });
 }
 
-/// The new one takes over some 1 s after its start, when it has waited for a list: before, then and after.
+/// The new process takes over about 1 s after its start, once it has waited for a list. The pauses before one process
+/// is killed lie before, around and after that moment.
 #[test]
-fn whichever_dies_at_any_moment_the_other_serves() {
+fn either_process_may_die_at_any_moment_and_the_other_serves() {
     local(async {
         for (i, pause) in [0, 3, 10, 40, 400, 1010, 1030, 1060, 1100, 1300].into_iter().enumerate() {
             let site = Site::new(&format!("any{i}")).await;
@@ -196,51 +217,51 @@
 }
 
 #[test]
-fn drains_resumes_and_signals_come_in_any_order() {
+fn drain_resume_and_signals_work_in_any_order() {
     local(async {
         let site = Site::new("order").await;
         let mut program = site.start(0).await;
         let ready = async || status(&get(site.at, "/ready").await);
-        for calls in [["drain", "HUP", "resume"], ["HUP", "drain", "resume"], ["drain", "resume", "HUP"]] {
-            for what in calls {
-                match what {
+        for steps in [["drain", "HUP", "resume"], ["HUP", "drain", "resume"], ["drain", "resume", "HUP"]] {
+            for step in steps {
+                match step {
                     "HUP" => program.signal("HUP"),
-                    call_out => {
-                        assert!(call(site.doors[0], &format!("{call_out}\n")).await.starts_with("ok"))
+                    command => {
+                        assert!(call(site.admin[0], &format!("{command}\n")).await.starts_with("ok"))
                     }
                 }
             }
-            assert_eq!((ready().await, call(site.doors[0], "resume\n").await.as_str()), (200, "ok\n"));
+            assert_eq!((ready().await, call(site.admin[0], "resume\n").await.as_str()), (200, "ok\n"));
         }
-        assert_eq!(call(site.doors[0], "drain\n").await, "ok draining\n");
+        assert_eq!(call(site.admin[0], "drain\n").await, "ok draining\n");
         let mut client = Client::new(site.at).await;
         assert_eq!(status(&client.ask(&board("a", 900, 1)).await), 200);
         program.signal("TERM");
         program.signal("HUP");
         program.wait_for_log("stopping").await;
-        assert_eq!(call(site.doors[0], "resume\n").await, "ok\n");
-        assert_eq!(ready().await, 503, "it ends all the same");
+        assert_eq!(call(site.admin[0], "resume\n").await, "ok\n");
+        assert_eq!(ready().await, 503, "a resume does not keep it from ending");
         assert!(program.end().await.success());
     });
 }
 
 #[test]
-fn once_it_drains_nobody_comes_in_by_the_copy_of_the_listener_that_is_kept_for_the_next_process() {
+fn a_draining_process_refuses_connections_though_it_keeps_a_copy_of_the_listener() {
     local(async {
         let site = Site::new("copy").await;
         let mut program = site.start(0).await;
-        site.servers.iter().for_each(|server| server.behave(Serve::Stall));
+        site.backends.iter().for_each(|backend| backend.behave(Serve::Stall));
         let mut busy = Client::new(site.at).await;
         busy.send(&submit("a", 3000)).await;
-        until(|| site.servers.iter().any(|server| server.count() > 0)).await;
+        until(|| site.backends.iter().any(|backend| backend.count() > 0)).await;
         program.signal("TERM");
         program.wait_for_log("draining").await;
-        // It would wait in the backlog of a listener that nobody accepts from.
+        // Otherwise a connection would wait in the backlog of a listener that nobody accepts from.
         let refused = async { while TcpStream::connect(site.at).await.is_ok() {} };
         tokio::select! {
             biased;
             () = refused => {}
-            _ = busy.answer() => panic!("clients are let in until the last flow has ended"),
+            _ = busy.answer() => panic!("connections are accepted until the last request has ended"),
         }
         assert!(program.end().await.success());
     });
