--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -1,5 +1,5 @@
-//! Measurements, not part of CI: `cargo test --release --test measure -- --ignored --nocapture`. They say what they
-//! find, and fail only where a bound of README.md is passed.
+//! Measurements, not part of CI: `cargo test --release --test measure -- --ignored --nocapture`. They print what they
+//! measure, and fail only if a bound of README.md is exceeded.
 
 mod stand_ins;
 
@@ -14,19 +14,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
-/// A figure of the process in kB.
-fn memory(program: &Program, what: &str) -> u64 {
+/// Returns a field of the process's `/proc/PID/status` in kB, such as `VmRSS`.
+fn memory_kb(program: &Program, field: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
-    let line = status.lines().find_map(|line| line.strip_prefix(what)).unwrap();
+    let line = status.lines().find_map(|line| line.strip_prefix(field)).unwrap();
     line.trim_start_matches(':').trim().trim_end_matches(" kB").trim().parse().unwrap()
 }
 
-/// Real servers that answer each request with so many bytes.
-async fn servers(bytes: usize) -> std::net::SocketAddr {
+/// Starts a backend that answers each request with a body of `body_length` bytes, and returns its address.
+async fn large_answer_backend(body_length: usize) -> std::net::SocketAddr {
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
     let answer: Rc<Vec<u8>> = Rc::new(
-        [format!("HTTP/1.1 200 OK\r\nContent-Length: {bytes}\r\n\r\n").into_bytes(), vec![7; bytes]].concat(),
+        [
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {body_length}\r\n\r\n").into_bytes(),
+            vec![7; body_length],
+        ]
+        .concat(),
     );
     spawn_local(async move {
         loop {
@@ -50,25 +54,25 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn memory_under_streams_of_32_mb_and_the_doors_delay_under_load() {
+fn memory_and_admin_latency_under_streams_of_32_mb() {
     local(async {
-        let (agent, at) = (Agent::start().await, servers(32 << 20).await);
+        let (agent, at) = (Agent::start().await, large_answer_backend(32 << 20).await);
         let known = (0..8).map(|i| service_entry(&format!("s{i}"), at, 0, "in_service")).collect();
-        let mut told = ingress_config(agent.at, known);
-        told["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
-        told["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
-        let door = own_address();
-        let env = [("RELAY_MANAGEMENT", door.to_string())];
-        let mut program = Program::start("measure", &told.to_string(), &env, false);
+        let mut config_json = ingress_config(agent.at, known);
+        config_json["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
+        config_json["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
+        let admin = own_address();
+        let env = [("RELAY_MANAGEMENT", admin.to_string())];
+        let mut program = Program::start("measure", &config_json.to_string(), &env, false);
         let at = program.serving().await;
-        let before = memory(&program, "VmRSS");
+        let before = memory_kb(&program, "VmRSS");
         let (read, done) = (Rc::new(Cell::new(0u64)), Rc::new(Cell::new(false)));
         for i in 0..80 {
             let (read, done) = (read.clone(), done.clone());
             spawn_local(async move {
                 let mut client = Client::new(at).await;
                 let mut piece = vec![0; 64 * 1024];
-                // Who is refused asks again: all are to have an answer on its way at once.
+                // A rejected client retries, so that all of them receive an answer at the same time.
                 for n in 0.. {
                     client.send(&board(&format!("m{i}-{n}"), 1400, 1)).await;
                     let read = client.0.read(&mut piece).await.unwrap_or(0);
@@ -78,7 +82,7 @@
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
                 while !done.get() {
-                    // Half of them read slowly, the others as fast as they can.
+                    // Every second client reads slowly, the others as fast as they can.
                     if i % 2 == 0 {
                         tokio::time::sleep(Duration::from_millis(250)).await;
                     }
@@ -89,19 +93,19 @@
                 }
             });
         }
-        let mut most = 0;
-        let (mut slowest, mut calls, began) = (Duration::ZERO, 0, Instant::now());
+        let mut max_pending = 0;
+        let (mut slowest, mut commands, began) = (Duration::ZERO, 0, Instant::now());
         while began.elapsed() < Duration::from_secs(10) {
             let at = Instant::now();
-            most = most.max(figures(door).await["svc_pending"]);
-            (slowest, calls) = (slowest.max(at.elapsed()), calls + 1);
+            max_pending = max_pending.max(figures(admin).await["svc_pending"]);
+            (slowest, commands) = (slowest.max(at.elapsed()), commands + 1);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let peak = memory(&program, "VmHWM");
+        let peak = memory_kb(&program, "VmHWM");
         done.set(true);
         println!(
-            "{} MB passed on, {most} at once at most; resident {before} kB before, {peak} kB at most; {calls} calls at the door, \
-             the slowest {slowest:?}",
+            "{} MB passed on, {max_pending} at once at most; resident {before} kB before, {peak} kB at most; \
+             {commands} commands at the admin interface, the slowest {slowest:?}",
             read.get() >> 20
         );
         assert!(peak < 32 << 10 && slowest < Duration::from_secs(1));
@@ -112,17 +116,18 @@
 #[ignore = "a measurement"]
 fn requests_lost_in_twenty_upgrades_under_load() {
     local(async {
-        let (agent, server) = (Agent::start().await, Backend::start(ok("x")).await);
-        let free = own_address();
-        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
-        told["listen"] = json!(free.to_string());
-        told["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
+        let (agent, backend) = (Agent::start().await, Backend::start(ok("x")).await);
+        let listen = own_address();
+        let mut config_json =
+            ingress_config(agent.at, vec![service_entry("s1", backend.at, 0, "in_service")]);
+        config_json["listen"] = json!(listen.to_string());
+        config_json["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
         let folder = std::env::temp_dir().join(format!("weldhub-{}-measure.d", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let start = async |i: usize| {
-            let door = own_address();
-            let env = [("RELAY_MANAGEMENT", door.to_string()), ("TMPDIR", folder.display().to_string())];
-            let mut program = Program::start(&format!("measure-{i}"), &told.to_string(), &env, false);
+            let admin = own_address();
+            let env = [("RELAY_MANAGEMENT", admin.to_string()), ("TMPDIR", folder.display().to_string())];
+            let mut program = Program::start(&format!("measure-{i}"), &config_json.to_string(), &env, false);
             program.serving().await;
             program
         };
@@ -132,24 +137,24 @@
         for c in 0..30 {
             let (counts, done) = (counts.clone(), done.clone());
             clients.push(spawn_local(async move {
-                let mut client = Client::new(free).await;
+                let mut client = Client::new(listen).await;
                 let mut n = 0;
                 while !done.get() {
                     n += 1;
                     if n % 50 == 0 {
-                        client = Client::new(free).await;
+                        client = Client::new(listen).await;
                     }
                     client.send(&board(&format!("c{c}-{n}"), 1400, 1)).await;
-                    let [mut served, mut refused, mut lost] = counts.get();
+                    let [mut served, mut rejected, mut lost] = counts.get();
                     match client.answer().await {
                         Some(answer) if status(&answer) == 200 => served += 1,
-                        Some(_) => refused += 1,
+                        Some(_) => rejected += 1,
                         None => {
                             lost += 1;
-                            client = Client::new(free).await;
+                            client = Client::new(listen).await;
                         }
                     }
-                    counts.set([served, refused, lost]);
+                    counts.set([served, rejected, lost]);
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             }));
@@ -167,19 +172,19 @@
         for client in clients {
             client.await.unwrap();
         }
-        let [served, refused, lost] = counts.get();
+        let [served, rejected, lost] = counts.get();
         println!(
-            "{served} served, {refused} refused or failed, {lost} lost; the slowest start took {slowest:?}"
+            "{served} served, {rejected} rejected or failed, {lost} lost; the slowest start took {slowest:?}"
         );
         let _ = std::fs::remove_dir_all(&folder);
         assert_eq!(lost, 0);
     });
 }
 
-/// From the moment when Consul writes that an authoriser is critical to the last check that reaches it.
+/// Measures the time from the moment Consul reports an authoriser as critical to the last check that reaches it.
 #[test]
 #[ignore = "a measurement"]
-fn how_long_after_consuls_word_checks_still_reach_a_drained_authoriser() {
+fn delay_from_a_critical_status_in_consul_to_the_last_check_at_the_authoriser() {
     use prost::Message;
     use weldhub::fronts::ext_authz::proto::*;
     local(async {
@@ -198,12 +203,12 @@
         let config = weldhub::config::AuthzConfig::read(&text, |_| None).unwrap();
         let listener = listener().await;
         let at = listener.local_addr().unwrap();
-        let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
+        let (_updates, reloadable) = tokio::sync::watch::channel(config.reloadable());
         spawn_local(weldhub::node::serve_authz(
             config,
             listener,
             discarding_logger(),
-            ways,
+            reloadable,
             std::future::pending(),
         ));
         let headers = [("x-club", "Almaty-7"), ("x-tier", "club")];
@@ -224,9 +229,9 @@
                         };
                         for _ in 0..50 {
                             let request = tonic::Request::new(check.clone());
-                            let asked =
+                            let answer =
                                 weldhub::fronts::ext_authz::authorisers::call(sender.clone(), at, request);
-                            let _ = asked.await;
+                            let _ = answer.await;
                             tokio::time::sleep(Duration::from_millis(if callers == 4 { 20 } else { 2 }))
                                 .await;
                         }
@@ -237,11 +242,11 @@
             for _ in 0..40 {
                 let before = a.count();
                 until(|| a.count() > before).await;
-                let told = Instant::now();
+                let reported = Instant::now();
                 consul.set(None, both("critical"));
                 tokio::time::sleep(Duration::from_millis(120)).await;
                 let last = a.last.lock().unwrap().unwrap();
-                delays.push(last.saturating_duration_since(told).as_secs_f64() * 1000.0);
+                delays.push(last.saturating_duration_since(reported).as_secs_f64() * 1000.0);
                 consul.set(None, both("passing"));
             }
             done.set(true);
