--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,14 +1,14 @@
-//! The page for staff on call and the program must name the same log lines.
+//! Checks that the on-call page and the program name the same log lines.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The texts of all log lines under a folder, with their levels.
-fn lines(folder: &Path, found: &mut BTreeSet<(String, String)>) {
+/// Collects the level and message of each log call in the sources under a folder.
+fn collect_log_lines(folder: &Path, found: &mut BTreeSet<(String, String)>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            lines(&path, found);
+            collect_log_lines(&path, found);
             continue;
         }
         let source = std::fs::read_to_string(&path).unwrap();
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn the_page_for_staff_on_call_names_every_log_line_and_no_other() {
+fn the_on_call_page_names_exactly_the_log_lines_of_the_program() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut logged = BTreeSet::new();
-    lines(&root.join("src"), &mut logged);
+    collect_log_lines(&root.join("src"), &mut logged);
     let page = std::fs::read_to_string(root.join("docs/on-call.md")).unwrap();
     let rows = page.lines().filter_map(|line| {
         let mut cells = line.strip_prefix("| ")?.split(" | ");
