--- a/tests/discovery_recovery.rs
+++ b/tests/discovery_recovery.rs
@@ -136,10 +136,10 @@
 impl Watcher {
     /// Starts a watch as a new process does. A third of them (by seed) start without a known list.
     fn start(agent: SocketAddr, mode: &str, seed: u64) -> Self {
-        let mut settings = ingress_config(agent, vec![]);
-        settings["settings"]["balancers"] = json!(FLEET_SIZE);
-        settings["settings"]["membershipMode"] = json!(mode);
-        let config = Config::read(&settings.to_string(), |_| None).unwrap();
+        let mut config_json = ingress_config(agent, vec![]);
+        config_json["settings"]["balancers"] = json!(FLEET_SIZE);
+        config_json["settings"]["membershipMode"] = json!(mode);
+        let config = Config::read(&config_json.to_string(), |_| None).unwrap();
         let (updates, reloadable) = watch::channel(config.reloadable());
         let agent = ReloadableAddress::new(&reloadable, agent, |config| config.discovery);
         let site = config.instance.site;
--- a/tests/stand_ins/ingress.rs
+++ b/tests/stand_ins/ingress.rs
@@ -40,8 +40,8 @@
 }
 
 /// Starts an ingress with this configuration and waits until it is ready.
-pub async fn start(settings: &Value) -> Ingress {
-    let config = Config::read(&settings.to_string(), |_| None).unwrap();
+pub async fn start(config_json: &Value) -> Ingress {
+    let config = Config::read(&config_json.to_string(), |_| None).unwrap();
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -16,7 +16,7 @@
 struct Site {
     folder: PathBuf,
     /// The configuration of every process.
-    settings: Value,
+    config_json: Value,
     at: SocketAddr,
     /// The admin interface of each process.
     admin: [SocketAddr; 3],
@@ -37,11 +37,11 @@
         let backends = [Backend::start(ok("1")).await, Backend::start(ok("2")).await];
         let agent = Agent::start().await;
         let entry = |name, backend: &Backend| service_entry(name, backend.at, 0, "in_service");
-        let mut settings =
+        let mut config_json =
             ingress_config(agent.at, vec![entry("s1", &backends[0]), entry("s2", &backends[1])]);
         let [at, admin0, admin1, admin2] = [0; 4].map(|_| own_address());
-        settings["listen"] = json!(at.to_string());
-        Self { folder, settings, at, admin: [admin0, admin1, admin2], backends, _agent: agent }
+        config_json["listen"] = json!(at.to_string());
+        Self { folder, config_json, at, admin: [admin0, admin1, admin2], backends, _agent: agent }
     }
 
     /// Starts a process with admin interface `i` and waits until it is ready.
@@ -57,7 +57,7 @@
         let env =
             [("TMPDIR", self.folder.display().to_string()), ("RELAY_MANAGEMENT", self.admin[i].to_string())];
         let name = format!("{}-{i}", self.folder.file_name().unwrap().to_str().unwrap());
-        Program::start(&name, &self.settings.to_string(), &env, false)
+        Program::start(&name, &self.config_json.to_string(), &env, false)
     }
 }
 
@@ -131,7 +131,7 @@
         std::fs::write(&disabled_file, &text[..text.len() / 2]).unwrap();
         let env =
             [("TMPDIR", site.folder.display().to_string()), ("RELAY_MANAGEMENT", site.admin[2].to_string())];
-        let mut third = Program::start("killed-3", &site.settings.to_string(), &env, false);
+        let mut third = Program::start("killed-3", &site.config_json.to_string(), &env, false);
         third.wait_for_log("a file of bans was passed over").await;
         third.serving().await;
         assert_eq!(figures(site.admin[2]).await["svc_members_unavailable"], 0);
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -62,10 +62,10 @@
 /// Starts the watch of one ingress, in a fleet of `ingress_count`. With `on_request` it requests lists from the agent;
 /// otherwise the agent pushes them.
 fn start_watch(agent: SocketAddr, ingress_count: u16, seed: u64, on_request: bool) -> RunningWatch {
-    let mut settings = ingress_config(agent, vec![]);
-    settings["settings"]["balancers"] = json!(ingress_count);
-    settings["settings"]["membershipMode"] = json!(if on_request { "on_request" } else { "pushed" });
-    let config = Config::read(&settings.to_string(), |_| None).unwrap();
+    let mut config_json = ingress_config(agent, vec![]);
+    config_json["settings"]["balancers"] = json!(ingress_count);
+    config_json["settings"]["membershipMode"] = json!(if on_request { "on_request" } else { "pushed" });
+    let config = Config::read(&config_json.to_string(), |_| None).unwrap();
     let deadlines = swept_deadlines();
     let (updates, reloadable) = watch::channel(config.reloadable());
     let agent = ReloadableAddress::new(&reloadable, agent, |config| config.discovery);
