--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::full::Full;
+use stand_ins::full_backlog::FullBacklog;
 use stand_ins::ingress::*;
 use stand_ins::*;
 use std::cell::Cell;
@@ -41,11 +41,11 @@
 impl Side {
     /// One that knows a real server there, and waits for connections for so long.
     fn start(server: SocketAddr, connect_timeout: Millis) -> Self {
-        let told = told("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
+        let told = ingress_config("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
         let mut site = Config::read(&told, |_| None).unwrap().instance.site;
         site.connect_timeout = connect_timeout;
         let (exchange, news) = Exchange::new();
-        let deadlines = swept();
+        let deadlines = swept_deadlines();
         let role = watch::Sender::new(Role::Active);
         let (passing, _) = mpsc::unbounded_channel();
         let (elsewhere, open) = (PredecessorConnections::default(), Rc::new(Cell::new(0)));
@@ -58,11 +58,11 @@
         let stats = Stats::new([]);
         let bounds = (8, MemoryBudget::new(1 << 20, elsewhere));
         let clock = deadlines.clock();
-        let side = ClientSide::new(exchange, deadlines, site, bounds, stats, links, quiet());
+        let side = ClientSide::new(exchange, deadlines, site, bounds, stats, links, discarding_logger());
         let (orders, ordered) = mpsc::unbounded_channel();
         let adopted = mpsc::unbounded_channel().1;
         spawn_local(side.run(ordered, adopted));
-        orders.send(ClientSideCommand::BackendList(one_ready("s1", server))).unwrap();
+        orders.send(ClientSideCommand::BackendList(single_backend_list("s1", server))).unwrap();
         Self { orders, news, clock, _role: role }
     }
 
@@ -105,13 +105,13 @@
 #[test]
 fn a_repeat_whose_connection_comes_up_after_its_window_is_never_written() {
     local(async {
-        let server = Full::new().await;
+        let server = FullBacklog::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, Some(200.0));
         let saying = spawn_local(async {
             // The window is over, and the system has not yet tried again to connect.
             tokio::time::sleep(Duration::from_millis(600)).await;
-            server.all_said().await
+            server.accept_and_read_text().await
         });
         assert_eq!(side.ended().await, (RequestId(1), Outcome::ConnectFailed));
         assert_eq!(saying.await.unwrap(), "");
@@ -121,26 +121,26 @@
 #[test]
 fn what_is_given_up_while_its_connection_comes_up_is_never_written() {
     local(async {
-        let server = Full::new().await;
+        let server = FullBacklog::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
         side.orders
             .send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(1), Outcome::Cancelled))
             .unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
-        assert_eq!(server.all_said().await, "");
+        assert_eq!(server.accept_and_read_text().await, "");
     });
 }
 
 #[test]
 fn what_is_withdrawn_ends_only_where_nothing_of_it_was_written() {
     local(async {
-        let server = Full::new().await;
+        let server = FullBacklog::new().await;
         let mut side = Side::start(server.at(), 5000.0);
         side.order(1, None);
         side.orders.send(ClientSideCommand::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
-        assert_eq!(server.all_said().await, "");
+        assert_eq!(server.accept_and_read_text().await, "");
         // This one is out: whoever may not cancel it lets it run.
         let listener = listener().await;
         let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
@@ -156,11 +156,11 @@
 #[test]
 fn a_repeat_whose_window_ends_between_its_order_and_its_turn_is_never_written() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
+        let server = Backend::start(ok("x")).await;
         let mut side = Side::start(server.at, 5000.0);
         side.order(1, None);
         assert_eq!(side.ended().await, (RequestId(1), Outcome::Served));
-        rested().await;
+        wait_until_reusable().await;
         // The thread has other things to do: the idle connection has its turn 20 ms too late.
         side.order(2, Some(30.0));
         std::thread::sleep(Duration::from_millis(50));
@@ -178,9 +178,9 @@
 #[test]
 fn a_keyed_request_is_not_repeated_on_a_connection_that_comes_up_after_the_window() {
     local(async {
-        let mut server = Full::new().await;
+        let mut server = FullBacklog::new().await;
         let agent = Agent::start().await;
-        let mut told = told(agent.at, vec![service_entry("s1", server.at(), 0, "in_service")]);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at(), 0, "in_service")]);
         told["settings"]["classes"][1]["window"] = json!(400.0);
         told["settings"]["limits"]["connectTimeout"] = json!(2500.0);
         let ingress = start(&told).await;
@@ -198,7 +198,7 @@
         let saying = spawn_local(async {
             // The window is over, and the system has not yet tried again to connect.
             tokio::time::sleep(Duration::from_millis(600)).await;
-            server.all_said().await
+            server.accept_and_read_text().await
         });
         assert_eq!(status(&client.answer().await.unwrap()), 502);
         assert!(began.elapsed() < Duration::from_millis(900), "it is failed at once: {:?}", began.elapsed());
@@ -235,7 +235,8 @@
 /// A real server that the test plays by hand.
 async fn by_hand() -> (TcpListener, Ingress, Agent) {
     let (listener, agent) = (listener().await, Agent::start().await);
-    let told = told(agent.at, vec![service_entry("s1", listener.local_addr().unwrap(), 0, "in_service")]);
+    let told =
+        ingress_config(agent.at, vec![service_entry("s1", listener.local_addr().unwrap(), 0, "in_service")]);
     let ingress = start(&told).await;
     (listener, ingress, agent)
 }
@@ -290,7 +291,7 @@
             assert_eq!(header(&request(&mut idle).await, "request-id"), Some(i.to_string()));
             idle.write_all(&good("one")).await.unwrap();
             assert_eq!(side.ended().await, (RequestId(i as u64), Outcome::Served));
-            rested().await;
+            wait_until_reusable().await;
             // In one turn: the system knows what the runtime has not been told when the connection is picked.
             let mut idle_now = idle.into_std().unwrap();
             if speaks.is_empty() {
@@ -325,7 +326,7 @@
             stream
         });
         let agent = Agent::start().await;
-        let ingress = start(&told(agent.at, vec![service_entry("s1", at, 0, "in_service")])).await;
+        let ingress = start(&ingress_config(agent.at, vec![service_entry("s1", at, 0, "in_service")])).await;
         let (mut client, asked) = (Client::new(ingress.at).await, Instant::now());
         client.send(&board("a", 500, 1)).await;
         gets.await.unwrap();
@@ -377,7 +378,7 @@
         let agent = Agent::start().await;
         let (one, two) = (listener().await, listener().await);
         let entry = |name, at: &TcpListener| service_entry(name, at.local_addr().unwrap(), 0, "in_service");
-        let mut told = told(agent.at, vec![entry("s1", &one), entry("s2", &two)]);
+        let mut told = ingress_config(agent.at, vec![entry("s1", &one), entry("s2", &two)]);
         told["settings"]["classes"][1]["effect"] = json!("non_idempotent");
         let ingress = start(&told).await;
         let text = submit("a", 900).replace("Idempotency-Key: 5c0f6e\r\n", "");
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -3,9 +3,9 @@
 mod stand_ins;
 
 use serde_json::{Value, json};
+use stand_ins::admin::figures;
 use stand_ins::consul::Script;
-use stand_ins::door::figures;
-use stand_ins::ingress::{Client, Ingress, ask, board, status, told};
+use stand_ins::ingress::{Client, Ingress, ask, board, ingress_config, status};
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 /// What an ingress is told whose real servers are found by Consul, with these keys, and its door.
 async fn consulted(agents: &[SocketAddr], keys: Value) -> (Value, SocketAddr) {
-    let mut told = told(agents[0], vec![]);
+    let mut told = ingress_config(agents[0], vec![]);
     let fields = told.as_object_mut().unwrap();
     fields.remove("discovery");
     fields.remove("known");
@@ -35,15 +35,15 @@
 }
 
 /// Real servers that answer by their names.
-async fn servers(n: usize) -> Vec<RealServer> {
+async fn servers(n: usize) -> Vec<Backend> {
     let mut all = Vec::new();
     for i in 0..n {
-        all.push(RealServer::start(ok(&format!("s{i}"))).await);
+        all.push(Backend::start(ok(&format!("s{i}"))).await);
     }
     all
 }
 
-fn listed(servers: &[RealServer], status: impl Fn(usize) -> &'static str) -> Vec<Value> {
+fn listed(servers: &[Backend], status: impl Fn(usize) -> &'static str) -> Vec<Value> {
     servers.iter().enumerate().map(|(i, s)| instance(&format!("s{i}"), s.at, 0, status(i))).collect()
 }
 
@@ -146,16 +146,20 @@
             ("half", |consul| consul.fail(Fault::Half, Fault::None)),
             ("endless", |consul| consul.fail(Fault::Endless, Fault::None)),
             ("rate limited", |consul| {
-                consul.says.borrow_mut().push_str("Retry-After: 0.1\r\n");
+                consul.extra_headers.borrow_mut().push_str("Retry-After: 0.1\r\n");
                 consul.fail(Fault::Status(429), Fault::None);
             }),
             ("silent", |consul| {
                 consul.fail(Fault::Silent, Fault::None);
                 consul.die();
             }),
-            ("nonsense", |consul| *consul.lie.borrow_mut() = Some((200, "[{\"Service\": 7".into()))),
-            ("none readable", |consul| *consul.lie.borrow_mut() = Some((200, "[{\"Service\": 7}]".into()))),
-            ("too old", |consul| consul.says.borrow_mut().push_str("X-Consul-LastContact: 900\r\n")),
+            ("nonsense", |consul| {
+                *consul.health_override.borrow_mut() = Some((200, "[{\"Service\": 7".into()))
+            }),
+            ("none readable", |consul| {
+                *consul.health_override.borrow_mut() = Some((200, "[{\"Service\": 7}]".into()))
+            }),
+            ("too old", |consul| consul.extra_headers.borrow_mut().push_str("X-Consul-LastContact: 900\r\n")),
         ];
         let (mut now, mut next) = (&one, &two);
         for (fault, spoil) in faults {
@@ -167,8 +171,8 @@
             assert_eq!(members(door).await, (2, 0), "{fault}");
             served(ingress.at, fault.replace(' ', "-").as_str()).await;
             now.fail(Fault::None, Fault::None);
-            now.says.borrow_mut().clear();
-            *now.lie.borrow_mut() = None;
+            now.extra_headers.borrow_mut().clear();
+            *now.health_override.borrow_mut() = None;
             std::mem::swap(&mut now, &mut next);
         }
         assert_eq!(figures(door).await["svc_consul_silent"], 0);
@@ -193,7 +197,7 @@
         let all = servers(2).await;
         let consul = Consul::start(listed(&all, passing)).await;
         // It would block for ever on an index that is behind it.
-        consul.longest.set(Duration::from_secs(600));
+        consul.max_wait.set(Duration::from_secs(600));
         let (_ingress, door) = start(&[consul.at], json!({})).await;
         for index in [500, 3, 0, 1, 2] {
             for status in ["critical", "passing"] {
@@ -358,21 +362,21 @@
         let mut client = Client::new(at).await;
         client.send(&board("slow", 1400, 1)).await;
         until(|| all[0].count() + all[1].count() > 0).await;
-        program.reread(&file(&keys(&new, "service = \"boards\"\nwait_ms = 0"), door));
-        program.says("consul.wait_ms").await;
+        program.reload_config(&file(&keys(&new, "service = \"boards\"\nwait_ms = 0"), door));
+        program.wait_for_log("consul.wait_ms").await;
         assert!(new.asked.borrow().is_empty(), "a faulty file changes nothing");
         let both =
             "services = [{ name = \"boards\" }, { name = \"records\", tags = [\"v2\"] }]\nflap_hold_ms = 5";
-        program.reread(&file(&keys(&new, both), door));
+        program.reload_config(&file(&keys(&new, both), door));
         until_members(door, (3, 0)).await;
         assert!(new.asked.borrow().iter().any(|target| target.contains("records?tag=v2")));
         // Another agent that is silent: the list stays, and the old one is asked no more.
         old.fail(Fault::Silent, Fault::Silent);
         let asked = old.asked.borrow().len();
-        program.reread(&file(&keys(&old, both), door));
+        program.reload_config(&file(&keys(&old, both), door));
         until(|| old.asked.borrow().len() >= asked + 2).await;
         assert_eq!(members(door).await, (3, 0));
-        program.reread(&file(&keys(&new, "service = \"records\""), door));
+        program.reload_config(&file(&keys(&new, "service = \"records\""), door));
         until_members(door, (1, 0)).await;
         let answer = client.answer().await.unwrap();
         assert_eq!((status(&answer), &answer.body[..]), (200, b"late".as_slice()), "whatever moved");
@@ -480,7 +484,7 @@
         let at = program.serving().await;
         consul.fail(Fault::Silent, Fault::None);
         consul.die();
-        program.says("Consul does not answer").await;
+        program.wait_for_log("Consul does not answer").await;
         // Several at once, so that all real servers are tried.
         let asking: Vec<_> = (0..12)
             .map(|asker| {
@@ -492,9 +496,9 @@
                 })
             })
             .collect();
-        program.says("unreachable while Consul's word is in doubt").await;
+        program.wait_for_log("unreachable while Consul's word is in doubt").await;
         consul.fail(Fault::None, Fault::None);
-        program.says("Consul answers again").await;
+        program.wait_for_log("Consul answers again").await;
         asking.iter().for_each(|asking| asking.abort());
     });
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use socket2::SockRef;
 use stand_ins::ingress::*;
-use stand_ins::own_time::OwnTime;
+use stand_ins::thread_timer::ThreadTimer;
 use stand_ins::*;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 use weldhub::stats::Stats;
 
 fn site() -> Site {
-    let told = told("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
+    let told = ingress_config("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
     Config::read(&told, |_| None).unwrap().instance.site
 }
 
@@ -65,7 +65,7 @@
         let listener = listener().await;
         let at = listener.local_addr().unwrap();
         let (exchange, news) = Exchange::new();
-        let deadlines = if by_itself { swept() } else { Deadlines::new(Clock::new()) };
+        let deadlines = if by_itself { swept_deadlines() } else { Deadlines::new(Clock::new()) };
         let (phase, role, drain) = (
             watch::Sender::new(Phase::Serving),
             watch::Sender::new(Role::Active),
@@ -91,7 +91,7 @@
             (signals, passing),
             stats,
             (limits, 700.0),
-            quiet(),
+            discarding_logger(),
         );
         let running = spawn_local(side.run(listener, mpsc::unbounded_channel().1));
         Self { at, news, phase, drain, _role: role, running, deadlines }
@@ -324,7 +324,7 @@
 const GONE: Duration = Duration::from_millis(100);
 
 async fn left(side: &mut Side) {
-    let since = OwnTime::start();
+    let since = ThreadTimer::start();
     let news = side.news.recv().await.unwrap();
     assert!(matches!(news, EngineEvent::ClientLeft(_)), "{news:?}");
     assert!(since.elapsed() < GONE, "known after {:?}", since.elapsed());
@@ -428,7 +428,7 @@
             }
             all.push(one);
         }
-        let since = OwnTime::start();
+        let since = ThreadTimer::start();
         let verdicts: Vec<_> = all.into_iter().map(|(_, verdict)| verdict).collect();
         for _ in 0..verdicts.len() {
             let news = side.news.recv().await.unwrap();
@@ -484,9 +484,9 @@
 // State.
 
 /// An ingress with two plans: one of 27 units and one of 6, which never fill again.
-async fn two_plans() -> (RealServer, Ingress, Agent) {
-    let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
-    let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+async fn two_plans() -> (Backend, Ingress, Agent) {
+    let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
+    let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
     let mut small = told["settings"]["tariffs"][0].clone();
     (small["name"], small["storeSize"]) = (json!("guest"), json!(6.0));
     told["settings"]["tariffs"].as_array_mut().unwrap().push(small);
@@ -538,9 +538,9 @@
 fn it_is_ready_in_time_though_discovery_accepts_and_never_says_a_word() {
     local(async {
         for known in [true, false] {
-            let (server, agent) = (RealServer::start(ok("x")).await, listener().await);
+            let (server, agent) = (Backend::start(ok("x")).await, listener().await);
             let known = known.then(|| service_entry("s1", server.at, 0, "in_service"));
-            let told = told(agent.local_addr().unwrap(), known.clone().into_iter().collect());
+            let told = ingress_config(agent.local_addr().unwrap(), known.clone().into_iter().collect());
             let began = Instant::now();
             let ingress = start(&told).await;
             assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -6,8 +6,8 @@
 
 use bytes::BytesMut;
 use serde_json::{Value, json};
-use stand_ins::door::call;
-use stand_ins::ingress::{board, told};
+use stand_ins::admin::call;
+use stand_ins::ingress::{board, ingress_config};
 use stand_ins::program::Program;
 use stand_ins::*;
 use std::cell::RefCell;
@@ -70,11 +70,11 @@
 
 async fn filled_while_discovery_is_down(sockets: usize, mode: &str) {
     let agent = DownAgent::start().await;
-    let (slow, new) = (RealServer::start(Serve::Stall).await, RealServer::start(ok("new")).await);
+    let (slow, new) = (Backend::start(Serve::Stall).await, Backend::start(ok("new")).await);
     let (counter, door, peer) = (Counter::start().await, own_address(), own_address());
     // Their cells differ: that a few are slow keeps nothing from the others.
     let known = (0..40).map(|i| service_entry(&format!("k{i}"), slow.at, i, "in_service")).collect();
-    let mut told = told(agent.at, known);
+    let mut told = ingress_config(agent.at, known);
     told["limits"]["sockets"] = json!(sockets);
     told["settings"]["membershipMode"] = json!(mode);
     told["settings"]["familyInfo"] = json!({"largest": 6, "hasCounter": true, "counterTimeout": 50.0});
@@ -88,7 +88,7 @@
         std::env::temp_dir().join(format!("weldhub-descriptors-{}-{sockets}-{mode}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let env = [("TMPDIR", folder.to_string_lossy().into_owned())];
-    let mut program = Program::limited(
+    let mut program = Program::start_with_ulimit(
         &format!("descriptors-{sockets}-{mode}"),
         &told.to_string(),
         &env,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use serde_json::json;
-use stand_ins::door::*;
+use stand_ins::admin::*;
 use stand_ins::ingress::*;
 use stand_ins::program::Program;
 use stand_ins::*;
@@ -40,7 +40,7 @@
     }
 
     async fn start(&mut self, n: usize) {
-        let mut told = told(self.agent.at, self.known.clone());
+        let mut told = ingress_config(self.agent.at, self.known.clone());
         let (listen, door) = self.at[n];
         told["name"] = json!(format!("n{n}"));
         told["management"] = json!(door.to_string());
@@ -116,13 +116,13 @@
         stopped.signal("CONT");
         // Until somebody has told it who lives, it has not come back whole.
         for line in ["this process stood still", "stage: partial", "stage: whole"] {
-            fleet.programs[2].as_mut().unwrap().says(line).await;
+            fleet.programs[2].as_mut().unwrap().wait_for_log(line).await;
         }
         fleet.agree(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
         // Told to stop: it has left, and is never taken for dead.
         let leaving = fleet.programs[1].as_mut().unwrap();
         leaving.signal("TERM");
-        leaving.says("stopped").await;
+        leaving.wait_for_log("stopped").await;
         fleet.agree(&[0, 2, 3, 4], &["alive", "left", "alive", "alive", "alive"]).await;
         assert_eq!(figures(fleet.at[0].1).await["svc_cluster_dead"], 0);
         // Strangers and garbage are counted and change nothing.
@@ -154,7 +154,7 @@
 fn what_operators_say_at_one_door_holds_at_all_until_it_ends_whoever_was_away() {
     local(async {
         let mut fleet = Fleet::new("almaty-words", 3).await;
-        let server = RealServer::start(ok("e4")).await;
+        let server = Backend::start(ok("e4")).await;
         fleet.known = vec![
             service_entry("s1", server.at, 0, "in_service"),
             service_entry("s2", server.at, 0, "in_service"),
@@ -213,7 +213,7 @@
 #[test]
 fn what_cannot_be_a_fleet_ends_the_start_with_its_key() {
     let read = |cluster: serde_json::Value| {
-        let mut told = told(SocketAddr::from(([127, 0, 0, 1], 9)), Vec::new());
+        let mut told = ingress_config(SocketAddr::from(([127, 0, 0, 1], 9)), Vec::new());
         told["cluster"] = cluster;
         weldhub::config::Config::read(&told.to_string(), |_| None).map(drop).map_err(|e| e.to_string())
     };
--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use serde_json::json;
 use socket2::SockRef;
-use stand_ins::full::Full;
+use stand_ins::full_backlog::FullBacklog;
 use stand_ins::ingress::*;
 use stand_ins::*;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 async fn before(servers: &[std::net::SocketAddr], cancelling: bool) -> (Ingress, Agent) {
     let agent = Agent::start().await;
     let entry = |(i, at): (usize, &_)| service_entry(&format!("s{i}"), *at, 0, "in_service");
-    let mut told = told(agent.at, servers.iter().enumerate().map(entry).collect());
+    let mut told = ingress_config(agent.at, servers.iter().enumerate().map(entry).collect());
     told["settings"]["limits"]["connectTimeout"] = json!(5000.0);
     told["settings"]["limits"]["cancelling"] = json!(cancelling);
     (start(&told).await, agent)
@@ -65,12 +65,12 @@
 }
 
 async fn handshake_under_way(how: Leaves, cancelling: bool) {
-    let server = Full::new().await;
+    let server = FullBacklog::new().await;
     let (ingress, _agent) = before(&[server.at()], cancelling).await;
     comes_and_leaves(&ingress, how).await;
     tokio::time::sleep(GONE).await;
     // Now connections come up; the system tries again by itself.
-    let said = server.all_said().await;
+    let said = server.accept_and_read_text().await;
     assert_eq!(said.lines().next(), None, "{how:?}, cancelling: {cancelling}");
 }
 
@@ -145,7 +145,7 @@
 fn requests_behind_the_one_that_waits_are_not_sent_on_once_their_client_has_left() {
     local(async {
         for cancelling in [true, false] {
-            let server = RealServer::start(Serve::Late(Duration::from_millis(400), "x".into())).await;
+            let server = Backend::start(Serve::Late(Duration::from_millis(400), "x".into())).await;
             let (ingress, _agent) = before(&[server.at], cancelling).await;
             let mut client = Client::new(ingress.at).await;
             for i in 0..20 {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -13,13 +13,13 @@
 fn a_flow_and_its_answer_pass_unchanged() {
     local(async {
         let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: a/b\r\n\r\n3\r\n\x00\xffz\r\n0\r\n\r\n";
-        let (server, ingress, _agent) = one(Serve::Bytes(answer.to_vec())).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Bytes(answer.to_vec())).await;
         let mut client = Client::new(ingress.at).await;
         for text in [board("9b1f03aa5c7e2d41", 900, 1), submit("9b1f03aa5c7e2d42", 900)] {
             let message = client.ask(&text).await;
             assert_eq!((status(&message), &message.body[..]), (200, &b"\x00\xffz"[..]));
             assert_eq!(header(&message, "content-type").as_deref(), Some("a/b"));
-            rested().await;
+            wait_until_reusable().await;
         }
         let got = server.got.borrow();
         let (first, second) = (&got[0].1, &got[1].1);
@@ -38,7 +38,7 @@
 #[test]
 fn a_flow_beyond_the_quota_is_rejected_and_told_when_to_come_back() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let mut client = Client::new(ingress.at).await;
         for i in 0..4 {
             assert_eq!(status(&client.ask(&board(&format!("a{i}"), 900, 6)).await), 200);
@@ -56,7 +56,7 @@
 #[test]
 fn a_silent_real_server_costs_a_504_and_its_connection_is_closed() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         assert_eq!(status(&ask(ingress.at, &submit("a", 600)).await), 504);
         until(|| server.connections.get() == [1, 1]).await;
         assert_eq!(server.count(), 1);
@@ -66,7 +66,7 @@
 #[test]
 fn a_client_that_leaves_takes_its_scheduling_with_it() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&board("a", 1400, 1)).await;
         until(|| server.count() == 1).await;
@@ -78,8 +78,8 @@
 #[test]
 fn what_breaks_after_its_last_byte_may_have_run_and_is_not_sent_again_by_the_network_code() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["settings"]["limits"]["maxAttempts"] = json!(1);
         let ingress = start(&told).await;
         assert_eq!(status(&ask(ingress.at, &submit("a", 900)).await), 200);
@@ -87,7 +87,7 @@
         for (i, last) in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"].into_iter().enumerate()
         {
             server.behave(Serve::Last(last.to_vec()));
-            rested().await;
+            wait_until_reusable().await;
             assert_eq!(status(&ask(ingress.at, &submit(&format!("b{i}"), 900)).await), 502);
             assert_eq!(server.count(), 2 + i);
         }
@@ -98,7 +98,7 @@
 #[test]
 fn garbage_and_errors_of_a_real_server_are_failures() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let large = format!("HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n{}", "x".repeat(70000));
         let bad = [
             "\x00garbage\r\n\r\n",
@@ -122,7 +122,7 @@
 #[test]
 fn bad_requests_never_reach_a_real_server() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let huge = submit("a", 900).replace("Content-Length: 4", "Content-Length: 40000000");
         let cases = [
             ("\x00\x01\r\n\r\n".to_owned(), 400),
@@ -142,10 +142,10 @@
 }
 
 /// An ingress of 74 descriptors, which leaves 21 for client connections, and a real server that lets many flows in.
-async fn small(manner: Serve) -> (RealServer, Ingress, Agent) {
-    let (server, agent) = (RealServer::start(manner).await, Agent::start().await);
+async fn small(manner: Serve) -> (Backend, Ingress, Agent) {
+    let (server, agent) = (Backend::start(manner).await, Agent::start().await);
     let known = (0..8).map(|i| service_entry(&format!("s{i}"), server.at, 0, "in_service")).collect();
-    let mut told = told(agent.at, known);
+    let mut told = ingress_config(agent.at, known);
     told["limits"]["sockets"] = json!(74);
     let ingress = start(&told).await;
     (server, ingress, agent)
@@ -192,7 +192,7 @@
 #[test]
 fn silence_and_half_a_message_are_ended_before_the_longest_flow_is() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut flow = Client::new(ingress.at).await;
         let (mut silent, mut half, mut endless) =
             (Client::new(ingress.at).await, Client::new(ingress.at).await, Client::new(ingress.at).await);
@@ -216,7 +216,7 @@
 #[test]
 fn an_id_that_is_open_is_refused_and_its_flow_goes_on() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 600)).await;
         until(|| server.count() == 1).await;
@@ -231,7 +231,7 @@
 #[test]
 fn a_client_that_sends_on_after_its_refusal_still_gets_to_read_it() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 900).replace("Content-Length: 4", "Content-Length: 60000000")).await;
         for _ in 0..3 {
@@ -254,7 +254,7 @@
 #[test]
 fn what_comes_ahead_of_an_answer_or_behind_it_is_not_taken_for_one() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nServer-Load: rif=\u{1},q=many\r\n\r\nabc";
         let good = good.replace('\u{1}', "\t-");
         let ahead = format!("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 P\r\n\r\n{good}");
@@ -265,7 +265,7 @@
             server.behave(Serve::Bytes(text.clone().into_bytes()));
             let answer = ask(ingress.at, &submit(&format!("a{i}"), 900)).await;
             assert_eq!((status(&answer), &answer.body[..]), (200, &b"abc"[..]), "{i}");
-            rested().await;
+            wait_until_reusable().await;
         }
         server.behave(ok("fresh"));
         assert_eq!(&ask(ingress.at, &submit("b", 900)).await.body[..], b"fresh");
@@ -277,7 +277,7 @@
 #[test]
 fn an_answer_that_goes_on_for_ever_is_cut() {
     local(async {
-        let (server, ingress, _agent) = one(ok("x")).await;
+        let (server, ingress, _agent) = start_with_backend(ok("x")).await;
         let endless = [
             "HTTP/1.1 102 P\r\n\r\n".repeat(5000),
             format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: p\r\n".repeat(3000)),
@@ -296,8 +296,8 @@
 #[test]
 fn idle_connections_make_room_for_new_ones() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["limits"]["sockets"] = json!(64);
         let ingress = start(&told).await;
         let mut clients = Vec::new();
@@ -343,7 +343,7 @@
 #[test]
 fn told_to_stop_it_serves_what_comes_then_closes_and_ends_with_all_answered() {
     local(async {
-        let (server, ingress, _agent) = one(Serve::Stall).await;
+        let (server, ingress, _agent) = start_with_backend(Serve::Stall).await;
         let mut early = Client::new(ingress.at).await;
         early.send(&submit("a", 1200)).await;
         until(|| server.count() == 1).await;
@@ -371,9 +371,10 @@
 #[test]
 fn it_serves_from_the_known_list_while_discovery_is_silent_and_follows_it_then() {
     local(async {
-        let (old, new) = (RealServer::start(ok("old")).await, RealServer::start(ok("new")).await);
+        let (old, new) = (Backend::start(ok("old")).await, Backend::start(ok("new")).await);
         let agent = Agent::start().await;
-        let ingress = start(&told(agent.at, vec![service_entry("s1", old.at, 0, "in_service")])).await;
+        let ingress =
+            start(&ingress_config(agent.at, vec![service_entry("s1", old.at, 0, "in_service")])).await;
         let served = async |id: &str| ask(ingress.at, &board(id, 900, 1)).await;
         assert_eq!(&served("a").await.body[..], b"old");
         assert_eq!(agent.asked.borrow()[0], "/v1/endpoints?stream=1&index=41");
@@ -403,8 +404,8 @@
 #[test]
 fn changes_after_generation_0_are_taken_in_without_a_new_watch() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["known"]["generation"] = json!(0);
         let ingress = start(&told).await;
         assert_eq!(status(&ask(ingress.at, &board("a", 900, 1)).await), 200);
@@ -417,7 +418,7 @@
 #[test]
 fn a_watch_that_ends_or_tells_nonsense_is_opened_anew_and_the_list_stays() {
     local(async {
-        let (_server, ingress, agent) = one(ok("x")).await;
+        let (_server, ingress, agent) = start_with_backend(ok("x")).await;
         let watches = |n: usize| {
             let asked = agent.asked.clone();
             until(move || asked.borrow().len() >= n)
@@ -441,8 +442,8 @@
 #[test]
 fn an_idle_connection_is_closed_before_the_real_server_may_close_it() {
     local(async {
-        let (server, agent) = (RealServer::start(ok("x")).await, Agent::start().await);
-        let mut told = told(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
+        let (server, agent) = (Backend::start(ok("x")).await, Agent::start().await);
+        let mut told = ingress_config(agent.at, vec![service_entry("s1", server.at, 0, "in_service")]);
         told["settings"]["limits"]["connIdle"] = json!(50.0);
         let ingress = start(&told).await;
         assert_eq!(status(&ask(ingress.at, &board("a", 900, 1)).await), 200);
@@ -456,7 +457,7 @@
 fn a_faulty_key_is_named_before_anything_listens() {
     let at = "127.0.0.1:1".parse().unwrap();
     let error = |edit: fn(&mut Value)| {
-        let mut told = told(at, vec![service_entry("s1", at, 0, "in_service")]);
+        let mut told = ingress_config(at, vec![service_entry("s1", at, 0, "in_service")]);
         edit(&mut told);
         Config::read(&told.to_string(), |_| None).unwrap_err().to_string()
     };
@@ -477,7 +478,7 @@
         assert!(text.contains(key), "{text}");
     }
     // What the environment says goes before the file.
-    let told = told(at, vec![]).to_string();
+    let told = ingress_config(at, vec![]).to_string();
     let config = Config::read(&told, |name| (name == "RELAY_NAME").then(|| "n7".to_owned())).unwrap();
     assert_eq!(config.instance.name, "n7");
 }
@@ -485,12 +486,14 @@
 #[test]
 fn an_agent_that_was_silent_is_heard_as_soon_as_it_speaks_though_what_was_asked_before_is_never_answered() {
     local(async {
-        let server = RealServer::start(ok("e4")).await;
+        let server = Backend::start(ok("e4")).await;
         let listener = listener().await;
         let drains = serde_json::json!({"generation": 42, "reset": true,
             "instances": [service_entry("s1", server.at, 0, "terminating")]});
-        let told =
-            told(listener.local_addr().unwrap(), vec![service_entry("s1", server.at, 0, "in_service")]);
+        let told = ingress_config(
+            listener.local_addr().unwrap(),
+            vec![service_entry("s1", server.at, 0, "in_service")],
+        );
         let begun = std::time::Instant::now();
         let silent = tokio::task::spawn_local(async move {
             // Whoever comes while discovery is down is never answered; it is up when five have come.
