--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,5 @@
-//! The program itself under SIGHUP: it reads its configuration again, moves, and never ends on it.
+//! SIGHUP sent to the running program: it reads its configuration again and switches to the new discovery address.
+//! The signal never ends it.
 
 mod stand_ins;
 
@@ -11,7 +12,8 @@
 use tokio::net::TcpStream;
 use weldhub::net::http::MessageKind;
 
-fn told(agent: SocketAddr, known: Vec<Value>) -> Value {
+/// The platform configuration with `agent` as discovery and `known` as the initial backend list.
+fn config(agent: SocketAddr, known: Vec<Value>) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": agent.to_string(),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
@@ -27,26 +29,28 @@
     })
 }
 
-async fn ask(at: SocketAddr, id: &str) -> (u16, Vec<u8>) {
+/// Sends a `GET /board-state` request; returns the status and the body of the response.
+async fn get_board_state(at: SocketAddr, id: &str) -> (u16, Vec<u8>) {
     let mut stream = TcpStream::connect(at).await.unwrap();
     let text = format!(
         "GET /board-state/1?client=0000000000000007 HTTP/1.1\r\nRequest-Id: {id}\r\nX-Tier: club\r\n\
          Request-Timeout-Ms: 1400\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
     );
     stream.write_all(text.as_bytes()).await.unwrap();
-    let answer = message(&mut stream, &mut BytesMut::new(), MessageKind::Response).await.unwrap();
-    (answer.head.status(), answer.body.to_vec())
+    let response = message(&mut stream, &mut BytesMut::new(), MessageKind::Response).await.unwrap();
+    (response.head.status(), response.body.to_vec())
 }
 
-/// Seen on a day of new configurations: the program had no handler, and ended on the first SIGHUP.
+/// Guards against a program without a SIGHUP handler, which ends on the first SIGHUP of a configuration rollout.
 #[test]
-fn a_new_configuration_moves_discovery_at_once_and_a_bad_one_changes_nothing() {
+fn reload_moves_discovery_at_once_and_ignores_invalid_configuration() {
     local(async {
-        let (one, two) = (RealServer::start(ok("one")).await, RealServer::start(ok("two")).await);
+        let (first_backend, second_backend) =
+            (RealServer::start(ok("one")).await, RealServer::start(ok("two")).await);
         let (old, new) = (Agent::start().await, Agent::start().await);
-        let known = vec![service_entry("s1", one.at, 0, "in_service")];
-        let first = told(old.at, known.clone());
-        // The environment names the old address; that must not hold the program there.
+        let known = vec![service_entry("s1", first_backend.at, 0, "in_service")];
+        let first = config(old.at, known.clone());
+        // The environment names the old address; it must not override the reloaded configuration.
         let env = [("RELAY_DISCOVERY", old.at.to_string())];
         let mut program = Program::start("platform", &first.to_string(), &env, false);
         let at = program.serving().await;
@@ -55,23 +59,32 @@
         program.says("the new configuration cannot be used").await;
         program.reread(&first.to_string().replace(&format!("\"{}\"", old.at), "\"nowhere\""));
         program.says("discovery").await;
-        assert_eq!(ask(at, "a").await, (200, b"one".to_vec()));
+        assert_eq!(get_board_state(at, "a").await, (200, b"one".to_vec()));
         assert_eq!((old.asked.borrow().len(), new.asked.borrow().len()), (1, 0));
-        program.reread(&told(new.at, known).to_string());
+        program.reread(&config(new.at, known).to_string());
         until(|| new.asked.borrow().len() == 1).await;
-        assert!(new.asked.borrow()[0].ends_with("&index=41"), "it goes on from the list that it has");
-        assert_eq!(ask(at, "b").await, (200, b"one".to_vec()), "the list is not lost meanwhile");
-        let (gone, come) =
-            (service_entry("s1", one.at, 0, "terminated"), service_entry("s2", two.at, 0, "in_service"));
-        new.say(42, false, vec![gone, come]);
-        let mut served = ask(at, "c").await;
+        assert!(
+            new.asked.borrow()[0].ends_with("&index=41"),
+            "the new watch does not continue from the known index"
+        );
+        assert_eq!(
+            get_board_state(at, "b").await,
+            (200, b"one".to_vec()),
+            "the backend list was lost on reload"
+        );
+        let (removed, added) = (
+            service_entry("s1", first_backend.at, 0, "terminated"),
+            service_entry("s2", second_backend.at, 0, "in_service"),
+        );
+        new.say(42, false, vec![removed, added]);
+        let mut response = get_board_state(at, "c").await;
         for i in 0.. {
-            if served == (200, b"two".to_vec()) {
+            if response == (200, b"two".to_vec()) {
                 break;
             }
-            served = ask(at, &format!("d{i}")).await;
+            response = get_board_state(at, &format!("d{i}")).await;
         }
-        // More than once, and near the end.
+        // SIGHUP during shutdown, more than once, must not end the program early.
         program.signal("TERM");
         program.signal("HUP");
         program.says("stopping").await;
@@ -81,23 +94,23 @@
 }
 
 #[test]
-fn a_new_operators_file_moves_the_authorisation_front_to_another_consul() {
+fn reload_moves_ext_authz_front_to_another_consul() {
     local(async {
         let (old, new) = (Consul::start(vec![]).await, Consul::start(vec![]).await);
-        let file = |consul: SocketAddr| {
+        let config = |consul: SocketAddr| {
             let text = include_str!("../deploy/ext-authz.toml");
-            let set = |line: &str| match line.split(" = ").next() {
+            let replace_addresses = |line: &str| match line.split(" = ").next() {
                 Some("listen") => "listen = \"127.0.0.1:0\"".to_owned(),
                 Some("address") => format!("address = \"{consul}\""),
                 _ => line.to_owned(),
             };
-            text.lines().map(set).collect::<Vec<_>>().join("\n")
+            text.lines().map(replace_addresses).collect::<Vec<_>>().join("\n")
         };
-        let mut program = Program::start("authz", &file(old.at), &[], true);
+        let mut program = Program::start("authz", &config(old.at), &[], true);
         until(|| !old.asked.borrow().is_empty()).await;
         program.reread("consul = 1");
         program.says("the new configuration cannot be used").await;
-        program.reread(&file(new.at));
+        program.reread(&config(new.at));
         until(|| !new.asked.borrow().is_empty()).await;
         program.signal("TERM");
         assert!(program.end().await.success());
