--- a/tests/attempt_ends.rs
+++ b/tests/attempt_ends.rs
@@ -1,5 +1,5 @@
-//! The attempt handling shared by the client sides of all fronts: each attempt reports exactly one end, and no attempt
-//! starts on a draining backend.
+//! The attempt handling shared by the client sides of all fronts: each attempt reports exactly one end, and
+//! no attempt starts on a draining backend.
 
 mod stand_ins;
 
@@ -17,8 +17,8 @@
     list
 }
 
-/// Starts an attempt, moves it to `stage` and sends `command`. Returns the reported outcome and whether the job's
-/// `cancelled` channel has been closed.
+/// Starts an attempt, moves it to `stage` and sends `command`. Returns the reported outcome and whether the
+/// job's `cancelled` channel has been closed.
 async fn outcome_after(stage: Stage, command: ClientSideCommand<()>) -> (Option<Outcome>, bool) {
     let (exchange, mut events) = Exchange::<(), ()>::new();
     let attempts = Attempts::<(), (), ()>::new(exchange);
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -1,5 +1,6 @@
-//! Restarted processes become ready in time, even when seven in ten of a fleet restart at once while discovery is silent, slow
-//! or unreachable. The program is killed with clients connected and started again at its old address.
+//! Restarted processes become ready in time, even when seven in ten of a fleet restart at once while
+//! discovery is silent, slow or unreachable. The program is killed with clients connected and started again
+//! at its old address.
 
 mod stand_ins;
 
@@ -15,7 +16,8 @@
 use tokio::task::spawn_local;
 use weldhub::net::http::MessageKind;
 
-/// At least nine in ten restarted processes must be ready within this time; the bound holds for the shortest days.
+/// At least nine in ten restarted processes must be ready within this time; the bound holds for the shortest
+/// days.
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
 /// The number of processes that restart at once.
 const RESTARTED_PROCESSES: usize = 20;
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,5 +1,5 @@
-//! SIGHUP sent to the running program: it reads its configuration again and switches to the new discovery address.
-//! The signal never ends it.
+//! SIGHUP sent to the running program: it reads its configuration again and switches to the new discovery
+//! address. The signal never ends it.
 
 mod stand_ins;
 
@@ -41,7 +41,8 @@
     (response.head.status(), response.body.to_vec())
 }
 
-/// Guards against a program without a SIGHUP handler, which ends on the first SIGHUP of a configuration rollout.
+/// Guards against a program without a SIGHUP handler, which ends on the first SIGHUP of a configuration
+/// rollout.
 #[test]
 fn reload_moves_discovery_at_once_and_ignores_invalid_configuration() {
     local(async {
