--- a/tests/client.rs
+++ b/tests/client.rs
@@ -1,4 +1,5 @@
-//! The client library against the program itself: refusal storms, restarts, and what dies half way.
+//! The client library against the running program: rejection storms, restarts, and ingresses that die while a
+//! response is half written.
 
 mod stand_ins;
 
@@ -13,91 +14,104 @@
 use tokio::task::spawn_local;
 use weldhub_client::{Client, Config, ErrorKind, Request, RetrySafety, StopReason};
 
-/// Ingresses of one fleet, each a process; told apart by their number.
+/// The ingresses of one fleet, each a process, identified by their index.
 struct Fleet {
-    at: Vec<SocketAddr>,
-    doors: Vec<SocketAddr>,
-    told: Vec<serde_json::Value>,
+    addresses: Vec<SocketAddr>,
+    /// The addresses of the admin interfaces.
+    admin_addresses: Vec<SocketAddr>,
+    configs: Vec<serde_json::Value>,
+    /// The processes; `None` for one that has been killed.
     programs: Vec<Option<Program>>,
+    /// Prefix of the program names, distinct for each test.
     name: &'static str,
 }
 
 impl Fleet {
-    /// So many ingresses before these real servers, with so many units at once for a customer, never filled again.
-    async fn start(name: &'static str, many: usize, servers: &[SocketAddr], units: f64) -> Self {
+    /// Starts `size` ingresses in front of these backends. A customer's token bucket holds `units` and
+    /// practically never refills.
+    async fn start(name: &'static str, size: usize, backends: &[SocketAddr], units: f64) -> Self {
         let agent = Agent::start().await;
-        let known: Vec<_> = servers
+        let known: Vec<_> = backends
             .iter()
             .enumerate()
             .map(|(i, at)| service_entry(&format!("s{i}"), *at, 0, "in_service"))
             .collect();
-        let mut fleet =
-            Self { at: Vec::new(), doors: Vec::new(), told: Vec::new(), programs: Vec::new(), name };
-        for i in 0..many {
-            let [at, door] = [own_address(), own_address()];
-            let mut told = told(agent.at, known.clone());
-            told["listen"] = json!(at.to_string());
-            told["settings"]["balancers"] = json!(many);
-            told["settings"]["myNumber"] = json!(i);
-            told["settings"]["limits"]["maxAttempts"] = json!(1);
-            told["settings"]["tariffs"][0]["storeSize"] = json!(units);
-            told["management"] = json!(door.to_string());
-            fleet.at.push(at);
-            fleet.doors.push(door);
-            fleet.told.push(told);
+        let mut fleet = Self {
+            addresses: Vec::new(),
+            admin_addresses: Vec::new(),
+            configs: Vec::new(),
+            programs: Vec::new(),
+            name,
+        };
+        for i in 0..size {
+            let [address, admin] = [own_address(), own_address()];
+            let mut config = told(agent.at, known.clone());
+            config["listen"] = json!(address.to_string());
+            config["settings"]["balancers"] = json!(size);
+            config["settings"]["myNumber"] = json!(i);
+            config["settings"]["limits"]["maxAttempts"] = json!(1);
+            config["settings"]["tariffs"][0]["storeSize"] = json!(units);
+            config["management"] = json!(admin.to_string());
+            fleet.addresses.push(address);
+            fleet.admin_addresses.push(admin);
+            fleet.configs.push(config);
         }
-        for i in 0..many {
+        for i in 0..size {
             fleet.programs.push(None);
             fleet.run(i).await;
         }
         fleet
     }
 
+    /// Starts ingress `i`, again if it was killed, and waits until it serves.
     async fn run(&mut self, i: usize) {
         let name = format!("client-{}-{i}", self.name);
-        let mut program = Program::start(&name, &self.told[i].to_string(), &[], false);
+        let mut program = Program::start(&name, &self.configs[i].to_string(), &[], false);
         program.serving().await;
         self.programs[i] = Some(program);
     }
 
-    /// Whether it has a request that it has not answered.
-    async fn busy(&self, i: usize) -> bool {
-        figures(self.doors[i]).await["svc_pending"] > 0
+    /// Returns whether ingress `i` has a pending request.
+    async fn has_pending_request(&self, i: usize) -> bool {
+        figures(self.admin_addresses[i]).await["svc_pending"] > 0
     }
 
-    /// SIGKILL.
+    /// Ends ingress `i` with SIGKILL.
     fn kill(&mut self, i: usize) {
         self.programs[i] = None;
     }
 
+    /// Returns a client that knows all ingresses.
     fn client(&self) -> Client {
-        let all: Vec<String> = self.at.iter().map(SocketAddr::to_string).collect();
-        let mut config = Config::new(all.iter().map(String::as_str)).unwrap();
+        let addresses: Vec<String> = self.addresses.iter().map(SocketAddr::to_string).collect();
+        let mut config = Config::new(addresses.iter().map(String::as_str)).unwrap();
         config.seed = 7;
         config.ingress_policy.reconnect_spread = 400.0;
         Client::new(config).unwrap()
     }
 
+    /// A request of a class that is safe to repeat.
     fn board(&self, timeout: u32) -> Request {
         Request::get("/board-state/1")
             .customer(7)
             .plan("club")
-            .ingress_set(self.at.len(), 0)
+            .ingress_set(self.addresses.len(), 0)
             .timeout_ms(timeout)
     }
 
+    /// A request with a body and an idempotency key.
     fn submit(&self, retry_safety: RetrySafety, timeout: u32) -> Request {
         let request = Request::post("/move-submit/1", "e2e4")
             .retry_safety(retry_safety)
             .idempotency_key("5c0f")
             .customer(7)
             .plan("club");
-        request.ingress_set(self.at.len(), 0).timeout_ms(timeout)
+        request.ingress_set(self.addresses.len(), 0).timeout_ms(timeout)
     }
 }
 
-/// A real server that answers after a while.
-async fn slow(span: Duration) -> SocketAddr {
+/// Starts a backend that responds after `delay`; returns its address.
+async fn slow_backend(delay: Duration) -> SocketAddr {
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
     spawn_local(async move {
@@ -109,7 +123,7 @@
                     .await
                     .is_some()
                 {
-                    tokio::time::sleep(span).await;
+                    tokio::time::sleep(delay).await;
                     if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").await.is_err() {
                         return;
                     }
@@ -121,22 +135,23 @@
 }
 
 #[test]
-fn in_a_storm_of_refusals_while_all_servers_slow_retries_stay_a_bounded_share() {
+fn retries_stay_a_bounded_share_during_rejection_storm_with_slow_backends() {
     local(async {
-        let servers = [slow(Duration::from_millis(300)).await, slow(Duration::from_millis(300)).await];
-        let fleet = Fleet::start("storm", 2, &servers, 40.0).await;
+        let backends =
+            [slow_backend(Duration::from_millis(300)).await, slow_backend(Duration::from_millis(300)).await];
+        let fleet = Fleet::start("storm", 2, &backends, 40.0).await;
         let client = fleet.client();
-        let mut all = Vec::new();
+        let mut sends = Vec::new();
         for _ in 0..200 {
             let (client, request) = (client.clone(), fleet.board(1400));
-            all.push(spawn_local(async move { client.send(&request).await }));
+            sends.push(spawn_local(async move { client.send(&request).await }));
         }
-        let mut refused = 0;
-        for asked in all {
-            match asked.await.unwrap() {
+        let mut rejected = 0;
+        for send in sends {
+            match send.await.unwrap() {
                 Ok(_) => {}
                 Err(e) if matches!(e.kind, ErrorKind::Rejected(_)) => {
-                    refused += 1;
+                    rejected += 1;
                     assert!(!e.may_have_run);
                 }
                 Err(e) => {
@@ -148,17 +163,17 @@
             }
         }
         let counts = client.counts();
-        assert!(refused > 0);
-        // A tenth of what is asked, and ten saved up.
+        assert!(rejected > 0);
+        // Retry budget: a tenth of the 200 requests, and 10 retries saved up.
         assert!(counts.tries <= 200 + 20 + 10, "{counts:?}");
     });
 }
 
 #[test]
-fn three_ingresses_that_restart_together_are_found_again() {
+fn client_reconnects_after_three_ingresses_restart_together() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
-        let mut fleet = Fleet::start("restart", 3, &[server.at], 1e6).await;
+        let backend = RealServer::start(ok("x")).await;
+        let mut fleet = Fleet::start("restart", 3, &[backend.at], 1e6).await;
         let client = fleet.client();
         for _ in 0..10 {
             assert!(client.send(&fleet.board(1400)).await.is_ok());
@@ -167,15 +182,15 @@
         let e = client.send(&fleet.submit(RetrySafety::Unsafe, 700)).await.unwrap_err();
         assert!(
             !e.may_have_run && matches!(e.kind, ErrorKind::Unreachable | ErrorKind::ConnectionLost),
-            "nothing left: {e}"
+            "the request must not have been sent: {e}"
         );
-        // While nobody is there, what is asked ends in time, and connects are paced.
+        // Without any ingress, requests fail in time and connection attempts are paced.
         let before = client.counts().connection_attempts;
         for _ in 0..20 {
             assert!(client.send(&fleet.board(60)).await.is_err());
         }
-        let connects = client.counts().connection_attempts - before;
-        assert!(connects < 40, "{connects}");
+        let connection_attempts = client.counts().connection_attempts - before;
+        assert!(connection_attempts < 40, "{connection_attempts}");
         for i in 0..3 {
             fleet.run(i).await;
         }
@@ -187,65 +202,65 @@
 }
 
 #[test]
-fn an_ingress_that_dies_with_answers_half_written_costs_only_what_the_class_forbids_to_repeat() {
+fn request_survives_ingress_killed_mid_response_only_if_its_class_allows_a_retry() {
     local(async {
-        // An answer of which half comes, and the rest when it is asked for again.
+        // The first attempt receives half of a response, the next one the whole response.
         let half = [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n".to_vec(), vec![7; 100_000]].concat();
         let whole =
             [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n".to_vec(), vec![7; 200_000]].concat();
         let keyed = RetrySafety::Keyed { window: 60_000.0 };
-        for (retry_safety, served) in [(keyed, true), (RetrySafety::Unsafe, false)] {
-            let server = RealServer::start(Serve::Bytes(half.clone())).await;
-            let mut fleet = Fleet::start("half", 2, &[server.at], 1e6).await;
+        for (retry_safety, succeeds) in [(keyed, true), (RetrySafety::Unsafe, false)] {
+            let backend = RealServer::start(Serve::Bytes(half.clone())).await;
+            let mut fleet = Fleet::start("half", 2, &[backend.at], 1e6).await;
             let client = fleet.client();
             let request = fleet.submit(retry_safety, 2900);
-            let asked = spawn_local(async move { client.send(&request).await });
-            until(|| server.count() == 1).await;
+            let send = spawn_local(async move { client.send(&request).await });
+            until(|| backend.count() == 1).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
-            server.behave(Serve::Bytes(whole.clone()));
-            // Which of the two has it is chance: the other one is left.
-            let (one, two) = (fleet.busy(0).await, fleet.busy(1).await);
-            fleet.kill(if one { 0 } else { 1 });
-            assert!(one != two);
-            match asked.await.unwrap() {
-                Ok(answer) => assert!(served && answer.body.len() == 200_000 && answer.tries == 2),
+            backend.behave(Serve::Bytes(whole.clone()));
+            // Either ingress may have the request; the one that has it is killed.
+            let (first, second) = (fleet.has_pending_request(0).await, fleet.has_pending_request(1).await);
+            fleet.kill(if first { 0 } else { 1 });
+            assert!(first != second);
+            match send.await.unwrap() {
+                Ok(response) => assert!(succeeds && response.body.len() == 200_000 && response.tries == 2),
                 Err(e) => assert!(
-                    !served
+                    !succeeds
                         && e.may_have_run
                         && (e.stop_reason, e.kind.clone())
                             == (StopReason::UnsafeToRetry, ErrorKind::ConnectionLost),
                     "{e}"
                 ),
             }
-            assert_eq!(server.count(), 1 + usize::from(served));
+            assert_eq!(backend.count(), 1 + usize::from(succeeds));
         }
     });
 }
 
 #[test]
-fn a_key_whose_window_has_passed_is_not_sent_again() {
+fn keyed_request_is_not_retried_after_its_window() {
     local(async {
-        let server = RealServer::start(Serve::Stall).await;
-        let fleet = Fleet::start("window", 2, &[server.at], 1e6).await;
-        // The ingress fails it after a while: 504, and by then the key holds no longer.
-        let mut told = fleet.submit(RetrySafety::Keyed { window: 100.0 }, 2900);
+        let backend = RealServer::start(Serve::Stall).await;
+        let fleet = Fleet::start("window", 2, &[backend.at], 1e6).await;
+        // The ingress responds with 504 when the timeout ends; by then the window of the key has passed.
+        let mut request = fleet.submit(RetrySafety::Keyed { window: 100.0 }, 2900);
         let client = fleet.client();
-        told = told.timeout_ms(700);
-        let e = client.send(&told).await.unwrap_err();
+        request = request.timeout_ms(700);
+        let e = client.send(&request).await.unwrap_err();
         assert!(e.may_have_run && e.tries == 1, "{e}");
         assert!(matches!(e.stop_reason, StopReason::DedupWindow | StopReason::Deadline), "{e}");
-        assert_eq!(server.count(), 1);
+        assert_eq!(backend.count(), 1);
     });
 }
 
 #[test]
-fn a_deadline_that_ends_during_back_off_is_kept() {
+fn deadline_within_backoff_ends_the_request() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
-        let fleet = Fleet::start("deadline", 1, &[server.at], 1.0).await;
+        let backend = RealServer::start(ok("x")).await;
+        let fleet = Fleet::start("deadline", 1, &[backend.at], 1.0).await;
         let client = fleet.client();
         assert!(client.send(&fleet.board(900)).await.is_ok());
-        // Beyond a quota that does not fill: come again in a second, which is too late.
+        // Over a quota that does not refill: the advised retry in a second is after the deadline.
         let e = client.send(&fleet.board(400)).await.unwrap_err();
         assert_eq!(
             (e.kind, e.stop_reason, e.tries, e.may_have_run),
