--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,6 +1,7 @@
-//! Idle clients may fill the descriptors while discovery is down: its calls, the connections to real servers, the counter
-//! and the operators' door keep theirs reserved, and after its return the list is read in time. The program itself, with
-//! as many descriptors as it is told that it may hold.
+//! While discovery is down, idle clients may use up the file descriptors. Descriptors stay reserved for
+//! discovery, backend connections, the counter and the admin interface, so that the backend list is read in
+//! time once discovery is back. The tests run the program with its descriptor limit (`ulimit -n`) equal to
+//! the configured `limits.sockets`.
 
 mod stand_ins;
 
@@ -21,14 +22,16 @@
 use weldhub::config::MAX_ADMIN_CONNECTIONS;
 use weldhub::net::http::MessageKind;
 
-/// What discovery has counts as told so long after it could be reached.
-const CLOCK: Duration = Duration::from_secs(6);
-/// Discovery is down for so long.
+/// The backend list must be known within this time after discovery becomes reachable again.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long discovery is down.
 const OUTAGE: Duration = Duration::from_secs(5);
 
-/// An agent that accepts and holds every call while it is down, and answers new ones from its return on.
+/// A discovery agent that accepts every call. It leaves calls without a response while it is down, and
+/// answers new calls once a list is set.
 struct DownAgent {
     at: SocketAddr,
+    /// The list it responds with; `None` while it is down.
     list: Rc<RefCell<Option<String>>>,
 }
 
@@ -46,8 +49,8 @@
             let list = list.clone();
             spawn_local(async move {
                 message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await;
-                let told = list.borrow().clone();
-                let Some(line) = told else { return drop(stream.read_to_end(&mut Vec::new()).await) };
+                let line = list.borrow().clone();
+                let Some(line) = line else { return drop(stream.read_to_end(&mut Vec::new()).await) };
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let _ =
                     stream.write_all(format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await;
@@ -58,55 +61,59 @@
         }
     }
 
-    fn return_with(&self, list: Value) {
+    /// Ends the outage: new calls receive `list`.
+    fn come_back_with(&self, list: Value) {
         *self.list.borrow_mut() = Some(list.to_string());
     }
 }
 
-/// Descriptors that a process holds.
-fn descriptors(process: u32) -> usize {
+/// The number of file descriptors that a process has open.
+fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().count()
 }
 
-async fn filled_while_discovery_is_down(sockets: usize, mode: &str) {
+/// Fills a program limited to `sockets` descriptors with idle connections during a discovery outage, then
+/// checks that it reads the new backend list in time and never used all of its descriptors.
+async fn check_descriptors_during_outage(sockets: usize, mode: &str) {
     let agent = DownAgent::start().await;
-    let (slow, new) = (RealServer::start(Serve::Stall).await, RealServer::start(ok("new")).await);
-    let (counter, door, peer) = (Counter::start().await, own_address(), own_address());
-    // Their cells differ: that a few are slow keeps nothing from the others.
-    let known = (0..40).map(|i| service_entry(&format!("k{i}"), slow.at, i, "in_service")).collect();
-    let mut told = told(agent.at, known);
-    told["limits"]["sockets"] = json!(sockets);
-    told["settings"]["membershipMode"] = json!(mode);
-    told["settings"]["familyInfo"] = json!({"largest": 6, "hasCounter": true, "counterTimeout": 50.0});
-    told["settings"]["limits"]["mayTell"] = json!(true);
-    told["settings"]["classes"][0]["giveUp"] = json!(9000.0);
-    told["settings"]["tariffs"][0]["storeSize"] = json!(10_000.0);
-    told["settings"]["tariffs"][0]["perSecond"] = json!(1000.0);
-    (told["counter"], told["management"]) = (json!(counter.at.to_string()), json!(door.to_string()));
-    (told["peer_listen"], told["peers"]) = (json!(peer.to_string()), json!([peer.to_string()]));
+    let (stalled, new) = (RealServer::start(Serve::Stall).await, RealServer::start(ok("new")).await);
+    let (counter, admin, peer) = (Counter::start().await, own_address(), own_address());
+    // Each backend is in a cell of its own, so that a few slow ones do not hold back requests to the others.
+    let known = (0..40).map(|i| service_entry(&format!("k{i}"), stalled.at, i, "in_service")).collect();
+    let mut config = told(agent.at, known);
+    config["limits"]["sockets"] = json!(sockets);
+    config["settings"]["membershipMode"] = json!(mode);
+    config["settings"]["familyInfo"] = json!({"largest": 6, "hasCounter": true, "counterTimeout": 50.0});
+    config["settings"]["limits"]["mayTell"] = json!(true);
+    config["settings"]["classes"][0]["giveUp"] = json!(9000.0);
+    config["settings"]["tariffs"][0]["storeSize"] = json!(10_000.0);
+    config["settings"]["tariffs"][0]["perSecond"] = json!(1000.0);
+    (config["counter"], config["management"]) = (json!(counter.at.to_string()), json!(admin.to_string()));
+    (config["peer_listen"], config["peers"]) = (json!(peer.to_string()), json!([peer.to_string()]));
     let folder =
         std::env::temp_dir().join(format!("weldhub-descriptors-{}-{sockets}-{mode}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let env = [("TMPDIR", folder.to_string_lossy().into_owned())];
     let mut program = Program::limited(
         &format!("descriptors-{sockets}-{mode}"),
-        &told.to_string(),
+        &config.to_string(),
         &env,
         &format!("-n {sockets}"),
     );
     let at = program.serving().await;
-    let (down, process, mut most) = (Instant::now(), program.child.id(), 0);
+    let (outage_start, process, mut max_open) = (Instant::now(), program.child.id(), 0);
     let mut clients = Vec::new();
-    // As many as fit wait for answers; the others say nothing, and are replaced by more of their like.
+    // Two fifths of the descriptors hold requests that wait for their response. The connections opened below
+    // send nothing, and more of them follow when the ingress closes them.
     for i in 0..sockets * 2 / 5 {
         let mut client = TcpStream::connect(at).await.unwrap();
         client.write_all(board(&format!("{i}"), 9000, 1).as_bytes()).await.unwrap();
         clients.push(client);
     }
-    // Operators who say nothing are let go after some seconds; others come.
+    // Admin connections that send nothing are closed after some seconds; new ones replace them.
     let mut operators = VecDeque::new();
-    while down.elapsed() < OUTAGE {
-        operators.push_back(TcpStream::connect(door).await.unwrap());
+    while outage_start.elapsed() < OUTAGE {
+        operators.push_back(TcpStream::connect(admin).await.unwrap());
         if operators.len() > MAX_ADMIN_CONNECTIONS {
             operators.pop_front();
         }
@@ -115,28 +122,28 @@
             clients.extend(tokio::time::timeout(Duration::from_millis(20), idle).await.into_iter().flatten());
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
-        most = most.max(descriptors(process));
+        max_open = max_open.max(open_descriptors(process));
     }
-    let stat = call(door, "show-stat\n").await;
-    assert!(stat.ends_with("eof\n"), "the operators' door answers: {stat}");
+    let stat = call(admin, "show-stat\n").await;
+    assert!(stat.ends_with("eof\n"), "unexpected response of the admin interface: {stat}");
     let entries: Vec<_> = (2..5).map(|i| service_entry(&format!("s{i}"), new.at, 0, "in_service")).collect();
-    agent.return_with(json!({"generation": 50, "reset": true, "instances": entries}));
-    let listed = async { while !call(door, "show-stat\n").await.contains("svc_members 3\n") {} };
-    let in_time = tokio::time::timeout(CLOCK, listed).await;
+    agent.come_back_with(json!({"generation": 50, "reset": true, "instances": entries}));
+    let list_read = async { while !call(admin, "show-stat\n").await.contains("svc_members 3\n") {} };
+    let in_time = tokio::time::timeout(DISCOVERY_TIMEOUT, list_read).await;
 
-    assert!(in_time.is_ok(), "the list is not read in time: {sockets} descriptors, {mode}");
-    assert!(most < sockets, "{most} of {sockets} descriptors, {mode}: it has run out");
+    assert!(in_time.is_ok(), "the backend list was not read in time: {sockets} descriptors, {mode}");
+    assert!(max_open < sockets, "{max_open} of {sockets} descriptors in use, {mode}: none left");
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn idle_clients_leave_descriptors_to_discovery_the_counter_and_the_door() {
+fn idle_clients_leave_descriptors_for_discovery_counter_and_admin_interface() {
     local(async {
         for sockets in [64, 128, 256] {
-            let both = ["pushed", "on_request"]
-                .map(|mode| spawn_local(filled_while_discovery_is_down(sockets, mode)));
-            for one in both {
-                one.await.unwrap();
+            let tasks = ["pushed", "on_request"]
+                .map(|mode| spawn_local(check_descriptors_during_outage(sockets, mode)));
+            for task in tasks {
+                task.await.unwrap();
             }
         }
     });
