--- a/tests/gone_clients.rs
+++ b/tests/gone_clients.rs
@@ -1,5 +1,6 @@
-//! A client that closes its connection or cancels its request has gone: no attempt, first or further, begins more than
-//! 0.1 s later. Whole ingresses before real servers that cannot take the attempt until that time is over.
+//! After a client closes its connection or cancels its request, no attempt for its requests, first or later,
+//! begins more than 0.1 s later. The tests run whole ingresses with backends that cannot accept an attempt
+//! until that time is over.
 
 mod stand_ins;
 
@@ -15,146 +16,157 @@
 use tokio::task::spawn_local;
 use weldhub::net::http::MessageKind;
 
-/// From then on nothing may begin.
-const GONE: Duration = Duration::from_millis(100);
+/// The longest time after a client's departure at which an attempt for it may still begin.
+const DEPARTURE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An ingress that waits for connections to its real servers for long and tries three times.
-async fn before(servers: &[std::net::SocketAddr], cancelling: bool) -> (Ingress, Agent) {
+/// Starts an ingress in front of these backends, with a connect timeout of 5 s and up to three attempts per
+/// request.
+async fn start_ingress(backends: &[std::net::SocketAddr], cancelling: bool) -> (Ingress, Agent) {
     let agent = Agent::start().await;
     let entry = |(i, at): (usize, &_)| service_entry(&format!("s{i}"), *at, 0, "in_service");
-    let mut told = told(agent.at, servers.iter().enumerate().map(entry).collect());
-    told["settings"]["limits"]["connectTimeout"] = json!(5000.0);
-    told["settings"]["limits"]["cancelling"] = json!(cancelling);
-    (start(&told).await, agent)
+    let mut config = told(agent.at, backends.iter().enumerate().map(entry).collect());
+    config["settings"]["limits"]["connectTimeout"] = json!(5000.0);
+    config["settings"]["limits"]["cancelling"] = json!(cancelling);
+    (start(&config).await, agent)
 }
 
-/// How a client leaves whose request waits.
+/// How a client leaves while its request waits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Leaves {
-    Quietly,
+enum Departure {
+    /// Closes the connection after its request.
+    Cleanly,
+    /// Resets the connection after its request.
     WithReset,
-    BehindBytes,
-    BehindRequests,
-    BehindBody,
+    /// Closes the connection after its request and 1 MB of further bytes.
+    AfterExtraBytes,
+    /// Closes the connection after three pipelined requests.
+    AfterPipelinedRequests,
+    /// Closes the connection after a request with a body of 2 MB.
+    AfterLongBody,
 }
 
-/// Has a client send its request, wait and leave.
-async fn comes_and_leaves(ingress: &Ingress, how: Leaves) {
+/// Connects a client that sends its request, waits 150 ms and leaves.
+async fn connect_and_leave(ingress: &Ingress, departure: Departure) {
     let mut client = Client::new(ingress.at).await;
-    match how {
-        Leaves::Quietly | Leaves::WithReset => client.send(&board("a", 1400, 1)).await,
-        Leaves::BehindBytes => {
+    match departure {
+        Departure::Cleanly | Departure::WithReset => client.send(&board("a", 1400, 1)).await,
+        Departure::AfterExtraBytes => {
             client.send(&board("a", 1400, 1)).await;
             client.0.write_all(&vec![b'x'; 1_000_000]).await.unwrap();
         }
-        Leaves::BehindRequests => {
+        Departure::AfterPipelinedRequests => {
             for id in ["a", "b", "c"] {
                 client.send(&board(id, 1400, 1)).await;
             }
         }
-        Leaves::BehindBody => {
+        Departure::AfterLongBody => {
             let text = submit("a", 1400).replace("Content-Length: 4", "Content-Length: 2000000");
             client.send(text.strip_suffix("e2e4").unwrap()).await;
             client.0.write_all(&vec![b'x'; 2_000_000]).await.unwrap();
         }
     }
     tokio::time::sleep(Duration::from_millis(150)).await;
-    if how == Leaves::WithReset {
+    if departure == Departure::WithReset {
         SockRef::from(&client.0).set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
-async fn handshake_under_way(how: Leaves, cancelling: bool) {
-    let server = Full::new().await;
-    let (ingress, _agent) = before(&[server.at()], cancelling).await;
-    comes_and_leaves(&ingress, how).await;
-    tokio::time::sleep(GONE).await;
-    // Now connections come up; the system tries again by itself.
-    let said = server.all_said().await;
-    assert_eq!(said.lines().next(), None, "{how:?}, cancelling: {cancelling}");
+/// Lets a client leave while the connection to the only backend cannot be established, and checks that the
+/// backend receives nothing once it can.
+async fn leave_during_backend_handshake(departure: Departure, cancelling: bool) {
+    let backend = Full::new().await;
+    let (ingress, _agent) = start_ingress(&[backend.at()], cancelling).await;
+    connect_and_leave(&ingress, departure).await;
+    tokio::time::sleep(DEPARTURE_TIMEOUT).await;
+    // Connections can be established now: the kernel retransmits the SYN by itself.
+    let received = backend.all_said().await;
+    assert_eq!(received.lines().next(), None, "{departure:?}, cancelling: {cancelling}");
 }
 
 #[test]
-fn nothing_is_sent_for_who_left_while_the_handshake_to_a_server_was_under_way() {
+fn sends_nothing_for_client_that_left_during_backend_handshake() {
     local(async {
-        let mut playing = Vec::new();
+        let mut tasks = Vec::new();
         for cancelling in [true, false] {
-            for how in [
-                Leaves::Quietly,
-                Leaves::WithReset,
-                Leaves::BehindBytes,
-                Leaves::BehindRequests,
-                Leaves::BehindBody,
+            for departure in [
+                Departure::Cleanly,
+                Departure::WithReset,
+                Departure::AfterExtraBytes,
+                Departure::AfterPipelinedRequests,
+                Departure::AfterLongBody,
             ] {
-                playing.push(spawn_local(handshake_under_way(how, cancelling)));
+                tasks.push(spawn_local(leave_during_backend_handshake(departure, cancelling)));
             }
         }
-        for one in playing {
-            one.await.unwrap();
+        for task in tasks {
+            task.await.unwrap();
         }
     });
 }
 
-async fn first_request(server: &TcpListener) -> TcpStream {
-    let (mut stream, _) = server.accept().await.unwrap();
+/// Accepts a connection on `backend` and reads its first request.
+async fn accept_request(backend: &TcpListener) -> TcpStream {
+    let (mut stream, _) = backend.accept().await.unwrap();
     message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
     stream
 }
 
-/// Fails if anything is sent to either for a while.
-async fn nothing_more(servers: [&TcpListener; 2]) {
-    let [one, two] = servers;
+/// Panics if either backend receives a request within 700 ms.
+async fn assert_no_further_request(backends: [&TcpListener; 2]) {
+    let [one, two] = backends;
     tokio::select! {
-        stream = first_request(one) => drop(stream),
-        stream = first_request(two) => drop(stream),
+        stream = accept_request(one) => drop(stream),
+        stream = accept_request(two) => drop(stream),
         () = tokio::time::sleep(Duration::from_millis(700)) => return,
     }
-    panic!("something was sent for a client that had left");
+    panic!("a request was sent for a client that had left");
 }
 
-/// Its first attempt is out as it leaves; 0.1 s later that one never ran, or broke, and there is a server to try next.
+/// The first attempt is in flight when the client leaves. 0.1 s later the backend rejects it as not started,
+/// or closes the connection, and another backend is available for a second attempt.
 #[test]
-fn no_further_attempt_begins_for_who_left_during_the_first() {
+fn begins_no_further_attempt_for_client_that_left_during_the_first() {
     local(async {
         for cancelling in [true, false] {
             for ending in [&b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"[..], b""] {
                 let (one, two) = (listener().await, listener().await);
-                let at = [&one, &two].map(|server| server.local_addr().unwrap());
-                let (ingress, _agent) = before(&at, cancelling).await;
+                let addresses = [&one, &two].map(|backend| backend.local_addr().unwrap());
+                let (ingress, _agent) = start_ingress(&addresses, cancelling).await;
                 let mut client = Client::new(ingress.at).await;
                 for id in ["a", "b"] {
                     client.send(&board(id, 1400, 1)).await;
                 }
                 let mut stream = tokio::select! {
-                    stream = first_request(&one) => stream,
-                    stream = first_request(&two) => stream,
+                    stream = accept_request(&one) => stream,
+                    stream = accept_request(&two) => stream,
                 };
                 drop(client);
-                tokio::time::sleep(GONE).await;
-                // Where it was cancelled, nobody reads this.
+                tokio::time::sleep(DEPARTURE_TIMEOUT).await;
+                // Fails if the ingress has cancelled the attempt and closed the connection.
                 let _ = stream.write_all(ending).await;
                 drop(stream);
-                nothing_more([&one, &two]).await;
+                assert_no_further_request([&one, &two]).await;
             }
         }
     });
 }
 
-/// The one before it is answered after its client has left: what stands behind it is not sent on.
+/// The first of several pipelined requests is answered after the client has left: the requests behind it are
+/// not sent.
 #[test]
-fn requests_behind_the_one_that_waits_are_not_sent_on_once_their_client_has_left() {
+fn pipelined_requests_of_client_that_left_are_not_sent() {
     local(async {
         for cancelling in [true, false] {
-            let server = RealServer::start(Serve::Late(Duration::from_millis(400), "x".into())).await;
-            let (ingress, _agent) = before(&[server.at], cancelling).await;
+            let backend = RealServer::start(Serve::Late(Duration::from_millis(400), "x".into())).await;
+            let (ingress, _agent) = start_ingress(&[backend.at], cancelling).await;
             let mut client = Client::new(ingress.at).await;
             for i in 0..20 {
                 client.send(&board(&format!("{i}"), 1400, 1)).await;
             }
-            until(|| server.count() == 1).await;
+            until(|| backend.count() == 1).await;
             drop(client);
             tokio::time::sleep(Duration::from_millis(1000)).await;
-            assert_eq!(server.count(), 1);
+            assert_eq!(backend.count(), 1);
         }
     });
 }
