--- a/tests/attempts_on_sockets.rs
+++ b/tests/attempts_on_sockets.rs
@@ -1,5 +1,6 @@
-//! Attempts on real sockets where an answer, an end or a time-out crosses what the ingress does next. Each crossing is forced:
-//! the stand-in acts at a point that was seen, in the turn in which the ingress acts.
+//! Attempts on real sockets where a response, the end of a connection or a timeout races with the next action
+//! of the ingress. Each race is forced: the stand-in acts at an observed point, before the ingress's thread
+//! runs again.
 
 mod stand_ins;
 
@@ -30,45 +31,46 @@
 use weldhub::net::server_side::Role;
 use weldhub::stats::Stats;
 
-/// A client side alone: the test orders, and holds the only thread for as long as it likes.
-struct Side {
-    orders: mpsc::UnboundedSender<ClientSideCommand<Question>>,
-    news: mpsc::UnboundedReceiver<EngineEvent<Question, Answer>>,
+/// A client side without the rest of an ingress. The test sends its commands, and can block the only thread.
+struct ClientSideFixture {
+    commands: mpsc::UnboundedSender<ClientSideCommand<Question>>,
+    events: mpsc::UnboundedReceiver<EngineEvent<Question, Answer>>,
     clock: Clock,
     _role: watch::Sender<Role>,
 }
 
-impl Side {
-    /// One that knows a real server there, and waits for connections for so long.
-    fn start(server: SocketAddr, connect_timeout: Millis) -> Self {
-        let told = told("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
-        let mut site = Config::read(&told, |_| None).unwrap().instance.site;
+impl ClientSideFixture {
+    /// Starts a client side with one backend at `backend` and this connect timeout in milliseconds.
+    fn start(backend: SocketAddr, connect_timeout: Millis) -> Self {
+        let config = told("127.0.0.1:1".parse().unwrap(), vec![]).to_string();
+        let mut site = Config::read(&config, |_| None).unwrap().instance.site;
         site.connect_timeout = connect_timeout;
-        let (exchange, news) = Exchange::new();
+        let (exchange, events) = Exchange::new();
         let deadlines = swept();
         let role = watch::Sender::new(Role::Active);
-        let (passing, _) = mpsc::unbounded_channel();
-        let (elsewhere, open) = (PredecessorConnections::default(), Rc::new(Cell::new(0)));
+        let (idle_connections, _) = mpsc::unbounded_channel();
+        let (open_elsewhere, open_connections) = (PredecessorConnections::default(), Rc::new(Cell::new(0)));
         let links = UpgradeLinks {
             role: role.subscribe(),
-            idle_connections: passing,
-            open_elsewhere: elsewhere.clone(),
-            open_connections: open,
+            idle_connections,
+            open_elsewhere: open_elsewhere.clone(),
+            open_connections,
         };
         let stats = Stats::new([]);
-        let bounds = (8, MemoryBudget::new(1 << 20, elsewhere));
+        let bounds = (8, MemoryBudget::new(1 << 20, open_elsewhere));
         let clock = deadlines.clock();
         let side = ClientSide::new(exchange, deadlines, site, bounds, stats, links, quiet());
-        let (orders, ordered) = mpsc::unbounded_channel();
+        let (commands, command_receiver) = mpsc::unbounded_channel();
         let adopted = mpsc::unbounded_channel().1;
-        spawn_local(side.run(ordered, adopted));
-        orders.send(ClientSideCommand::BackendList(one_ready("s1", server))).unwrap();
-        Self { orders, news, clock, _role: role }
+        spawn_local(side.run(command_receiver, adopted));
+        commands.send(ClientSideCommand::BackendList(one_ready("s1", backend))).unwrap();
+        Self { commands, events, clock, _role: role }
     }
 
-    /// Orders an attempt that must have left within this.
-    fn order(&self, flow: u64, within: Option<Millis>) {
-        let head = Bytes::from(format!("GET /board-state/1 HTTP/1.1\r\nRequest-Id: {flow}\r\n"));
+    /// Starts an attempt of a `GET` request. It must not be sent later than `send_within` milliseconds from
+    /// now.
+    fn start_attempt(&self, request: u64, send_within: Option<Millis>) {
+        let head = Bytes::from(format!("GET /board-state/1 HTTP/1.1\r\nRequest-Id: {request}\r\n"));
         let question = Question {
             head,
             body: Bytes::new(),
@@ -76,26 +78,21 @@
             content_length: Some(0),
             rest: None,
         };
-        self.ask(flow, question, within);
+        self.start_attempt_with(request, question, send_within);
     }
 
-    fn ask(&self, flow: u64, question: Question, within: Option<Millis>) {
-        let by = within.map(|within| self.clock.now() + within);
-        let (flow, no, server) = (RequestId(flow), AttemptIndex(1), backend_id("s1"));
-        self.orders
-            .send(ClientSideCommand::Start {
-                request: flow,
-                attempt: no,
-                backend: server,
-                question,
-                timeout: 5000.0,
-                send_by: by,
-            })
+    /// Starts an attempt of this request, with the limit of `start_attempt`.
+    fn start_attempt_with(&self, request: u64, question: Question, send_within: Option<Millis>) {
+        let send_by = send_within.map(|send_within| self.clock.now() + send_within);
+        let (request, attempt, backend) = (RequestId(request), AttemptIndex(1), backend_id("s1"));
+        self.commands
+            .send(ClientSideCommand::Start { request, attempt, backend, question, timeout: 5000.0, send_by })
             .unwrap();
     }
 
-    async fn ended(&mut self) -> (RequestId, Outcome) {
-        match self.news.recv().await.unwrap() {
+    /// Returns the request and the outcome of the next attempt that ends.
+    async fn attempt_ended(&mut self) -> (RequestId, Outcome) {
+        match self.events.recv().await.unwrap() {
             EngineEvent::AttemptEnded(report) => (report.request, report.outcome),
             other => panic!("{other:?}"),
         }
@@ -103,148 +100,151 @@
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_never_written() {
+fn attempt_is_not_sent_on_connection_established_after_its_send_limit() {
     local(async {
-        let server = Full::new().await;
-        let mut side = Side::start(server.at(), 5000.0);
-        side.order(1, Some(200.0));
-        let saying = spawn_local(async {
-            // The window is over, and the system has not yet tried again to connect.
+        let backend = Full::new().await;
+        let mut side = ClientSideFixture::start(backend.at(), 5000.0);
+        side.start_attempt(1, Some(200.0));
+        let received = spawn_local(async {
+            // The send limit has passed, and the kernel has not yet retransmitted the SYN.
             tokio::time::sleep(Duration::from_millis(600)).await;
-            server.all_said().await
+            backend.all_said().await
         });
-        assert_eq!(side.ended().await, (RequestId(1), Outcome::ConnectFailed));
-        assert_eq!(saying.await.unwrap(), "");
+        assert_eq!(side.attempt_ended().await, (RequestId(1), Outcome::ConnectFailed));
+        assert_eq!(received.await.unwrap(), "");
     });
 }
 
 #[test]
-fn what_is_given_up_while_its_connection_comes_up_is_never_written() {
+fn attempt_cancelled_while_connecting_is_never_sent() {
     local(async {
-        let server = Full::new().await;
-        let mut side = Side::start(server.at(), 5000.0);
-        side.order(1, None);
-        side.orders
+        let backend = Full::new().await;
+        let mut side = ClientSideFixture::start(backend.at(), 5000.0);
+        side.start_attempt(1, None);
+        side.commands
             .send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(1), Outcome::Cancelled))
             .unwrap();
-        assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
-        assert_eq!(server.all_said().await, "");
+        assert_eq!(side.attempt_ended().await, (RequestId(1), Outcome::Cancelled));
+        assert_eq!(backend.all_said().await, "");
     });
 }
 
 #[test]
-fn what_is_withdrawn_ends_only_where_nothing_of_it_was_written() {
+fn withdrawn_attempt_ends_only_if_nothing_was_written() {
     local(async {
-        let server = Full::new().await;
-        let mut side = Side::start(server.at(), 5000.0);
-        side.order(1, None);
-        side.orders.send(ClientSideCommand::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
-        assert_eq!(side.ended().await, (RequestId(1), Outcome::Cancelled));
-        assert_eq!(server.all_said().await, "");
-        // This one is out: whoever may not cancel it lets it run.
+        let backend = Full::new().await;
+        let mut side = ClientSideFixture::start(backend.at(), 5000.0);
+        side.start_attempt(1, None);
+        side.commands.send(ClientSideCommand::Withdraw(RequestId(1), AttemptIndex(1))).unwrap();
+        assert_eq!(side.attempt_ended().await, (RequestId(1), Outcome::Cancelled));
+        assert_eq!(backend.all_said().await, "");
+        // This attempt has been written: a withdrawal does not cancel it.
         let listener = listener().await;
-        let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
-        side.order(2, None);
-        let (mut server, _) = listener.accept().await.unwrap();
-        request(&mut server).await;
-        side.orders.send(ClientSideCommand::Withdraw(RequestId(2), AttemptIndex(1))).unwrap();
-        server.write_all(&good("one")).await.unwrap();
-        assert_eq!(side.ended().await, (RequestId(2), Outcome::Served));
+        let mut side = ClientSideFixture::start(listener.local_addr().unwrap(), 5000.0);
+        side.start_attempt(2, None);
+        let (mut backend, _) = listener.accept().await.unwrap();
+        read_request(&mut backend).await;
+        side.commands.send(ClientSideCommand::Withdraw(RequestId(2), AttemptIndex(1))).unwrap();
+        backend.write_all(&ok_response("one")).await.unwrap();
+        assert_eq!(side.attempt_ended().await, (RequestId(2), Outcome::Served));
     });
 }
 
 #[test]
-fn a_repeat_whose_window_ends_between_its_order_and_its_turn_is_never_written() {
+fn attempt_is_not_sent_when_its_send_limit_passes_before_its_task_runs() {
     local(async {
-        let server = RealServer::start(ok("x")).await;
-        let mut side = Side::start(server.at, 5000.0);
-        side.order(1, None);
-        assert_eq!(side.ended().await, (RequestId(1), Outcome::Served));
+        let backend = RealServer::start(ok("x")).await;
+        let mut side = ClientSideFixture::start(backend.at, 5000.0);
+        side.start_attempt(1, None);
+        assert_eq!(side.attempt_ended().await, (RequestId(1), Outcome::Served));
         rested().await;
-        // The thread has other things to do: the idle connection has its turn 20 ms too late.
-        side.order(2, Some(30.0));
+        // The thread is blocked, so the task of the idle connection runs 20 ms too late.
+        side.start_attempt(2, Some(30.0));
         std::thread::sleep(Duration::from_millis(50));
-        assert_eq!(side.ended().await, (RequestId(2), Outcome::ConnectFailed));
-        side.order(3, Some(2000.0));
-        assert_eq!(side.ended().await, (RequestId(3), Outcome::Served));
-        let got = server.got.borrow();
+        assert_eq!(side.attempt_ended().await, (RequestId(2), Outcome::ConnectFailed));
+        side.start_attempt(3, Some(2000.0));
+        assert_eq!(side.attempt_ended().await, (RequestId(3), Outcome::Served));
+        let got = backend.got.borrow();
         let ids: Vec<_> = got.iter().map(|(_, m)| header(m, "request-id").unwrap()).collect();
         assert_eq!(ids, ["1", "3"]);
     });
 }
 
-/// The only real server has a request, resets its connection and takes no other for some time: the class may be repeated
-/// within 400 ms, and the connection for that comes up a second later.
+/// The only backend receives a request, resets the connection and accepts no other for some time. The class
+/// allows a retry within 400 ms, and the connection for the retry is established a second later.
 #[test]
-fn a_keyed_request_is_not_repeated_on_a_connection_that_comes_up_after_the_window() {
+fn keyed_request_is_not_retried_on_connection_established_after_its_window() {
     local(async {
-        let mut server = Full::new().await;
+        let mut backend = Full::new().await;
         let agent = Agent::start().await;
-        let mut told = told(agent.at, vec![service_entry("s1", server.at(), 0, "in_service")]);
-        told["settings"]["classes"][1]["window"] = json!(400.0);
-        told["settings"]["limits"]["connectTimeout"] = json!(2500.0);
-        let ingress = start(&told).await;
-        // Its first attempt is let in.
-        drop(std::mem::take(&mut server.fill));
-        drop(server.listener.accept().await.unwrap());
+        let mut config = told(agent.at, vec![service_entry("s1", backend.at(), 0, "in_service")]);
+        config["settings"]["classes"][1]["window"] = json!(400.0);
+        config["settings"]["limits"]["connectTimeout"] = json!(2500.0);
+        let ingress = start(&config).await;
+        // The backend accepts the first attempt.
+        drop(std::mem::take(&mut backend.fill));
+        drop(backend.listener.accept().await.unwrap());
         let mut client = Client::new(ingress.at).await;
         client.send(&submit("a", 2900)).await;
-        let (mut stream, _) = server.listener.accept().await.unwrap();
+        let (mut stream, _) = backend.listener.accept().await.unwrap();
         message(&mut stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap();
-        server.fill_up().await;
+        backend.fill_up().await;
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         drop(stream);
-        let began = Instant::now();
-        let saying = spawn_local(async {
-            // The window is over, and the system has not yet tried again to connect.
+        let reset_at = Instant::now();
+        let received = spawn_local(async {
+            // The window is over, and the kernel has not yet retransmitted the SYN.
             tokio::time::sleep(Duration::from_millis(600)).await;
-            server.all_said().await
+            backend.all_said().await
         });
         assert_eq!(status(&client.answer().await.unwrap()), 502);
-        assert!(began.elapsed() < Duration::from_millis(900), "it is failed at once: {:?}", began.elapsed());
+        assert!(reset_at.elapsed() < Duration::from_millis(900), "failed late: {:?}", reset_at.elapsed());
         ingress.stop.send(()).unwrap();
         ingress.running.await.unwrap().unwrap();
-        assert_eq!(saying.await.unwrap(), "", "no second request");
+        assert_eq!(received.await.unwrap(), "", "a second request was sent");
     });
 }
 
-/// The whole of a body has gone, and nobody has said yet that this was the last of it.
+/// All bytes of the body have been sent, but the body channel has not been closed yet: the request may have
+/// run.
 #[test]
-fn a_body_whose_last_byte_has_gone_may_have_run() {
+fn request_whose_last_body_byte_was_sent_reports_timeout() {
     local(async {
         let listener = listener().await;
-        let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
-        let (pieces, rest) = body_channel::channel();
+        let mut side = ClientSideFixture::start(listener.local_addr().unwrap(), 5000.0);
+        let (body_sender, rest) = body_channel::channel();
         let head = Bytes::from_static(b"POST /move-submit/1 HTTP/1.1\r\nContent-Length: 4\r\n");
         let rest = Some(SingleUseBody::new(rest));
-        side.ask(
+        side.start_attempt_with(
             1,
             Question { head, body: Bytes::new(), expects_no_body: false, content_length: Some(4), rest },
             None,
         );
-        pieces.send(BodyPiece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
-        let (mut server, _) = listener.accept().await.unwrap();
-        assert_eq!(&request(&mut server).await.body[..], b"e2e4");
-        side.orders
+        body_sender.send(BodyPiece::Data(Bytes::from_static(b"e2e4"))).await.unwrap();
+        let (mut backend, _) = listener.accept().await.unwrap();
+        assert_eq!(&read_request(&mut backend).await.body[..], b"e2e4");
+        side.commands
             .send(ClientSideCommand::GiveUp(RequestId(1), AttemptIndex(1), Outcome::TimedOut))
             .unwrap();
-        assert_eq!(side.ended().await, (RequestId(1), Outcome::TimedOut));
+        assert_eq!(side.attempt_ended().await, (RequestId(1), Outcome::TimedOut));
     });
 }
 
-/// A real server that the test plays by hand.
-async fn by_hand() -> (TcpListener, Ingress, Agent) {
+/// Starts an ingress with one backend, a listener on which the test plays the backend.
+async fn start_with_manual_backend() -> (TcpListener, Ingress, Agent) {
     let (listener, agent) = (listener().await, Agent::start().await);
-    let told = told(agent.at, vec![service_entry("s1", listener.local_addr().unwrap(), 0, "in_service")]);
-    let ingress = start(&told).await;
+    let config = told(agent.at, vec![service_entry("s1", listener.local_addr().unwrap(), 0, "in_service")]);
+    let ingress = start(&config).await;
     (listener, ingress, agent)
 }
 
-async fn request(stream: &mut TcpStream) -> Message {
+/// Reads the next request on a backend's connection.
+async fn read_request(stream: &mut TcpStream) -> Message {
     message(stream, &mut BytesMut::new(), MessageKind::Request).await.unwrap()
 }
 
-fn good(body: &str) -> Vec<u8> {
+/// A whole response with status 200.
+fn ok_response(body: &str) -> Vec<u8> {
     match ok(body) {
         Serve::Bytes(bytes) => bytes,
         other => panic!("{other:?}"),
@@ -252,89 +252,98 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_while_the_next_request_is_out_is_not_taken_for_its_answer() {
+fn surplus_response_is_not_taken_as_response_to_the_next_request() {
     local(async {
         let listener = listener().await;
-        let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
-        side.order(1, None);
+        let mut side = ClientSideFixture::start(listener.local_addr().unwrap(), 5000.0);
+        side.start_attempt(1, None);
         let (mut first, _) = listener.accept().await.unwrap();
-        request(&mut first).await;
-        first.write_all(&good("one")).await.unwrap();
-        assert_eq!(side.ended().await, (RequestId(1), Outcome::Served));
-        side.order(2, None);
-        // The next request is out, wherever; now the second answer to the one before comes.
+        read_request(&mut first).await;
+        first.write_all(&ok_response("one")).await.unwrap();
+        assert_eq!(side.attempt_ended().await, (RequestId(1), Outcome::Served));
+        side.start_attempt(2, None);
+        // The next request is in flight, on either connection; now the second response to the first request
+        // arrives.
         let mut next = tokio::select! {
-            _ = request(&mut first) => None,
+            _ = read_request(&mut first) => None,
             accepted = listener.accept() => Some(accepted.unwrap().0),
         };
-        first.write_all(&good("one")).await.unwrap();
+        first.write_all(&ok_response("one")).await.unwrap();
         if let Some(next) = &mut next {
-            request(next).await;
+            read_request(next).await;
         }
-        next.as_mut().unwrap_or(&mut first).write_all(&good("two")).await.unwrap();
-        let EngineEvent::AttemptEnded(report) = side.news.recv().await.unwrap() else { panic!("it ends") };
+        next.as_mut().unwrap_or(&mut first).write_all(&ok_response("two")).await.unwrap();
+        let EngineEvent::AttemptEnded(report) = side.events.recv().await.unwrap() else {
+            panic!("the attempt has not ended")
+        };
         assert_eq!(&report.answer.unwrap().body[..], b"two");
     });
 }
 
 #[test]
-fn an_idle_connection_that_ends_or_speaks_in_the_turn_in_which_a_request_comes_carries_it_no_more() {
+fn idle_connection_with_eof_or_unexpected_bytes_is_not_reused_for_request_at_the_same_moment() {
     local(async {
         let listener = listener().await;
-        let mut side = Side::start(listener.local_addr().unwrap(), 5000.0);
-        side.order(0, None);
+        let mut side = ClientSideFixture::start(listener.local_addr().unwrap(), 5000.0);
+        side.start_attempt(0, None);
         let (mut idle, _) = listener.accept().await.unwrap();
-        for (i, speaks) in
-            [&b""[..], b"HTTP/1.1 200 O", &good("odd"), b"HTTP/1.1 408 x\r\n\r\n"].into_iter().enumerate()
+        for (i, unexpected) in [&b""[..], b"HTTP/1.1 200 O", &ok_response("odd"), b"HTTP/1.1 408 x\r\n\r\n"]
+            .into_iter()
+            .enumerate()
         {
-            assert_eq!(header(&request(&mut idle).await, "request-id"), Some(i.to_string()));
-            idle.write_all(&good("one")).await.unwrap();
-            assert_eq!(side.ended().await, (RequestId(i as u64), Outcome::Served));
+            assert_eq!(header(&read_request(&mut idle).await, "request-id"), Some(i.to_string()));
+            idle.write_all(&ok_response("one")).await.unwrap();
+            assert_eq!(side.attempt_ended().await, (RequestId(i as u64), Outcome::Served));
             rested().await;
-            // In one turn: the system knows what the runtime has not been told when the connection is picked.
+            // Without yielding: the kernel has the bytes, but the runtime has not been notified of them when
+            // the connection is picked.
             let mut idle_now = idle.into_std().unwrap();
-            if speaks.is_empty() {
+            if unexpected.is_empty() {
                 idle_now.shutdown(std::net::Shutdown::Write).unwrap();
             } else {
-                idle_now.write_all(speaks).unwrap();
+                idle_now.write_all(unexpected).unwrap();
             }
-            side.order(i as u64 + 1, None);
+            side.start_attempt(i as u64 + 1, None);
             idle = listener.accept().await.unwrap().0;
-            let mut said = Vec::new();
-            assert!(idle_now.read_to_end(&mut said).is_err() || said.is_empty(), "nothing was written there");
+            let mut rest = Vec::new();
+            assert!(
+                idle_now.read_to_end(&mut rest).is_err() || rest.is_empty(),
+                "a request was written there"
+            );
         }
-        assert_eq!(header(&request(&mut idle).await, "request-id").as_deref(), Some("4"));
+        assert_eq!(header(&read_request(&mut idle).await, "request-id").as_deref(), Some("4"));
     });
 }
 
 #[test]
-fn an_answer_that_comes_in_the_turn_of_its_time_out_is_the_only_one() {
+fn response_that_arrives_at_the_timeout_is_the_only_one() {
     local(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let (got, gets) = tokio::sync::oneshot::channel();
-        let (answer, answers) = std::sync::mpsc::channel::<()>();
-        // On a thread of its own: the ingress's has no turn while the answer comes and the time runs out.
-        let server = std::thread::spawn(move || {
+        let (request_read, request_was_read) = tokio::sync::oneshot::channel();
+        let (respond, respond_receiver) = std::sync::mpsc::channel::<()>();
+        // On a thread of its own: the ingress's thread is blocked while the response arrives and the timeout
+        // passes.
+        let backend = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
             let mut bytes = [0; 4096];
             assert!(stream.read(&mut bytes).unwrap() > 0);
-            got.send(()).unwrap();
-            answers.recv().unwrap();
+            request_read.send(()).unwrap();
+            respond_receiver.recv().unwrap();
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nin").unwrap();
             stream
         });
         let agent = Agent::start().await;
         let ingress = start(&told(agent.at, vec![service_entry("s1", at, 0, "in_service")])).await;
-        let (mut client, asked) = (Client::new(ingress.at).await, Instant::now());
+        let (mut client, sent_at) = (Client::new(ingress.at).await, Instant::now());
         client.send(&board("a", 500, 1)).await;
-        gets.await.unwrap();
-        answer.send(()).unwrap();
-        let stream = server.join().unwrap();
-        std::thread::sleep(Duration::from_millis(510).saturating_sub(asked.elapsed()));
+        request_was_read.await.unwrap();
+        respond.send(()).unwrap();
+        let stream = backend.join().unwrap();
+        std::thread::sleep(Duration::from_millis(510).saturating_sub(sent_at.elapsed()));
         let answer = client.answer().await.unwrap();
         assert_eq!((status(&answer), &answer.body[..]), (200, &b"in"[..]));
-        // Nothing else follows on that connection.
+        // No other response follows on the client's connection.
         client.0.shutdown().await.unwrap();
         assert!(client.answer().await.is_none() && client.1.is_empty());
         drop(stream);
@@ -342,25 +351,25 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_no_whole_answer() {
+fn response_without_length_is_incomplete_if_its_connection_is_reset() {
     local(async {
-        for passes_on in [false, true] {
-            let (listener, ingress, _agent) = by_hand().await;
+        for client_reads_first in [false, true] {
+            let (listener, ingress, _agent) = start_with_manual_backend().await;
             let mut client = Client::new(ingress.at).await;
             client.send(&submit("a", 1400)).await;
-            let (mut server, _) = listener.accept().await.unwrap();
-            request(&mut server).await;
-            server.write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf").await.unwrap();
+            let (mut backend, _) = listener.accept().await.unwrap();
+            read_request(&mut backend).await;
+            backend.write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf").await.unwrap();
             let mut seen = Vec::new();
-            while passes_on && !seen.ends_with(b"4\r\nhalf\r\n") {
-                // Its client has begun to read it when it breaks off.
+            while client_reads_first && !seen.ends_with(b"4\r\nhalf\r\n") {
+                // The client has begun to read the response before the connection is reset.
                 assert!(client.0.read_buf(&mut seen).await.unwrap() > 0);
             }
-            SockRef::from(&server).set_linger(Some(Duration::ZERO)).unwrap();
-            drop(server);
-            // Its class may be repeated: what follows is answered by nobody.
+            SockRef::from(&backend).set_linger(Some(Duration::ZERO)).unwrap();
+            drop(backend);
+            // The class allows a retry: no backend accepts it.
             drop(listener);
-            if passes_on {
+            if client_reads_first {
                 let _ = client.0.read_to_end(&mut seen).await;
                 assert!(seen.ends_with(b"half\r\n"), "{}", String::from_utf8_lossy(&seen));
             } else {
@@ -370,45 +379,46 @@
     });
 }
 
-/// A class that is unsafe to repeat: again only where it never ran, and only one attempt out at a time.
+/// A request that is unsafe to repeat is sent again only if it never ran, and has only one attempt in flight
+/// at a time.
 #[test]
-fn unsafe_work_is_sent_again_only_where_it_never_ran() {
+fn unsafe_request_is_sent_again_only_if_it_never_ran() {
     local(async {
         let agent = Agent::start().await;
         let (one, two) = (listener().await, listener().await);
         let entry = |name, at: &TcpListener| service_entry(name, at.local_addr().unwrap(), 0, "in_service");
-        let mut told = told(agent.at, vec![entry("s1", &one), entry("s2", &two)]);
-        told["settings"]["classes"][1]["effect"] = json!("non_idempotent");
-        let ingress = start(&told).await;
+        let mut config = told(agent.at, vec![entry("s1", &one), entry("s2", &two)]);
+        config["settings"]["classes"][1]["effect"] = json!("non_idempotent");
+        let ingress = start(&config).await;
         let text = submit("a", 900).replace("Idempotency-Key: 5c0f6e\r\n", "");
-        let taken = async || {
+        let next_request = async || {
             let (stream, other) = tokio::select! {
                 accepted = one.accept() => (accepted.unwrap().0, &two),
                 accepted = two.accept() => (accepted.unwrap().0, &one),
             };
             let mut stream = stream;
-            let id = header(&request(&mut stream).await, "request-id").unwrap();
+            let id = header(&read_request(&mut stream).await, "request-id").unwrap();
             (stream, other, id)
         };
-        // Turned away unseen: once more, to the other one, when this one's answer is there.
+        // Rejected as not started: the request is sent once more, to the other backend, after this response.
         let mut client = Client::new(ingress.at).await;
         client.send(&text).await;
-        let (mut first, other, _) = taken().await;
+        let (mut first, other, _) = next_request().await;
         first
             .write_all(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
             .await
             .unwrap();
         let (mut second, _) = other.accept().await.unwrap();
-        assert_eq!(header(&request(&mut second).await, "request-id").as_deref(), Some("a"));
-        second.write_all(&good("once")).await.unwrap();
+        assert_eq!(header(&read_request(&mut second).await, "request-id").as_deref(), Some("a"));
+        second.write_all(&ok_response("once")).await.unwrap();
         assert_eq!(&client.answer().await.unwrap().body[..], b"once");
         drop(second);
-        // It may have run: ended, reset, garbled or never answered.
-        for how in ["end", "reset", "garbage", "silence"] {
-            client.send(&text.replace("Request-Id: a", &format!("Request-Id: {how}"))).await;
-            let (mut first, _, id) = taken().await;
-            assert_eq!(id, how);
-            match how {
+        // It may have run: the connection ends or is reset, or the response is garbage or never comes.
+        for ending in ["end", "reset", "garbage", "silence"] {
+            client.send(&text.replace("Request-Id: a", &format!("Request-Id: {ending}"))).await;
+            let (mut first, _, id) = next_request().await;
+            assert_eq!(id, ending);
+            match ending {
                 "end" => drop(first),
                 "reset" => {
                     SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
@@ -416,23 +426,24 @@
                 }
                 "garbage" => first.write_all(b"\0\0\r\n\r\n").await.unwrap(),
                 _ => {
-                    // Never two out: its connection ends before anything else is said.
+                    // Never two attempts in flight: the ingress closes this connection and sends nothing more
+                    // on it.
                     let mut rest = Vec::new();
                     first.read_to_end(&mut rest).await.unwrap();
                     assert!(rest.is_empty());
                 }
             }
             let answer = client.answer().await.unwrap();
-            assert!(matches!(status(&answer), 502 | 504), "{how}: {}", status(&answer));
+            assert!(matches!(status(&answer), 502 | 504), "{ending}: {}", status(&answer));
             if answer.head.close {
                 client = Client::new(ingress.at).await;
             }
         }
-        // No other request has come to either.
+        // Neither backend receives another request.
         ingress.stop.send(()).unwrap();
         tokio::select! {
             biased;
-            (_, _, id) = taken() => panic!("{id} was sent again"),
+            (_, _, id) = next_request() => panic!("{id} was sent again"),
             ended = ingress.running => ended.unwrap().unwrap(),
         }
     });
