--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Bodies and answers that pass in pieces, in every form of HTTP/1.1, whoever is slow or breaks off.
+//! Request bodies and responses that are streamed in pieces, in every framing of HTTP/1.1, with peers that
+//! are slow or break off.
 
 mod stand_ins;
 
@@ -15,79 +16,85 @@
 use tokio::task::spawn_local;
 use weldhub::net::http::{BodyDecoder, MessageKind, peek_head};
 
-/// A real server that takes bodies of any length and writes what it is told, cut as it is told.
+/// A backend that accepts bodies of any length and writes a fixed response in pieces of a fixed size.
 #[derive(Clone, Default)]
-struct Streamer {
-    /// The bodies that came whole.
-    got: Rc<RefCell<Vec<Vec<u8>>>>,
-    /// Bytes written so far.
-    written: Rc<Cell<usize>>,
-    /// Requests that began to come.
-    begun: Rc<Cell<usize>>,
-    /// Connections that ended in the middle of a request.
-    broken: Rc<Cell<usize>>,
-    /// It waits for so long after each piece of an answer.
+struct StreamingBackend {
+    /// The bodies that were received whole.
+    bodies: Rc<RefCell<Vec<Vec<u8>>>>,
+    /// The number of response bytes written so far.
+    written_bytes: Rc<Cell<usize>>,
+    /// The number of requests whose head was received.
+    started_requests: Rc<Cell<usize>>,
+    /// The number of connections that ended in the middle of a request.
+    broken_requests: Rc<Cell<usize>>,
+    /// The pause after each piece of a response.
     pause: std::time::Duration,
 }
 
-impl Streamer {
-    async fn start(self, answer: Vec<u8>, cut: usize, last: bool) -> SocketAddr {
+impl StreamingBackend {
+    /// Listens and writes `response` in pieces of `piece_size` bytes to each request; closes the connection
+    /// after it if `close`. Returns the address.
+    async fn start(self, response: Vec<u8>, piece_size: usize, close: bool) -> SocketAddr {
         let listener = listener().await;
         let at = listener.local_addr().unwrap();
-        let answer = Rc::new(answer);
+        let response = Rc::new(response);
         spawn_local(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                spawn_local(self.clone().serve(stream, answer.clone(), cut, last));
+                spawn_local(self.clone().serve(stream, response.clone(), piece_size, close));
             }
         });
         at
     }
 
-    async fn serve(self, mut stream: TcpStream, answer: Rc<Vec<u8>>, cut: usize, last: bool) {
+    async fn serve(self, mut stream: TcpStream, response: Rc<Vec<u8>>, piece_size: usize, close: bool) {
         let mut buffer = BytesMut::new();
         loop {
-            let Some(body) = request(&mut stream, &mut buffer, &self.begun).await else {
-                self.broken.set(self.broken.get() + usize::from(!buffer.is_empty()));
+            let Some(body) = read_request_body(&mut stream, &mut buffer, &self.started_requests).await else {
+                self.broken_requests.set(self.broken_requests.get() + usize::from(!buffer.is_empty()));
                 return;
             };
-            self.got.borrow_mut().push(body);
-            for piece in answer.chunks(cut) {
+            self.bodies.borrow_mut().push(body);
+            for piece in response.chunks(piece_size) {
                 if stream.write_all(piece).await.is_err() {
                     return;
                 }
-                self.written.set(self.written.get() + piece.len());
+                self.written_bytes.set(self.written_bytes.get() + piece.len());
                 tokio::task::yield_now().await;
                 if !self.pause.is_zero() {
                     tokio::time::sleep(self.pause).await;
                 }
             }
-            if last {
+            if close {
                 return;
             }
         }
     }
 }
 
-/// The body of the next request; none where the connection ends before its end.
-async fn request(stream: &mut TcpStream, buffer: &mut BytesMut, begun: &Cell<usize>) -> Option<Vec<u8>> {
+/// Reads the body of the next request; `None` if the connection ends before the request does.
+async fn read_request_body(
+    stream: &mut TcpStream,
+    buffer: &mut BytesMut,
+    started_requests: &Cell<usize>,
+) -> Option<Vec<u8>> {
     let head = loop {
         if let Some((head, length)) = peek_head(buffer, MessageKind::Request).unwrap() {
             let _ = buffer.split_to(length);
-            begun.set(begun.get() + 1);
+            started_requests.set(started_requests.get() + 1);
             break head;
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
     };
-    let (mut body, mut all) = (BodyDecoder::new(&head), Vec::new());
+    let (mut decoder, mut body) = (BodyDecoder::new(&head), Vec::new());
     loop {
-        while let Some(data) = body.take(buffer, usize::MAX).unwrap() {
-            all.extend_from_slice(&data);
+        while let Some(data) = decoder.take(buffer, usize::MAX).unwrap() {
+            body.extend_from_slice(&data);
         }
-        if body.is_done() {
-            return Some(all);
+        if decoder.is_done() {
+            return Some(body);
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
             buffer.extend_from_slice(b"broken");
@@ -96,24 +103,24 @@
     }
 }
 
-/// A client's answer: its status and body; none where it is not whole.
-async fn answer(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<(u16, Vec<u8>)> {
+/// Reads a response on a client's connection: its status and body; `None` if it is incomplete.
+async fn read_response(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<(u16, Vec<u8>)> {
     loop {
         if let Some((head, length)) = peek_head(buffer, MessageKind::Response).unwrap() {
             let _ = buffer.split_to(length);
             if head.status() == 100 {
                 continue;
             }
-            let (mut body, mut all) = (BodyDecoder::new(&head), Vec::new());
+            let (mut decoder, mut body) = (BodyDecoder::new(&head), Vec::new());
             loop {
-                while let Some(data) = body.take(buffer, usize::MAX).unwrap() {
-                    all.extend_from_slice(&data);
+                while let Some(data) = decoder.take(buffer, usize::MAX).unwrap() {
+                    body.extend_from_slice(&data);
                 }
-                if body.is_done() {
-                    return Some((head.status(), all));
+                if decoder.is_done() {
+                    return Some((head.status(), body));
                 }
                 if stream.read_buf(buffer).await.ok()? == 0 {
-                    return body.finish_at_eof().then_some((head.status(), all));
+                    return decoder.finish_at_eof().then_some((head.status(), body));
                 }
             }
         }
@@ -123,21 +130,25 @@
     }
 }
 
-fn pattern(n: usize) -> Vec<u8> {
-    (0..n).map(|i| (i % 251) as u8).collect()
+/// A body of this length in bytes with a repeating pattern.
+fn pattern(length: usize) -> Vec<u8> {
+    (0..length).map(|i| (i % 251) as u8).collect()
 }
 
-async fn before(server: SocketAddr) -> (Ingress, Agent) {
+/// Starts an ingress in front of this backend that makes one attempt for each request.
+async fn start_ingress(backend: SocketAddr) -> (Ingress, Agent) {
     let agent = Agent::start().await;
-    let mut told = told(agent.at, vec![service_entry("s1", server, 0, "in_service")]);
-    told["settings"]["limits"]["maxAttempts"] = json!(1);
-    (start(&told).await, agent)
+    let mut config = told(agent.at, vec![service_entry("s1", backend, 0, "in_service")]);
+    config["settings"]["limits"]["maxAttempts"] = json!(1);
+    (start(&config).await, agent)
 }
 
+/// A response with a `Content-Length`.
 fn with_length(body: &[u8]) -> Vec<u8> {
     [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(), body].concat()
 }
 
+/// A message of this head and the body in chunks of `size` bytes, with chunk extensions and a trailer.
 fn chunked(head: &str, body: &[u8], size: usize) -> Vec<u8> {
     let mut bytes = head.as_bytes().to_vec();
     for chunk in body.chunks(size) {
@@ -150,66 +161,69 @@
 }
 
 #[test]
-fn an_answer_of_32_mb_passes_whole_and_its_slow_client_holds_back_the_real_server() {
+fn response_of_32_mib_passes_whole_and_slow_client_applies_backpressure_to_backend() {
     local(async {
-        let (server, body) = (Streamer::default(), pattern(32 << 20));
-        let at = server.clone().start(with_length(&body), 64 * 1024, false).await;
-        let (ingress, _agent) = before(at).await;
+        let (backend, body) = (StreamingBackend::default(), pattern(32 << 20));
+        let at = backend.clone().start(with_length(&body), 64 * 1024, false).await;
+        let (ingress, _agent) = start_ingress(at).await;
         let mut client = Client::new(ingress.at).await;
         client.send(&board("a", 900, 1)).await;
-        until(|| server.written.get() > 0).await;
+        until(|| backend.written_bytes.get() > 0).await;
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
-        // What sockets hold, and some pieces: far from all of it.
-        assert!(server.written.get() < 24 << 20, "{}", server.written.get());
-        let (status, got) = answer(&mut client.0, &mut client.1).await.unwrap();
-        assert!(status == 200 && got == body);
-        // The deadline of 900 ms has passed, and the connection goes on.
+        // Socket buffers and a few pieces in memory hold far less than the whole response.
+        assert!(backend.written_bytes.get() < 24 << 20, "{}", backend.written_bytes.get());
+        let (status, received) = read_response(&mut client.0, &mut client.1).await.unwrap();
+        assert!(status == 200 && received == body);
+        // The request's timeout of 900 ms has passed; the connection stays usable.
         client.send(&board("b", 900, 1)).await;
-        assert!(answer(&mut client.0, &mut client.1).await.unwrap().1 == body);
+        assert!(read_response(&mut client.0, &mut client.1).await.unwrap().1 == body);
     });
 }
 
 #[test]
-fn every_form_of_an_answer_reaches_the_client_as_it_was() {
+fn response_body_passes_unchanged_in_every_framing() {
     local(async {
-        for n in [0, 5, 60_000, 200_000] {
-            let body = pattern(n);
+        for length in [0, 5, 60_000, 200_000] {
+            let body = pattern(length);
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            let to_the_end = [b"HTTP/1.0 200 OK\r\n\r\n", &body[..]].concat();
-            let ahead = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
-            let forms = [
+            let until_close = [b"HTTP/1.0 200 OK\r\n\r\n", &body[..]].concat();
+            let early_hints = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
+            let framings = [
                 (with_length(&body), false),
                 (chunked(head, &body, 1000), false),
-                (chunked(&format!("{ahead}{head}"), &body, 70_000), false),
-                (to_the_end, true),
+                (chunked(&format!("{early_hints}{head}"), &body, 70_000), false),
+                (until_close, true),
             ];
-            for (i, (bytes, last)) in forms.into_iter().enumerate() {
-                let at = Streamer::default().start(bytes, 7001, last).await;
-                let (ingress, _agent) = before(at).await;
+            for (i, (bytes, close)) in framings.into_iter().enumerate() {
+                let at = StreamingBackend::default().start(bytes, 7001, close).await;
+                let (ingress, _agent) = start_ingress(at).await;
                 let mut client = Client::new(ingress.at).await;
-                // Two, one behind the other, in one go.
+                // Two pipelined requests, written at once.
                 client.send(&format!("{}{}", board("a", 900, 1), board("b", 900, 1))).await;
                 for _ in 0..2 {
-                    let (status, got) = answer(&mut client.0, &mut client.1).await.unwrap();
-                    assert!(status == 200 && got == body, "{n} bytes, form {i}");
+                    let (status, received) = read_response(&mut client.0, &mut client.1).await.unwrap();
+                    assert!(status == 200 && received == body, "{length} bytes, framing {i}");
                 }
-                // HTTP/1.0 knows no chunks, and HEAD no body.
-                let old = board("c", 900, 1).replace("HTTP/1.1", "HTTP/1.0");
+                // HTTP/1.0 does not support chunked encoding.
+                let http_1_0 = board("c", 900, 1).replace("HTTP/1.1", "HTTP/1.0");
                 let mut client = Client::new(ingress.at).await;
-                client.send(&old).await;
-                assert!(answer(&mut client.0, &mut client.1).await.unwrap().1 == body, "{n} bytes, form {i}");
+                client.send(&http_1_0).await;
+                assert!(
+                    read_response(&mut client.0, &mut client.1).await.unwrap().1 == body,
+                    "{length} bytes, framing {i}"
+                );
             }
         }
     });
 }
 
 #[test]
-fn a_head_is_answered_by_a_head_and_the_connection_goes_on() {
+fn head_request_receives_head_only_and_connection_stays_open() {
     local(async {
-        let at = Streamer::default()
+        let at = StreamingBackend::default()
             .start(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n".to_vec(), 100, false)
             .await;
-        let (ingress, _agent) = before(at).await;
+        let (ingress, _agent) = start_ingress(at).await;
         let mut client = Client::new(ingress.at).await;
         for (text, length) in [
             (board("a", 900, 1).replace("GET", "HEAD"), &b"content-length: 70000"[..]),
@@ -227,42 +241,47 @@
 }
 
 #[test]
-fn a_broken_half_of_an_answer_is_seen_as_broken() {
+fn truncated_response_is_not_passed_as_complete() {
     local(async {
         let half = pattern(150_000);
-        let known = [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", &half[..]].concat();
-        let mut open = chunked("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &half, 9000);
-        open.truncate(open.len() - 100);
-        for bytes in [known, open] {
+        let truncated = [b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", &half[..]].concat();
+        let mut truncated_chunks =
+            chunked("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &half, 9000);
+        truncated_chunks.truncate(truncated_chunks.len() - 100);
+        for bytes in [truncated, truncated_chunks] {
             for version in ["HTTP/1.1", "HTTP/1.0"] {
-                let at = Streamer::default().start(bytes.clone(), 5000, true).await;
+                let at = StreamingBackend::default().start(bytes.clone(), 5000, true).await;
                 let agent = Agent::start().await;
-                let mut told = told(agent.at, vec![service_entry("s1", at, 0, "in_service")]);
-                let door = own_address();
-                told["management"] = json!(door.to_string());
-                let ingress = start(&told).await;
+                let mut config = told(agent.at, vec![service_entry("s1", at, 0, "in_service")]);
+                let admin = own_address();
+                config["management"] = json!(admin.to_string());
+                let ingress = start(&config).await;
                 let mut client = Client::new(ingress.at).await;
                 client.send(&board("a", 900, 1).replace("HTTP/1.1", version)).await;
-                let got = answer(&mut client.0, &mut client.1).await;
-                assert!(got.is_none(), "{version}: {:?}", got.map(|(status, body)| (status, body.len())));
-                let all = figures(door).await;
-                assert_eq!(all["svc_failed_total{lane=\"board-state\"}"], 1);
+                let response = read_response(&mut client.0, &mut client.1).await;
+                assert!(
+                    response.is_none(),
+                    "{version}: {:?}",
+                    response.map(|(status, body)| (status, body.len()))
+                );
+                let metrics = figures(admin).await;
+                assert_eq!(metrics["svc_failed_total{lane=\"board-state\"}"], 1);
             }
         }
     });
 }
 
-/// A `move-submit` with these fields ahead of its body.
-fn long(id: &str, fields: &str) -> String {
+/// The head of a `move-submit` with these header fields.
+fn submit_head(id: &str, fields: &str) -> String {
     submit(id, 900).replace("Content-Length: 4\r\n\r\ne2e4", &format!("{fields}\r\n\r\n"))
 }
 
 #[test]
-fn a_long_body_passes_once_as_it_comes_and_its_time_begins_at_its_last_byte() {
+fn long_body_is_streamed_once_and_its_timeout_starts_at_its_last_byte() {
     local(async {
-        let (server, body) = (Streamer::default(), pattern(300_000));
-        let at = server.clone().start(with_length(b"done"), 100, false).await;
-        let (ingress, _agent) = before(at).await;
+        let (backend, body) = (StreamingBackend::default(), pattern(300_000));
+        let at = backend.clone().start(with_length(b"done"), 100, false).await;
+        let (ingress, _agent) = start_ingress(at).await;
         let mut client = Client::new(ingress.at).await;
         for (i, fields) in [
             "Content-Length: 300000",
@@ -272,87 +291,89 @@
         .into_iter()
         .enumerate()
         {
-            client.send(&long(&format!("a{i}"), fields)).await;
+            client.send(&submit_head(&format!("a{i}"), fields)).await;
             if fields.contains("Expect") {
-                let mut sign = [0; 25];
-                client.0.read_exact(&mut sign).await.unwrap();
-                assert_eq!(&sign, b"HTTP/1.1 100 Continue\r\n\r\n");
+                let mut interim = [0; 25];
+                client.0.read_exact(&mut interim).await.unwrap();
+                assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             let bytes = if fields.contains("chunked") { chunked("", &body, 10_000) } else { body.clone() };
             for piece in bytes.chunks(30_000) {
                 client.0.write_all(piece).await.unwrap();
-                // Longer in all than the client waits for its answer.
+                // Sending the body takes longer in all than the timeout of the request.
                 tokio::time::sleep(std::time::Duration::from_millis(110)).await;
             }
-            let (status, got) = answer(&mut client.0, &mut client.1).await.unwrap();
-            assert_eq!((status, &got[..]), (200, &b"done"[..]));
-            assert!(server.got.borrow().len() == i + 1 && server.got.borrow()[i] == body);
+            let (status, received) = read_response(&mut client.0, &mut client.1).await.unwrap();
+            assert_eq!((status, &received[..]), (200, &b"done"[..]));
+            assert!(backend.bodies.borrow().len() == i + 1 && backend.bodies.borrow()[i] == body);
         }
     });
 }
 
 #[test]
-fn a_long_answer_to_a_long_body_goes_on_when_the_time_of_its_request_is_over() {
+fn long_response_to_long_body_continues_after_the_timeout_of_its_request() {
     local(async {
         let pause = std::time::Duration::from_millis(200);
-        let (server, body) = (Streamer { pause, ..Streamer::default() }, pattern(300_000));
-        let at = server.clone().start(with_length(&body), 30_000, false).await;
-        let (ingress, _agent) = before(at).await;
+        let (backend, body) = (StreamingBackend { pause, ..StreamingBackend::default() }, pattern(300_000));
+        let at = backend.clone().start(with_length(&body), 30_000, false).await;
+        let (ingress, _agent) = start_ingress(at).await;
         for fields in ["Content-Length: 300000", "Transfer-Encoding: chunked"] {
             let mut client = Client::new(ingress.at).await;
-            client.send(&long("a", fields)).await;
+            client.send(&submit_head("a", fields)).await;
             let bytes = if fields.contains("chunked") { chunked("", &body, 10_000) } else { body.clone() };
             client.0.write_all(&bytes).await.unwrap();
-            // It takes two seconds, and the client waits 900 ms for its beginning.
-            let (status, got) = answer(&mut client.0, &mut client.1).await.expect("a whole answer");
-            assert!(status == 200 && got == body, "{fields}");
+            // The response takes two seconds; the timeout of 900 ms only covers its start.
+            let (status, received) =
+                read_response(&mut client.0, &mut client.1).await.expect("the response is incomplete");
+            assert!(status == 200 && received == body, "{fields}");
         }
     });
 }
 
 #[test]
-fn a_body_that_stalls_or_is_not_wanted_is_answered_and_never_looks_whole() {
+fn stalled_or_rejected_body_gets_a_response_and_is_never_passed_as_complete() {
     local(async {
-        let server = Streamer::default();
-        let at = server.clone().start(with_length(b"done"), 100, false).await;
-        let (ingress, _agent) = before(at).await;
-        let (mut stalls, mut leaves) = (Client::new(ingress.at).await, Client::new(ingress.at).await);
-        stalls.send(&long("a", "Content-Length: 300000")).await;
-        stalls.0.write_all(&pattern(100_000)).await.unwrap();
-        leaves.send(&long("b", "Transfer-Encoding: chunked")).await;
-        leaves.0.write_all(&chunked("", &pattern(100_000), 10_000)[..90_000]).await.unwrap();
-        until(|| server.begun.get() == 2).await;
-        drop(leaves);
-        let wrong = long("c", "Content-Length: 300000").replace("X-Tier: club", "X-Tier: gold");
-        let mut wrong_one = Client::new(ingress.at).await;
-        wrong_one.send(&wrong).await;
+        let backend = StreamingBackend::default();
+        let at = backend.clone().start(with_length(b"done"), 100, false).await;
+        let (ingress, _agent) = start_ingress(at).await;
+        let (mut stalling, mut leaving) = (Client::new(ingress.at).await, Client::new(ingress.at).await);
+        stalling.send(&submit_head("a", "Content-Length: 300000")).await;
+        stalling.0.write_all(&pattern(100_000)).await.unwrap();
+        leaving.send(&submit_head("b", "Transfer-Encoding: chunked")).await;
+        leaving.0.write_all(&chunked("", &pattern(100_000), 10_000)[..90_000]).await.unwrap();
+        until(|| backend.started_requests.get() == 2).await;
+        drop(leaving);
+        let invalid_text = submit_head("c", "Content-Length: 300000").replace("X-Tier: club", "X-Tier: gold");
+        let mut invalid = Client::new(ingress.at).await;
+        invalid.send(&invalid_text).await;
         assert_eq!(
-            answer(&mut wrong_one.0, &mut wrong_one.1).await.unwrap().0,
+            read_response(&mut invalid.0, &mut invalid.1).await.unwrap().0,
             400,
-            "before its body has come"
+            "not rejected before its body arrives"
         );
-        let (status, _) = answer(&mut stalls.0, &mut stalls.1).await.unwrap();
+        let (status, _) = read_response(&mut stalling.0, &mut stalling.1).await.unwrap();
         assert_eq!(status, 408);
-        until(|| server.broken.get() == 2).await;
-        assert!(server.got.borrow().is_empty());
-        // Beyond the quota, what is still to come of a body is not waited for.
-        let mut beyond = Client::new(ingress.at).await;
+        until(|| backend.broken_requests.get() == 2).await;
+        assert!(backend.bodies.borrow().is_empty());
+        // A request over the quota is rejected without waiting for the rest of its body.
+        let mut over_quota = Client::new(ingress.at).await;
         for i in 0..27 {
-            beyond.send(&submit(&format!("q{i}"), 900)).await;
-            answer(&mut beyond.0, &mut beyond.1).await.unwrap();
+            over_quota.send(&submit(&format!("q{i}"), 900)).await;
+            read_response(&mut over_quota.0, &mut over_quota.1).await.unwrap();
         }
-        beyond.send(&long("z", "Content-Length: 300000")).await;
-        beyond.0.write_all(&pattern(100_000)).await.unwrap();
-        let (status, _) = answer(&mut beyond.0, &mut beyond.1).await.unwrap();
+        over_quota.send(&submit_head("z", "Content-Length: 300000")).await;
+        over_quota.0.write_all(&pattern(100_000)).await.unwrap();
+        let (status, _) = read_response(&mut over_quota.0, &mut over_quota.1).await.unwrap();
         assert_eq!(status, 429);
-        // Whoever sends on is read to the end, after a pause, too, and asks again on the same connection.
+        // If the client sends the rest of the body, even after a pause, it is read to its end, and the
+        // connection serves the next request.
         tokio::time::sleep(std::time::Duration::from_millis(700)).await;
         for piece in pattern(200_000).chunks(20_000) {
-            beyond.0.write_all(piece).await.unwrap();
+            over_quota.0.write_all(piece).await.unwrap();
             tokio::task::yield_now().await;
         }
-        beyond.send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
-        let (status, _) = answer(&mut beyond.0, &mut beyond.1).await.unwrap();
+        over_quota.send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        let (status, _) = read_response(&mut over_quota.0, &mut over_quota.1).await.unwrap();
         assert_eq!(status, 200);
     });
 }
