--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -339,7 +339,7 @@
         tokio::select! {
             biased;
             end = clients[4].answer() => assert!(end.is_none()),
-            _ = ask(slow.at, &request) => panic!("the fifth of 12 idle connections is kept, and the limit is 7"),
+            _ = ask(slow.at, &request) => panic!("the fifth of 12 idle ones is kept, and the limit is 7"),
         }
         for client in &mut clients[5..] {
             assert_eq!(status(&client.ask(&board("b", 900, 1)).await), 200);
