--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program that tell each other who lives, while some are killed, stopped, woken and started.
+//! Cluster membership among several processes of the program, while some are killed, paused, resumed and restarted.
 
 mod stand_ins;
 
@@ -10,74 +10,88 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
 
+/// A fleet of processes, with a stand-in of discovery.
 struct Fleet {
-    fleet: &'static str,
-    /// Where each hears the others, and its door.
-    at: Vec<(SocketAddr, SocketAddr)>,
+    /// The fleet's name.
+    name: &'static str,
+    /// The addresses of each process for cluster datagrams and for its admin interface.
+    addresses: Vec<(SocketAddr, SocketAddr)>,
+    /// The processes; `None` before the start and after a kill.
     programs: Vec<Option<Program>>,
     agent: Agent,
-    clients: Vec<SocketAddr>,
-    /// What is kept over restarts, for each.
+    /// The address of each process for clients.
+    client_addresses: Vec<SocketAddr>,
+    /// The folder of each process for files that outlive a restart.
     folders: Vec<PathBuf>,
+    /// The backends in the configuration of each process.
     known: Vec<serde_json::Value>,
 }
 
 impl Fleet {
-    async fn new(fleet: &'static str, count: usize) -> Self {
-        let free: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        let mut at = Vec::new();
-        for socket in &free {
-            at.push((socket.local_addr().unwrap(), listener().await.local_addr().unwrap()));
+    async fn new(name: &'static str, count: usize) -> Self {
+        let sockets: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let mut addresses = Vec::new();
+        for socket in &sockets {
+            addresses.push((socket.local_addr().unwrap(), listener().await.local_addr().unwrap()));
         }
         let programs = (0..count).map(|_| None).collect();
-        let (mut clients, mut folders) = (Vec::new(), Vec::new());
+        let (mut client_addresses, mut folders) = (Vec::new(), Vec::new());
         for n in 0..count {
-            clients.push(listener().await.local_addr().unwrap());
-            folders.push(std::env::temp_dir().join(format!("{fleet}-{}-{n}", std::process::id())));
+            client_addresses.push(listener().await.local_addr().unwrap());
+            folders.push(std::env::temp_dir().join(format!("{name}-{}-{n}", std::process::id())));
             std::fs::create_dir_all(&folders[n]).unwrap();
         }
-        Self { fleet, at, programs, agent: Agent::start().await, clients, folders, known: Vec::new() }
+        Self {
+            name,
+            addresses,
+            programs,
+            agent: Agent::start().await,
+            client_addresses,
+            folders,
+            known: Vec::new(),
+        }
     }
 
+    /// Starts process `n` and waits until it serves.
     async fn start(&mut self, n: usize) {
-        let mut told = told(self.agent.at, self.known.clone());
-        let (listen, door) = self.at[n];
-        told["name"] = json!(format!("n{n}"));
-        told["management"] = json!(door.to_string());
-        told["listen"] = json!(self.clients[n].to_string());
-        told["settings"]["balancers"] = json!(self.at.len());
-        told["settings"]["myNumber"] = json!(n);
-        let seeds = [0, (n + 1) % self.at.len()].map(|i| self.at[i].0.to_string());
-        told["cluster"] = json!({"listen": listen.to_string(), "fleet": self.fleet, "seeds": seeds});
-        let name = format!("{}-{n}", self.fleet);
+        let mut config = told(self.agent.at, self.known.clone());
+        let (listen, admin) = self.addresses[n];
+        config["name"] = json!(format!("n{n}"));
+        config["management"] = json!(admin.to_string());
+        config["listen"] = json!(self.client_addresses[n].to_string());
+        config["settings"]["balancers"] = json!(self.addresses.len());
+        config["settings"]["myNumber"] = json!(n);
+        let seeds = [0, (n + 1) % self.addresses.len()].map(|i| self.addresses[i].0.to_string());
+        config["cluster"] = json!({"listen": listen.to_string(), "fleet": self.name, "seeds": seeds});
+        let name = format!("{}-{n}", self.name);
         let folder = self.folders[n].display().to_string();
-        let mut program = Program::start(&name, &told.to_string(), &[("TMPDIR", folder)], false);
+        let mut program = Program::start(&name, &config.to_string(), &[("TMPDIR", folder)], false);
         program.serving().await;
         self.programs[n] = Some(program);
     }
 
-    /// The states at `n`'s door, by name.
-    async fn seen(&self, n: usize) -> Vec<(String, String)> {
-        let text = call(self.at[n].1, "members\n").await;
-        let line = |line: &str| {
+    /// Returns each member's name and state as the admin interface of process `n` reports them.
+    async fn members_seen_by(&self, n: usize) -> Vec<(String, String)> {
+        let text = call(self.addresses[n].1, "members\n").await;
+        let parse = |line: &str| {
             let words: Vec<&str> = line.split(' ').collect();
             (words[0].to_owned(), [&words[3..4], &words[5..]].concat().join(" "))
         };
-        let mut all: Vec<_> = text.strip_suffix("eof\n").unwrap().lines().map(line).collect();
+        let mut all: Vec<_> = text.strip_suffix("eof\n").unwrap().lines().map(parse).collect();
         all.sort();
         all
     }
 
-    /// Waits until each of these sees the others so.
-    async fn agree(&self, by: &[usize], states: &[&str]) {
-        for n in by {
+    /// Waits until each of these processes reports these states of the others.
+    async fn until_agreed(&self, observers: &[usize], states: &[&str]) {
+        for n in observers {
             loop {
-                let seen = self.seen(*n).await;
-                let fits = |(i, want): (usize, &&str)| {
-                    i == *n && seen.iter().any(|(name, s)| *name == format!("n{i}") && s == "self")
-                        || i != *n && seen.iter().any(|(name, s)| *name == format!("n{i}") && s == want)
+                let members = self.members_seen_by(*n).await;
+                let matches = |(i, want): (usize, &&str)| {
+                    i == *n && members.iter().any(|(name, s)| *name == format!("n{i}") && s == "self")
+                        || i != *n && members.iter().any(|(name, s)| *name == format!("n{i}") && s == want)
                 };
-                if states.iter().enumerate().all(fits) {
+                if states.iter().enumerate().all(matches) {
                     break;
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
@@ -87,53 +101,53 @@
 }
 
 #[test]
-fn killed_stopped_woken_restarted_and_leaving_ones_are_seen_by_all() {
+fn all_members_see_kills_pauses_restarts_and_departures() {
     local(async {
         let mut fleet = Fleet::new("almaty-test", 5).await;
         for n in [3, 1, 4, 0, 2] {
             fleet.start(n).await;
         }
-        fleet.agree(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
-        // What is missing is said; with discovery's word, and some time, nothing is.
-        let back = async |n: usize| call(fleet.at[n].1, "recovery\n").await;
-        assert!(back(2).await.contains("stage partial") && back(2).await.contains("missing list"));
+        fleet.until_agreed(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
+        // `recovery` names the missing backend list; once discovery has sent one, the recovery completes.
+        let recovery = async |n: usize| call(fleet.addresses[n].1, "recovery\n").await;
+        assert!(recovery(2).await.contains("stage partial") && recovery(2).await.contains("missing list"));
         fleet.agent.say(42, true, Vec::new());
-        while !back(2).await.contains("stage whole") {
+        while !recovery(2).await.contains("stage whole") {
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         }
-        // Killed: known to all, and a restart at the same address is a newer one.
+        // A killed process is known to be dead; a restart at the same address supersedes it.
         let mut killed = fleet.programs[4].take().unwrap();
         killed.child.kill().unwrap();
         killed.child.wait().unwrap();
-        fleet.agree(&[0, 1, 2, 3], &["alive", "alive", "alive", "alive", "dead"]).await;
-        assert_eq!(figures(fleet.at[0].1).await["svc_cluster_dead"], 1);
+        fleet.until_agreed(&[0, 1, 2, 3], &["alive", "alive", "alive", "alive", "dead"]).await;
+        assert_eq!(figures(fleet.addresses[0].1).await["svc_cluster_dead"], 1);
         fleet.start(4).await;
-        fleet.agree(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
-        // Stopped for longer than any suspicion, and woken: it notices, asks, and all see all again.
-        let stopped = fleet.programs[2].as_ref().unwrap();
-        stopped.signal("STOP");
-        fleet.agree(&[0, 1, 3, 4], &["alive", "alive", "dead", "alive", "alive"]).await;
-        stopped.signal("CONT");
-        // Until somebody has told it who lives, it has not come back whole.
+        fleet.until_agreed(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
+        // A process that was paused for longer than the suspicion period notices it, queries the others, and is alive again.
+        let paused = fleet.programs[2].as_ref().unwrap();
+        paused.signal("STOP");
+        fleet.until_agreed(&[0, 1, 3, 4], &["alive", "alive", "dead", "alive", "alive"]).await;
+        paused.signal("CONT");
+        // Its recovery is partial until it has received a view from another member.
         for line in ["this process stood still", "stage: partial", "stage: whole"] {
             fleet.programs[2].as_mut().unwrap().says(line).await;
         }
-        fleet.agree(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
-        // Told to stop: it has left, and is never taken for dead.
+        fleet.until_agreed(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
+        // A process that is stopped in order leaves the fleet and is never reported dead.
         let leaving = fleet.programs[1].as_mut().unwrap();
         leaving.signal("TERM");
         leaving.says("stopped").await;
-        fleet.agree(&[0, 2, 3, 4], &["alive", "left", "alive", "alive", "alive"]).await;
-        assert_eq!(figures(fleet.at[0].1).await["svc_cluster_dead"], 0);
-        // Strangers and garbage are counted and change nothing.
+        fleet.until_agreed(&[0, 2, 3, 4], &["alive", "left", "alive", "alive", "alive"]).await;
+        assert_eq!(figures(fleet.addresses[0].1).await["svc_cluster_dead"], 0);
+        // Garbage from an unknown address is counted and changes nothing.
         let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
         for _ in 0..50 {
-            stranger.send_to(&[7; 300], fleet.at[0].0).unwrap();
+            stranger.send_to(&[7; 300], fleet.addresses[0].0).unwrap();
         }
-        while figures(fleet.at[0].1).await["svc_cluster_unreadable_total"] < 50 {
+        while figures(fleet.addresses[0].1).await["svc_cluster_unreadable_total"] < 50 {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
-        assert_eq!(figures(fleet.at[0].1).await["svc_cluster_alive"], 4);
+        assert_eq!(figures(fleet.addresses[0].1).await["svc_cluster_alive"], 4);
     });
 }
 
@@ -144,78 +158,79 @@
     }
 }
 
-async fn out(door: SocketAddr, count: u64) {
-    while figures(door).await["svc_members_unavailable"] != count {
+/// Waits until this number of backends is unavailable.
+async fn until_unavailable(admin: SocketAddr, count: u64) {
+    while figures(admin).await["svc_members_unavailable"] != count {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
 }
 
 #[test]
-fn what_operators_say_at_one_door_holds_at_all_until_it_ends_whoever_was_away() {
+fn operators_notices_hold_on_all_members_until_they_end_despite_restarts() {
     local(async {
         let mut fleet = Fleet::new("almaty-words", 3).await;
-        let server = RealServer::start(ok("e4")).await;
+        let backend = RealServer::start(ok("e4")).await;
         fleet.known = vec![
-            service_entry("s1", server.at, 0, "in_service"),
-            service_entry("s2", server.at, 0, "in_service"),
+            service_entry("s1", backend.at, 0, "in_service"),
+            service_entry("s2", backend.at, 0, "in_service"),
         ];
         for n in [0, 1, 2] {
             fleet.start(n).await;
         }
-        fleet.agree(&[0, 1, 2], &["alive"; 3]).await;
-        let doors: Vec<SocketAddr> = fleet.at.iter().map(|(_, door)| *door).collect();
-        assert_eq!(call(doors[0], "disable-server s1\n").await, "ok\n");
-        assert!(call(doors[1], "disable-server s9\n").await.starts_with("fail"));
-        for door in &doors {
-            out(*door, 1).await;
+        fleet.until_agreed(&[0, 1, 2], &["alive"; 3]).await;
+        let admins: Vec<SocketAddr> = fleet.addresses.iter().map(|(_, admin)| *admin).collect();
+        assert_eq!(call(admins[0], "disable-server s1\n").await, "ok\n");
+        assert!(call(admins[1], "disable-server s9\n").await.starts_with("fail"));
+        for admin in &admins {
+            until_unavailable(*admin, 1).await;
         }
-        // An ingress is drained from another's door: its clients are sent away, and all see it.
-        assert!(call(doors[0], "drain n7\n").await.starts_with("fail"));
-        assert_eq!(call(doors[0], "drain n2\n").await, "ok\n");
-        fleet.agree(&[0, 1], &["alive", "alive", "alive drained"]).await;
-        while status(&get(fleet.clients[2], "/ready").await) == 200 {}
-        // It dies, and so does another. Meanwhile the ban ends.
+        // An ingress is drained through the admin interface of another one: it is no longer ready, and all members see it.
+        assert!(call(admins[0], "drain n7\n").await.starts_with("fail"));
+        assert_eq!(call(admins[0], "drain n2\n").await, "ok\n");
+        fleet.until_agreed(&[0, 1], &["alive", "alive", "alive drained"]).await;
+        while status(&get(fleet.client_addresses[2], "/ready").await) == 200 {}
+        // The drained ingress and another one are killed. Meanwhile the backend is enabled again.
         for n in [1, 2] {
             let mut killed = fleet.programs[n].take().unwrap();
             killed.child.kill().unwrap();
             killed.child.wait().unwrap();
         }
-        assert_eq!(call(doors[0], "enable-server s1\n").await, "ok\n");
-        out(doors[0], 0).await;
-        // Both come back with what they knew; one has lost its files besides. The ban stays ended, the drain holds.
+        assert_eq!(call(admins[0], "enable-server s1\n").await, "ok\n");
+        until_unavailable(admins[0], 0).await;
+        // Both restart, one with its stored notices and one without. The backend stays enabled, and the drain still holds.
         std::fs::remove_dir_all(&fleet.folders[2]).unwrap();
         std::fs::create_dir_all(&fleet.folders[2]).unwrap();
         fleet.start(1).await;
         fleet.start(2).await;
-        fleet.agree(&[0, 1], &["alive", "alive", "alive drained"]).await;
-        for door in &doors {
-            out(*door, 0).await;
+        fleet.until_agreed(&[0, 1], &["alive", "alive", "alive drained"]).await;
+        for admin in &admins {
+            until_unavailable(*admin, 0).await;
         }
-        while status(&get(fleet.clients[2], "/ready").await) == 200 {}
-        assert_eq!(call(doors[2], "resume\n").await, "ok\n");
-        fleet.agree(&[0, 1, 2], &["alive"; 3]).await;
-        while status(&get(fleet.clients[2], "/ready").await) != 200 {}
-        let words = call(doors[1], "notices\n").await;
-        assert!(words.contains("s1 server back") && words.contains("n2 ingress resumed"), "{words}");
-        // All are restarted at once, with their files: what holds, holds.
-        assert_eq!(call(doors[1], "disable-server s2\n").await, "ok\n");
-        out(doors[0], 1).await;
+        while status(&get(fleet.client_addresses[2], "/ready").await) == 200 {}
+        assert_eq!(call(admins[2], "resume\n").await, "ok\n");
+        fleet.until_agreed(&[0, 1, 2], &["alive"; 3]).await;
+        while status(&get(fleet.client_addresses[2], "/ready").await) != 200 {}
+        let notices = call(admins[1], "notices\n").await;
+        assert!(notices.contains("s1 server back") && notices.contains("n2 ingress resumed"), "{notices}");
+        // All are killed at once; one that restarts with its files still has the backend disabled.
+        assert_eq!(call(admins[1], "disable-server s2\n").await, "ok\n");
+        until_unavailable(admins[0], 1).await;
         for n in [0, 1, 2] {
             let mut killed = fleet.programs[n].take().unwrap();
             killed.child.kill().unwrap();
             killed.child.wait().unwrap();
         }
         fleet.start(0).await;
-        out(doors[0], 1).await;
+        until_unavailable(admins[0], 1).await;
     });
 }
 
 #[test]
-fn what_cannot_be_a_fleet_ends_the_start_with_its_key() {
+fn invalid_cluster_configuration_names_the_faulty_key() {
     let read = |cluster: serde_json::Value| {
-        let mut told = told(SocketAddr::from(([127, 0, 0, 1], 9)), Vec::new());
-        told["cluster"] = cluster;
-        weldhub::config::Config::read(&told.to_string(), |_| None).map(drop).map_err(|e| e.to_string())
+        let mut config = told(SocketAddr::from(([127, 0, 0, 1], 9)), Vec::new());
+        config["cluster"] = cluster;
+        weldhub::config::Config::read(&config.to_string(), |_| None).map(drop).map_err(|e| e.to_string())
     };
     let at = "127.0.0.1:7946";
     for (cluster, key) in [
