--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Lists of 1,100 ingresses and 2,000 real servers, in the settings and from discovery: all of them count, and the program
-//! stays within the least memory that an ingress is given.
+//! Lists of 1,100 ingresses and 2,000 backends, in the configuration and from discovery: every entry is used, and the
+//! program stays within the smallest memory limit of an ingress.
 
 mod stand_ins;
 
@@ -14,38 +14,40 @@
 use tokio::task::spawn_local;
 
 const INGRESSES: usize = 1100;
-const SERVERS: usize = 2000;
-/// An ingress over this is killed.
-const MEMORY_MB: u64 = 48;
-/// So many of the real servers leave.
-const LEAVE: usize = 1500;
-/// So often each client asks.
-const ROUNDS: usize = 40;
+const BACKENDS: usize = 2000;
+/// The memory limit of an ingress, in MiB. One that exceeds it is killed.
+const MEMORY_LIMIT_MB: u64 = 48;
+/// The number of backends that leave the list.
+const LEAVING_BACKENDS: usize = 1500;
+/// The number of requests of each client.
+const REQUESTS_PER_CLIENT: usize = 40;
 
-/// The most memory that a process has held, in kB.
-fn peak(process: u32) -> u64 {
+/// The peak resident memory of a process, in KiB.
+fn peak_memory_kb(process: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// An address of loopback for each real server, all of which end at one listener on all of them.
-fn addresses(port: u16) -> Vec<SocketAddr> {
+/// A loopback address for each backend. One listener accepts the connections to all of them.
+fn backend_addresses(port: u16) -> Vec<SocketAddr> {
     let address = |i: usize| Ipv4Addr::new(127, 1, (i / 250) as u8, (i % 250) as u8 + 1);
-    (0..SERVERS).map(|i| SocketAddr::from((address(i), port))).collect()
+    (0..BACKENDS).map(|i| SocketAddr::from((address(i), port))).collect()
 }
 
+/// The discovery entry of backend `i`.
 fn entry(i: usize, at: SocketAddr, lifecycle: &str) -> Value {
     service_entry(&format!("server-of-a-large-fleet-{i:06}"), at, (i % 40) as u16, lifecycle)
 }
 
-/// Some clients ask one thing after another; some of it is of customers of many ingresses, the last ones among these.
-async fn ask_many(at: SocketAddr) {
-    let mut asking = Vec::new();
+/// Eight clients send one request after another. One in ten requests is of a customer spread over 60 ingresses, the last
+/// ones of the list among them.
+async fn send_requests(at: SocketAddr) {
+    let mut clients = Vec::new();
     for c in 0..8 {
-        asking.push(spawn_local(async move {
+        clients.push(spawn_local(async move {
             let (mut client, mut served) = (Client::new(at).await, 0);
-            for i in (0..ROUNDS).map(|i| c * ROUNDS + i) {
+            for i in (0..REQUESTS_PER_CLIENT).map(|i| c * REQUESTS_PER_CLIENT + i) {
                 let set = if i % 10 == 0 { "spread=60,first=1030" } else { "spread=1,first=1050" };
                 let text = board(&format!("{i}"), 900, 1).replace("spread=1,first=0", set);
                 let text = text.replace("client=0000000000000007", &format!("client={i:016x}"));
@@ -54,63 +56,65 @@
             served
         }));
     }
-    for one in asking {
-        let served = one.await.unwrap();
-        assert!(served * 10 >= ROUNDS * 9, "{served} of {ROUNDS} served");
+    for client in clients {
+        let served = client.await.unwrap();
+        assert!(served * 10 >= REQUESTS_PER_CLIENT * 9, "{served} of {REQUESTS_PER_CLIENT} served");
     }
 }
 
-async fn members(door: SocketAddr, wanted: usize) {
-    while figures(door).await["svc_members"] != wanted as u64 {}
+/// Waits until the ingress lists this number of backends.
+async fn until_members(admin: SocketAddr, wanted: usize) {
+    while figures(admin).await["svc_members"] != wanted as u64 {}
 }
 
 #[test]
-fn a_list_of_1100_ingresses_and_2000_servers_counts_whole_within_48_mb() {
+fn lists_of_1100_ingresses_and_2000_backends_are_used_in_full_within_48_mb() {
     local(async {
-        let (server, agent) = (
+        let (backend, agent) = (
             RealServer::on_all(Serve::Late(Duration::from_millis(10), "x".into())).await,
             Agent::start().await,
         );
-        let servers = addresses(server.at.port());
-        let known = (0..SERVERS).map(|i| entry(i, servers[i], "in_service")).collect();
-        let mut told = told(agent.at, known);
+        let addresses = backend_addresses(backend.at.port());
+        let known = (0..BACKENDS).map(|i| entry(i, addresses[i], "in_service")).collect();
+        let mut config = told(agent.at, known);
         let socket = || UdpSocket::bind("127.0.0.1:0").unwrap();
         let (own, last) = (socket().local_addr().unwrap(), socket());
         let mut peers: Vec<SocketAddr> = (0..INGRESSES)
             .map(|i| SocketAddr::from(([127, 2, (i / 250) as u8, (i % 250) as u8 + 1], 9)))
             .collect();
-        // All from the 1,024th on are heard here, but for the ingress itself.
+        // From index 1,024 on, all peers but the ingress itself have the address of the `last` socket.
         peers[1024..].fill(last.local_addr().unwrap());
         peers[1050] = own;
-        told["limits"]["memory_mb"] = json!(MEMORY_MB);
-        (told["peer_listen"], told["peers"]) = (json!(own), json!(peers));
-        told["settings"]["balancers"] = json!(INGRESSES);
-        told["settings"]["myNumber"] = json!(1050);
-        told["settings"]["limits"]["mayTell"] = json!(true);
-        told["settings"]["familyInfo"]["mailPerS"] = json!(100.0);
-        told["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
-        let door = own_address();
-        let env = [("RELAY_MANAGEMENT", door.to_string())];
-        let mut program = Program::start("large-fleet", &told.to_string(), &env, false);
+        config["limits"]["memory_mb"] = json!(MEMORY_LIMIT_MB);
+        (config["peer_listen"], config["peers"]) = (json!(own), json!(peers));
+        config["settings"]["balancers"] = json!(INGRESSES);
+        config["settings"]["myNumber"] = json!(1050);
+        config["settings"]["limits"]["mayTell"] = json!(true);
+        config["settings"]["familyInfo"]["mailPerS"] = json!(100.0);
+        config["settings"]["tariffs"][0]["storeSize"] = json!(1e6);
+        let admin = own_address();
+        let env = [("RELAY_MANAGEMENT", admin.to_string())];
+        let mut program = Program::start("large-fleet", &config.to_string(), &env, false);
         let at = program.serving().await;
-        members(door, SERVERS).await;
-        ask_many(at).await;
-        let leave = (0..LEAVE).map(|i| entry(i, servers[i], "terminated")).collect();
-        agent.say(42, false, leave);
-        members(door, SERVERS - LEAVE).await;
-        // What is left are the last of the list.
-        server.got.borrow_mut().clear();
-        ask_many(at).await;
+        until_members(admin, BACKENDS).await;
+        send_requests(at).await;
+        let leaving = (0..LEAVING_BACKENDS).map(|i| entry(i, addresses[i], "terminated")).collect();
+        agent.say(42, false, leaving);
+        until_members(admin, BACKENDS - LEAVING_BACKENDS).await;
+        // The last entries of the list remain.
+        backend.got.borrow_mut().clear();
+        send_requests(at).await;
         let hosts: BTreeSet<String> =
-            server.got.borrow().iter().map(|(_, request)| header(request, "host").unwrap()).collect();
-        let left: BTreeSet<String> = servers[LEAVE..].iter().map(SocketAddr::to_string).collect();
-        assert!(hosts.len() > 1 && hosts.is_subset(&left), "{} real servers: {hosts:?}", hosts.len());
-        agent.say(43, true, (0..SERVERS).map(|i| entry(i, servers[i], "in_service")).collect());
-        members(door, SERVERS).await;
+            backend.got.borrow().iter().map(|(_, request)| header(request, "host").unwrap()).collect();
+        let remaining: BTreeSet<String> =
+            addresses[LEAVING_BACKENDS..].iter().map(SocketAddr::to_string).collect();
+        assert!(hosts.len() > 1 && hosts.is_subset(&remaining), "{} backends: {hosts:?}", hosts.len());
+        agent.say(43, true, (0..BACKENDS).map(|i| entry(i, addresses[i], "in_service")).collect());
+        until_members(admin, BACKENDS).await;
         let mut datagram = [0; 512];
         last.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-        assert!(last.recv(&mut datagram).is_ok_and(|n| n > 0), "the last ingresses are sent messages");
-        let peak = peak(program.child.id());
-        assert!(peak < MEMORY_MB << 10, "{peak} kB");
+        assert!(last.recv(&mut datagram).is_ok_and(|n| n > 0), "no message to the last ingresses");
+        let peak_kb = peak_memory_kb(program.child.id());
+        assert!(peak_kb < MEMORY_LIMIT_MB << 10, "{peak_kb} kB");
     });
 }
