--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -1,4 +1,4 @@
-//! The authorisation front, from a caller's check to an authoriser and back, against stand-ins.
+//! The external authorisation front, from a caller's check to an authoriser and back, against stand-ins.
 
 mod stand_ins;
 
@@ -17,7 +17,7 @@
 use weldhub::interface::Outcome;
 use weldhub::node;
 
-/// The operator's file as it is shipped, for this Consul and with these changes.
+/// The shipped configuration, for this Consul agent and with these replacements of text.
 fn config(consul: &Consul, changes: &[(&str, &str)]) -> AuthzConfig {
     let mut text = include_str!("../deploy/ext-authz.toml").replace("127.0.0.1:8500", &consul.at.to_string());
     for (old, new) in changes {
@@ -27,29 +27,31 @@
     AuthzConfig::read(&text, |_| None).unwrap()
 }
 
-/// Starts an instance; tells where it listens.
+/// Starts an instance; returns the address at which it listens.
 async fn start(config: AuthzConfig) -> SocketAddr {
     let listener = listener().await;
     let at = listener.local_addr().unwrap();
-    let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
-    spawn_local(node::serve_authz(config, listener, quiet(), ways, std::future::pending()));
+    let (_reloads, reloads) = tokio::sync::watch::channel(config.reloadable());
+    spawn_local(node::serve_authz(config, listener, quiet(), reloads, std::future::pending()));
     at
 }
 
-/// An allowing verdict, with fields that weldhub does not know.
+/// A response that allows the request, with fields that weldhub does not know.
 fn allow() -> Bytes {
     let mut bytes = BytesMut::from(&[0x0a, 0x00, 0x1a, 0x00][..]);
     bytes.put_slice(&[0xfa, 0x3e, 0x03, 1, 2, 3]);
     bytes.freeze()
 }
 
+/// A response that denies the request.
 fn deny() -> Bytes {
     let status = Some(RpcStatus { code: 7, message: "not in this round".into() });
     let denied = DeniedHttpResponse { body: "no".into(), ..Default::default() };
     CheckResponse { status, http_response: Some(HttpResponse::Denied(denied)) }.encode_to_vec().into()
 }
 
-fn message(path: &str, units: u32) -> Bytes {
+/// A check of a request with this path and number of units.
+fn check_request(path: &str, units: u32) -> Bytes {
     let headers = [
         ("x-club", "Almaty-7"),
         ("x-tier", "club"),
@@ -63,85 +65,91 @@
     CheckRequest { attributes: Some(attributes) }.encode_to_vec().into()
 }
 
-async fn check(at: SocketAddr, message: Bytes, timeout: &'static str) -> Result<Bytes, Status> {
+/// Sends an encoded check with this `grpc-timeout`; returns the encoded response.
+async fn check(at: SocketAddr, encoded: Bytes, timeout: &'static str) -> Result<Bytes, Status> {
     let sender = open(at).await.unwrap();
-    let mut request = tonic::Request::new(message);
+    let mut request = tonic::Request::new(encoded);
     request.metadata_mut().insert("grpc-timeout", timeout.parse().unwrap());
     call(sender, at, request).await.map_err(|(_, status)| status)
 }
 
+/// Sends a check that must be answered; returns the encoded response.
 async fn ask(at: SocketAddr, path: &str, units: u32) -> Bytes {
-    check(at, message(path, units), LONG).await.unwrap()
+    check(at, check_request(path, units), LONG_TIMEOUT).await.unwrap()
 }
 
-/// The status that a verdict denies with; 0 for one that does not.
+/// The HTTP status of a denial and its `retry-after` header; status 0 if the response does not deny the request.
 fn denial(answer: &Bytes) -> (i32, Option<String>) {
     match CheckResponse::decode(answer.clone()).unwrap().http_response {
         Some(HttpResponse::Denied(denied)) => {
-            let after = denied.headers.into_iter().filter_map(|h| h.header).find(|h| h.key == "retry-after");
-            (denied.status.unwrap_or_default().code, after.map(|h| h.value))
+            let retry_after =
+                denied.headers.into_iter().filter_map(|h| h.header).find(|h| h.key == "retry-after");
+            (denied.status.unwrap_or_default().code, retry_after.map(|h| h.value))
         }
         _ => (0, None),
     }
 }
 
-/// Callers wait longer than a class may take: only weldhub's own deadlines end anything here.
-const LONG: &str = "30S";
-const BRIEF: [(&str, &str); 2] =
+/// A `grpc-timeout` above the `giveUp` of every class, so that only weldhub's own deadlines end a check.
+const LONG_TIMEOUT: &str = "30S";
+/// Replacements in the configuration that shorten the `giveUp` of the classes to 400 ms.
+const SHORT_GIVE_UP: [(&str, &str); 2] =
     [("giveUp = 3000.0", "giveUp = 400.0"), ("giveUp = 1500.0", "giveUp = 400.0")];
 
-const MOVE: &str = "/api/moves/17?x=1";
-const BOARD: &str = "/api/boards/17";
+/// A path of the keyed class `move-submit`.
+const MOVE_PATH: &str = "/api/moves/17?x=1";
+/// A path of the safe class `board-state`.
+const BOARD_PATH: &str = "/api/boards/17";
 
 #[test]
-fn an_authorisers_verdict_passes_unchanged_and_so_does_the_check() {
+fn check_and_response_are_forwarded_unchanged() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
         authoriser.behave(Manner::Answer(deny()));
-        assert_eq!(ask(at, MOVE, 1).await, deny());
+        assert_eq!(ask(at, MOVE_PATH, 1).await, deny());
         let calls = authoriser.calls.lock().unwrap();
         assert_eq!(
             calls.iter().map(|(m, _)| m.clone()).collect::<Vec<_>>(),
-            [message(BOARD, 1), message(MOVE, 1)]
+            [check_request(BOARD_PATH, 1), check_request(MOVE_PATH, 1)]
         );
-        assert!(calls.iter().all(|(_, timeout)| timeout.is_some()), "each is told how long weldhub waits");
+        assert!(calls.iter().all(|(_, timeout)| timeout.is_some()), "each call carries a grpc-timeout");
     });
 }
 
 #[test]
-fn a_customer_beyond_its_quota_is_rejected_at_once_and_not_scheduled() {
+fn customer_over_its_quota_is_rejected_at_once_without_an_attempt() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[("perSecond = 5.8 ", "perSecond = 0.001 ")])).await;
-        // 27 units may be used at once.
+        // The plan allows a burst of 27 units.
         for _ in 0..4 {
-            assert_eq!(ask(at, BOARD, 6).await, allow());
+            assert_eq!(ask(at, BOARD_PATH, 6).await, allow());
         }
-        let (status, after) = denial(&ask(at, MOVE, 6).await);
-        assert_eq!((status, after.as_deref()), (429, Some("1")));
-        // What fits is still let in, and what was rejected was never sent, then or later.
-        assert_eq!(ask(at, BOARD, 3).await, allow());
+        let (status, retry_after) = denial(&ask(at, MOVE_PATH, 6).await);
+        assert_eq!((status, retry_after.as_deref()), (429, Some("1")));
+        // A check that fits is still admitted, and the rejected one was never sent to the authoriser.
+        assert_eq!(ask(at, BOARD_PATH, 3).await, allow());
         assert_eq!(authoriser.count(), 5);
-        assert!(authoriser.calls.lock().unwrap().iter().all(|(m, _)| *m != message(MOVE, 6)));
+        assert!(authoriser.calls.lock().unwrap().iter().all(|(m, _)| *m != check_request(MOVE_PATH, 6)));
     });
 }
 
 #[test]
-fn a_stalled_authoriser_costs_a_denial_when_the_class_has_had_its_time() {
+fn stalled_authoriser_leads_to_a_denial_at_the_deadline_of_the_class() {
     local(async {
         let authoriser = Authoriser::start(Manner::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
-        let at = start(config(&consul, &BRIEF)).await;
-        assert_eq!(denial(&ask(at, MOVE, 1).await).0, 504);
+        let at = start(config(&consul, &SHORT_GIVE_UP)).await;
+        assert_eq!(denial(&ask(at, MOVE_PATH, 1).await).0, 504);
         authoriser.dropped.notified().await;
     });
 }
 
-/// Both authorisers, each a cell of its own.
+/// Starts two authorisers, each in a cell of its own.
 async fn two_cells(manner: Manner) -> (Authoriser, Authoriser, Consul) {
     let (a, b) = (Authoriser::start(manner.clone()).await, Authoriser::start(manner).await);
     let both = vec![instance("a", a.at, 0, "passing"), instance("b", b.at, 1, "passing")];
@@ -150,62 +158,65 @@
 }
 
 #[test]
-fn a_keyed_check_that_may_have_run_keeps_to_its_cell_whatever_code_it_fails_with() {
+fn keyed_check_that_may_have_run_stays_in_its_cell_whatever_code_it_fails_with() {
     local(async {
         for manner in [Manner::Fail(Code::Unavailable), Manner::Fail(Code::ResourceExhausted), Manner::Vanish]
         {
             let (a, b, consul) = two_cells(manner).await;
             let at = start(config(&consul, &[])).await;
-            assert_eq!(denial(&ask(at, MOVE, 1).await).0, 502);
+            assert_eq!(denial(&ask(at, MOVE_PATH, 1).await).0, 502);
             assert!((a.count() == 0) != (b.count() == 0), "{} and {}", a.count(), b.count());
         }
     });
 }
 
 #[test]
-fn a_safe_check_whose_authoriser_vanishes_is_served_by_another() {
+fn safe_check_is_retried_on_another_authoriser_after_its_connection_breaks() {
     local(async {
         let (a, b, consul) = two_cells(Manner::VanishOnce(Arc::default(), allow())).await;
         let at = start(config(&consul, &[])).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
         assert_eq!((a.count(), b.count()), (1, 1));
     });
 }
 
 #[test]
-fn an_authoriser_that_was_never_reached_does_not_bind_a_keyed_check_to_its_cell() {
+fn unreachable_authoriser_does_not_bind_a_keyed_check_to_its_cell() {
     local(async {
-        // Nobody listens where the first one is said to be.
-        let nobody = listener().await.local_addr().unwrap();
+        // Nothing listens at the address of the first authoriser.
+        let closed_address = listener().await.local_addr().unwrap();
         let b = Authoriser::start(Manner::Answer(allow())).await;
-        let consul =
-            Consul::start(vec![instance("a", nobody, 0, "passing"), instance("b", b.at, 1, "passing")]).await;
+        let consul = Consul::start(vec![
+            instance("a", closed_address, 0, "passing"),
+            instance("b", b.at, 1, "passing"),
+        ])
+        .await;
         let at = start(config(&consul, &[])).await;
         for _ in 0..6 {
-            assert_eq!(ask(at, MOVE, 1).await, allow());
+            assert_eq!(ask(at, MOVE_PATH, 1).await, allow());
         }
     });
 }
 
 #[test]
-fn a_caller_that_cancels_takes_its_scheduling_with_it() {
+fn attempt_is_cancelled_with_its_check() {
     local(async {
         let authoriser = Authoriser::start(Manner::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
-        let asking: JoinHandle<Bytes> = spawn_local(async move { ask(at, BOARD, 1).await });
+        let pending: JoinHandle<Bytes> = spawn_local(async move { ask(at, BOARD_PATH, 1).await });
         authoriser.called.notified().await;
-        asking.abort();
+        pending.abort();
         authoriser.dropped.notified().await;
-        assert_eq!(authoriser.count(), 1, "what nobody waits for is not scheduled again");
+        assert_eq!(authoriser.count(), 1, "a cancelled check is not attempted again");
     });
 }
 
-/// A caller that has cancelled has gone: no attempt begins more than so long after.
-const GONE: std::time::Duration = std::time::Duration::from_millis(100);
+/// The time within which the instance handles a cancellation: no attempt begins later.
+const CANCELLATION_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
 #[test]
-fn a_check_cancelled_while_the_connection_to_its_authoriser_comes_up_is_never_written() {
+fn check_cancelled_during_connection_setup_is_never_sent() {
     local(async {
         for cancelling in ["true", "false"] {
             let full = Full::new().await;
@@ -214,128 +225,141 @@
             let changes =
                 [("connectTimeout = 250.0", "connectTimeout = 5000.0"), ("cancelling = true", &cancelling)];
             let at = start(config(&consul, &changes)).await;
-            let asking: JoinHandle<Bytes> = spawn_local(async move { ask(at, MOVE, 1).await });
-            tokio::time::sleep(2 * GONE).await;
-            asking.abort();
-            tokio::time::sleep(GONE).await;
-            let said = full.all_bytes().await;
-            assert!(!said.windows(MOVE.len()).any(|bytes| bytes == MOVE.as_bytes()), "{cancelling}");
+            let pending: JoinHandle<Bytes> = spawn_local(async move { ask(at, MOVE_PATH, 1).await });
+            tokio::time::sleep(2 * CANCELLATION_DELAY).await;
+            pending.abort();
+            tokio::time::sleep(CANCELLATION_DELAY).await;
+            let received = full.all_bytes().await;
+            assert!(
+                !received.windows(MOVE_PATH.len()).any(|bytes| bytes == MOVE_PATH.as_bytes()),
+                "{cancelling}"
+            );
         }
     });
 }
 
-/// The settings forbid to cancel: its first attempt is out as the caller leaves, and breaks 0.1 s later.
+/// The configuration disables cancellation: the first attempt is in flight when the caller cancels, and breaks 0.1 s later.
 #[test]
-fn no_further_attempt_begins_for_a_check_that_was_cancelled_during_the_first() {
+fn check_cancelled_during_its_first_attempt_is_not_retried() {
     local(async {
         let authoriser = Authoriser::start(Manner::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[("cancelling = true", "cancelling = false")])).await;
-        let asking: JoinHandle<Bytes> = spawn_local(async move { ask(at, BOARD, 1).await });
+        let pending: JoinHandle<Bytes> = spawn_local(async move { ask(at, BOARD_PATH, 1).await });
         authoriser.called.notified().await;
-        asking.abort();
-        tokio::time::sleep(GONE).await;
-        // Another check has it close its connection, and with it the attempt of the one that was cancelled.
+        pending.abort();
+        tokio::time::sleep(CANCELLATION_DELAY).await;
+        // On another check the authoriser closes its connection, which breaks the attempt of the cancelled check too.
         authoriser.behave(Manner::VanishOnce(Arc::default(), allow()));
         assert_eq!(ask(at, "/api/boards/18", 1).await, allow());
         authoriser.dropped.notified().await;
-        tokio::time::sleep(4 * GONE).await;
+        tokio::time::sleep(4 * CANCELLATION_DELAY).await;
         let calls = authoriser.calls.lock().unwrap();
-        assert_eq!(calls.iter().filter(|(check, _)| *check == message(BOARD, 1)).count(), 1);
+        assert_eq!(calls.iter().filter(|(check, _)| *check == check_request(BOARD_PATH, 1)).count(), 1);
     });
 }
 
 #[test]
-fn an_authoriser_whose_health_turns_critical_gets_nothing_new_and_finishes_what_it_has() {
+fn authoriser_that_turns_critical_gets_no_new_check_and_finishes_those_in_flight() {
     local(async {
         let (a, b, consul) = two_cells(Manner::Answer(allow())).await;
         let at = start(config(&consul, &[])).await;
-        ask(at, BOARD, 1).await;
+        ask(at, BOARD_PATH, 1).await;
         consul.set(None, vec![instance("a", a.at, 0, "critical"), instance("b", b.at, 1, "warning")]);
-        // Two more queries: the change was told and the watch goes on from it.
+        // A further query shows that the change was received and the watch continues from it.
         let asked = consul.asked.borrow().len();
         until(|| consul.asked.borrow().len() > asked).await;
         let before = a.count();
         for _ in 0..6 {
-            assert_eq!(ask(at, BOARD, 1).await, allow());
+            assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
         }
         assert_eq!(a.count(), before);
-        // Gone altogether, with a check still out: that one is answered.
+        // All authorisers leave the list while a check is in flight: that check is still answered.
         b.behave(Manner::Stall);
-        let asking = spawn_local(async move { ask(at, MOVE, 1).await });
-        until(|| b.calls.lock().unwrap().iter().any(|(m, _)| *m == message(MOVE, 1))).await;
+        let pending = spawn_local(async move { ask(at, MOVE_PATH, 1).await });
+        until(|| b.calls.lock().unwrap().iter().any(|(m, _)| *m == check_request(MOVE_PATH, 1))).await;
         consul.set(None, vec![]);
-        assert_eq!(denial(&asking.await.unwrap()).0, 504);
-        assert_eq!(denial(&ask(at, BOARD, 1).await).0, 429, "with nobody left it may come again later");
+        assert_eq!(denial(&pending.await.unwrap()).0, 504);
+        assert_eq!(
+            denial(&ask(at, BOARD_PATH, 1).await).0,
+            429,
+            "rejected with 429 while no authoriser is left"
+        );
     });
 }
 
 #[test]
-fn while_all_authorisers_stall_every_check_has_one_answer_and_service_returns_with_them() {
+fn every_check_is_answered_while_all_authorisers_stall_and_service_recovers_with_them() {
     local(async {
         let (a, b, consul) = two_cells(Manner::Stall).await;
-        let at =
-            start(config(&consul, &[BRIEF[0], BRIEF[1], ("storeSize = 27.0", "storeSize = 1000.0")])).await;
-        let paths = [BOARD, MOVE].into_iter().cycle().take(30);
-        let asking: Vec<_> = paths.map(|path| spawn_local(check(at, message(path, 1), LONG))).collect();
-        for one in asking {
-            let (status, after) = denial(&one.await.unwrap().unwrap());
-            assert!(matches!((status, after), (429, Some(_)) | (502 | 504, None)), "{status}");
+        let at = start(config(
+            &consul,
+            &[SHORT_GIVE_UP[0], SHORT_GIVE_UP[1], ("storeSize = 27.0", "storeSize = 1000.0")],
+        ))
+        .await;
+        let paths = [BOARD_PATH, MOVE_PATH].into_iter().cycle().take(30);
+        let checks: Vec<_> =
+            paths.map(|path| spawn_local(check(at, check_request(path, 1), LONG_TIMEOUT))).collect();
+        for check in checks {
+            let (status, retry_after) = denial(&check.await.unwrap().unwrap());
+            assert!(matches!((status, retry_after), (429, Some(_)) | (502 | 504, None)), "{status}");
         }
         a.behave(Manner::Answer(allow()));
         b.behave(Manner::Answer(allow()));
         // Ejected authorisers are tried again after a while.
-        while ask(at, BOARD, 1).await != allow() {}
+        while ask(at, BOARD_PATH, 1).await != allow() {}
     });
 }
 
-/// Checks of 3 units that two instances of one fleet let in, asked in turn; 27 units may be used at once.
-async fn let_in_by_two(consul: &Consul, changes: &[(&str, &str)]) -> [u32; 2] {
+/// Sends 24 checks of 3 units to two instances of one fleet in turn; returns how many each allowed. The plan allows a burst of
+/// 27 units.
+async fn allowed_by_two_instances(consul: &Consul, changes: &[(&str, &str)]) -> [u32; 2] {
     let mut at = Vec::new();
     for number in ["myNumber = 0", "myNumber = 1"] {
-        let mut all = vec![("balancers = 1", "balancers = 2"), ("perSecond = 5.8 ", "perSecond = 0.001 ")];
-        all.push(("myNumber = 0", number));
-        all.extend(changes);
-        at.push(start(config(consul, &all)).await);
+        let mut replacements =
+            vec![("balancers = 1", "balancers = 2"), ("perSecond = 5.8 ", "perSecond = 0.001 ")];
+        replacements.push(("myNumber = 0", number));
+        replacements.extend(changes);
+        at.push(start(config(consul, &replacements)).await);
     }
     let mut allowed = [0, 0];
     for i in (0..24).map(|n| n % 2) {
-        let answer = check(at[i], message("/game-record/5", 3), LONG).await.unwrap();
+        let answer = check(at[i], check_request("/game-record/5", 3), LONG_TIMEOUT).await.unwrap();
         allowed[i] += u32::from(answer == allow());
     }
     allowed
 }
 
 #[test]
-fn two_instances_share_a_quota_over_the_counter_and_grant_even_slices_without() {
+fn two_instances_share_a_quota_with_the_counter_and_split_it_evenly_without() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         // Half of 27 units each: four checks of 3.
-        assert_eq!(let_in_by_two(&consul, &[]).await, [4, 4]);
+        assert_eq!(allowed_by_two_instances(&consul, &[]).await, [4, 4]);
         assert_eq!(authoriser.count(), 8, "each check counts once");
         let counter = Counter::start().await;
         let at = format!("counter = \"{}\"", counter.at);
         let shared = [
             ("# counter = \"127.0.0.1:6400\"", at.as_str()),
             ("hasCounter = false", "hasCounter = true"),
-            // No verdict here depends on how fast the machine is.
+            // Keeps the result independent of the speed of the machine.
             ("counterTimeout = 50.0", "counterTimeout = 900.0"),
         ];
-        // Both ask for all of their slices, so nothing is lent.
-        let allowed = let_in_by_two(&consul, &shared).await;
+        // Both instances use their whole slices, so that nothing is left to borrow.
+        let allowed = allowed_by_two_instances(&consul, &shared).await;
         assert_eq!(allowed, [4, 4]);
         assert_eq!(authoriser.count(), 16);
         let counted: f64 = counter.numbers.borrow().values().sum();
-        // What was asked for in vain goes back with the next call: one check of each instance may still be there. And full
-        // slices spill over a thousandth of a unit a second.
+        // The units of a rejected check are returned to the counter with the next call: those of one check of each instance
+        // may not have been returned yet. Full slices overflow by a thousandth of a unit per second.
         assert!((-0.1..=6.0).contains(&counted), "{counted}");
         assert!(counter.calls.get() >= 8);
     });
 }
 
 #[test]
-fn an_instance_borrows_what_the_other_does_not_need() {
+fn instance_borrows_the_unused_slice_of_the_other() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
@@ -352,278 +376,290 @@
             ];
             instances.push(start(config(&consul, &changes)).await);
         }
-        // The second sees the customer once, and from then on has no need of its slice.
-        assert_eq!(check(instances[1], message("/game-record/5", 3), LONG).await.unwrap(), allow());
+        // The second instance gets one check of the customer and does not use its slice afterwards.
+        assert_eq!(
+            check(instances[1], check_request("/game-record/5", 3), LONG_TIMEOUT).await.unwrap(),
+            allow()
+        );
         let (began, mut units) = (std::time::Instant::now(), 0.0);
-        let quota = |seconds: f64| 27.0 + 5.8 * seconds;
+        let fleet_quota = |seconds: f64| 27.0 + 5.8 * seconds;
         while began.elapsed().as_secs_f64() < 5.0 {
-            let answer = check(instances[0], message("/game-record/5", 3), LONG).await.unwrap();
+            let answer = check(instances[0], check_request("/game-record/5", 3), LONG_TIMEOUT).await.unwrap();
             units += if answer == allow() { 3.0 } else { 0.0 };
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
         let seconds = began.elapsed().as_secs_f64();
-        let slice = quota(seconds) / 2.0;
-        assert!(units > slice + 3.0, "{units} units where its slice let in {slice}");
-        assert!(units + 3.0 <= quota(seconds), "{units} of {}", quota(seconds));
+        let slice = fleet_quota(seconds) / 2.0;
+        assert!(units > slice + 3.0, "{units} units allowed, with a slice of {slice}");
+        assert!(units + 3.0 <= fleet_quota(seconds), "{units} of {}", fleet_quota(seconds));
     });
 }
 
 #[test]
-fn told_to_stop_it_answers_what_it_has_taken_and_ends() {
+fn stopping_instance_answers_open_checks_and_ends() {
     local(async {
         let authoriser = Authoriser::start(Manner::Stall).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let (listener, (stop, stopped)) = (listener().await, tokio::sync::oneshot::channel::<()>());
         let at = listener.local_addr().unwrap();
         let config = config(&consul, &[]);
-        let (_ways, ways) = tokio::sync::watch::channel(config.reloadable());
+        let (_reloads, reloads) = tokio::sync::watch::channel(config.reloadable());
         let stopped = async { drop(stopped.await) };
-        let running = spawn_local(node::serve_authz(config, listener, quiet(), ways, stopped));
-        let asking = spawn_local(check(at, message(MOVE, 1), LONG));
+        let running = spawn_local(node::serve_authz(config, listener, quiet(), reloads, stopped));
+        let pending = spawn_local(check(at, check_request(MOVE_PATH, 1), LONG_TIMEOUT));
         authoriser.called.notified().await;
         stop.send(()).unwrap();
-        assert_eq!(denial(&asking.await.unwrap().unwrap()).0, 504);
+        assert_eq!(denial(&pending.await.unwrap().unwrap()).0, 504);
         running.await.unwrap().unwrap();
         assert!(open(at).await.is_err());
     });
 }
 
 #[test]
-fn a_connection_that_went_silent_is_given_up_for_a_new_one() {
+fn silent_connection_to_an_authoriser_is_replaced() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let cable = Cable::to(authoriser.at).await;
         let consul = Consul::start(vec![instance("a", cable.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
-        // What is connected now stays open and silent; new connections come up.
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
+        // Existing connections stay open but silent; new ones can be established.
         cable.cut();
-        while ask(at, BOARD, 1).await != allow() {}
+        while ask(at, BOARD_PATH, 1).await != allow() {}
     });
 }
 
 #[test]
-fn a_bad_check_is_an_invalid_argument_and_reaches_nobody() {
+fn malformed_check_is_an_invalid_argument_and_reaches_no_authoriser() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[])).await;
-        let without = |name: &str, value: Option<&str>| {
-            let mut check = CheckRequest::decode(message(MOVE, 1)).unwrap();
+        // The check with this header set to the value, or removed if it is `None`.
+        let with_header = |name: &str, value: Option<&str>| {
+            let mut check = CheckRequest::decode(check_request(MOVE_PATH, 1)).unwrap();
             let attributes = check.attributes.as_mut().unwrap();
             let headers = &mut attributes.request.as_mut().unwrap().http.as_mut().unwrap().headers;
             headers.remove(name);
             value.map(|value| headers.insert(name.to_owned(), value.to_owned()));
             Bytes::from(check.encode_to_vec())
         };
-        let bad = [
+        let malformed = [
             Bytes::from_static(b"\xff\xff\xff garbage"),
             Bytes::new(),
-            message("/nowhere", 1),
-            message(BOARD, 7),
-            message(BOARD, 0),
-            without("x-club", None),
-            without("x-tier", Some("gold")),
-            without("idempotency-key", None),
-            without("x-units", Some("many")),
-            without("x-set", Some("spread=0,first=0")),
-            without("x-long", Some(&"x".repeat(70_000))),
+            check_request("/nowhere", 1),
+            check_request(BOARD_PATH, 7),
+            check_request(BOARD_PATH, 0),
+            with_header("x-club", None),
+            with_header("x-tier", Some("gold")),
+            with_header("idempotency-key", None),
+            with_header("x-units", Some("many")),
+            with_header("x-set", Some("spread=0,first=0")),
+            with_header("x-long", Some(&"x".repeat(70_000))),
         ];
-        for check_of in bad {
-            let status = check(at, check_of, LONG).await.unwrap_err();
+        for encoded in malformed {
+            let status = check(at, encoded, LONG_TIMEOUT).await.unwrap_err();
             assert_eq!(status.code(), Code::InvalidArgument, "{status}");
         }
         assert_eq!(authoriser.count(), 0);
-        assert_eq!(ask(at, MOVE, 1).await, allow());
+        assert_eq!(ask(at, MOVE_PATH, 1).await, allow());
     });
 }
 
 #[test]
-fn only_where_the_operator_says_so_do_failures_allow() {
+fn failed_check_is_allowed_only_if_fail_open_is_set() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(Bytes::from_static(b"\xff garbage"))).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
-        let closed = start(config(&consul, &[])).await;
-        assert_eq!(denial(&ask(closed, MOVE, 1).await).0, 502, "garbage is no verdict");
-        let open = start(config(&consul, &[("fail_open = false", "fail_open = true")])).await;
-        let answer = CheckResponse::decode(ask(open, MOVE, 1).await).unwrap();
+        let fail_closed = start(config(&consul, &[])).await;
+        assert_eq!(
+            denial(&ask(fail_closed, MOVE_PATH, 1).await).0,
+            502,
+            "an undecodable response is a failure"
+        );
+        let fail_open = start(config(&consul, &[("fail_open = false", "fail_open = true")])).await;
+        let answer = CheckResponse::decode(ask(fail_open, MOVE_PATH, 1).await).unwrap();
         assert!(matches!(answer.http_response, Some(HttpResponse::Ok(_))));
         assert_eq!(answer.status.unwrap().code, 0);
     });
 }
 
 #[test]
-fn consul_may_go_back_fail_or_lie_and_the_list_stays() {
+fn list_is_kept_when_consul_fails_replies_wrongly_or_its_index_goes_back() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let at = start(config(&consul, &[("wait_ms = 55000", "wait_ms = 100")])).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
         let more_queries = |n: usize| {
             let (asked, before) = (consul.asked.clone(), consul.asked.borrow().len());
             until(move || asked.borrow().len() >= before + n)
         };
-        for lie in [(500, "no leader"), (200, "not json"), (200, "{}"), (200, "[]")] {
-            *consul.lie.borrow_mut() = Some((lie.0, lie.1.into()));
+        for reply in [(500, "no leader"), (200, "not json"), (200, "{}"), (200, "[]")] {
+            *consul.lie.borrow_mut() = Some((reply.0, reply.1.into()));
             more_queries(2).await;
-            assert_eq!(ask(at, BOARD, 1).await, allow(), "after {lie:?}");
+            assert_eq!(ask(at, BOARD_PATH, 1).await, allow(), "after {reply:?}");
             *consul.lie.borrow_mut() = None;
             more_queries(1).await;
         }
-        // The index goes back: the next query does not wait for the old one.
+        // The index goes back: the next query does not wait for the earlier, higher index.
         consul.set(Some(3), vec![instance("a", authoriser.at, 0, "passing")]);
         consul.asked.borrow_mut().clear();
         until(|| consul.asked.borrow().iter().any(|target| target.contains("index=3&"))).await;
         assert!(consul.asked.borrow().iter().any(|target| !target.contains("index=")));
-        assert_eq!(ask(at, BOARD, 1).await, allow());
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
     });
 }
 
-/// Callers that connect and say nothing must not hold the room for those that ask.
+/// Connections that never send anything must not take the place of those that send checks.
 #[test]
-fn a_silent_caller_is_closed() {
+fn silent_connection_of_a_caller_is_closed() {
     local(async {
         use tokio::io::AsyncReadExt;
         let consul = Consul::start(vec![]).await;
         let at = start(config(&consul, &[])).await;
         let mut silent = tokio::net::TcpStream::connect(at).await.unwrap();
-        // What the server says of itself comes first; then the end, or a reset.
-        let mut said = Vec::new();
-        let _ = silent.read_to_end(&mut said).await;
+        // The HTTP/2 settings of the server come first, then the end of the stream or a reset.
+        let mut received = Vec::new();
+        let _ = silent.read_to_end(&mut received).await;
     });
 }
 
-/// An instance of 64 descriptors has room for 17 callers.
+/// An instance that is limited to 64 descriptors accepts 17 callers at once.
 #[test]
-fn callers_that_ask_once_and_stay_do_not_hold_the_room_for_good() {
+fn idle_callers_do_not_block_new_ones_for_good() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
         let changes = [
             ("sockets = 1024", "sockets = 64"),
             ("max_connection_age_ms = 60000", "max_connection_age_ms = 500"),
-            // All of them are inside the quota, however fast they come.
+            // All checks are within the quota, however fast they arrive.
             ("storeSize = 27.0", "storeSize = 1000.0"),
         ];
         let at = start(config(&consul, &changes)).await;
-        let mut staying = Vec::new();
+        let mut idle = Vec::new();
         for _ in 0..30 {
             let sender = open(at).await.unwrap();
-            let asked = call(sender.clone(), at, tonic::Request::new(message(BOARD, 1))).await;
-            assert_eq!(asked.unwrap(), allow());
-            staying.push(sender);
+            let response = call(sender.clone(), at, tonic::Request::new(check_request(BOARD_PATH, 1))).await;
+            assert_eq!(response.unwrap(), allow());
+            idle.push(sender);
         }
     });
 }
 
 #[test]
-fn the_operators_door_counts_checks_takes_authorisers_out_and_drains_callers() {
-    use stand_ins::door::{call as tell, figures};
+fn admin_interface_counts_checks_disables_authorisers_and_drains_callers() {
+    use stand_ins::door::{call as command, figures};
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
-        let door = own_address();
-        let said = format!("management = \"{door}\"");
-        let at = start(config(&consul, &[("# management = \"127.0.0.1:9901\"", &said)])).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
-        assert_eq!(tell(door, "disable-server nobody\n").await, "fail no such server\n");
-        assert_eq!(tell(door, "disable-server n1/a\n").await, "ok\n");
-        assert_eq!(denial(&ask(at, BOARD, 1).await).0, 429, "nothing is left to ask");
-        let all = figures(door).await;
-        assert_eq!(all["svc_completed_total{lane=\"board-state\"}"], 1);
-        assert_eq!(all["svc_rejected_total{lane=\"board-state\"}"], 1);
-        assert_eq!((all["svc_upstream_requests_total"], all["svc_pending"]), (1, 0));
-        assert_eq!((all["svc_members"], all["svc_members_unavailable"]), (1, 1));
-        assert_eq!(tell(door, "enable-server n1/a\n").await, "ok\n");
-        // A caller that stays is told to connect anew; who does so is served all the same.
+        let admin = own_address();
+        let management = format!("management = \"{admin}\"");
+        let at = start(config(&consul, &[("# management = \"127.0.0.1:9901\"", &management)])).await;
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
+        assert_eq!(command(admin, "disable-server nobody\n").await, "fail no such server\n");
+        assert_eq!(command(admin, "disable-server n1/a\n").await, "ok\n");
+        assert_eq!(denial(&ask(at, BOARD_PATH, 1).await).0, 429, "no authoriser is left");
+        let metrics = figures(admin).await;
+        assert_eq!(metrics["svc_completed_total{lane=\"board-state\"}"], 1);
+        assert_eq!(metrics["svc_rejected_total{lane=\"board-state\"}"], 1);
+        assert_eq!((metrics["svc_upstream_requests_total"], metrics["svc_pending"]), (1, 0));
+        assert_eq!((metrics["svc_members"], metrics["svc_members_unavailable"]), (1, 1));
+        assert_eq!(command(admin, "enable-server n1/a\n").await, "ok\n");
+        // A drain closes open connections; a caller that connects again is still served.
         let kept = open(at).await.unwrap();
-        assert_eq!(tell(door, "drain\n").await, "ok draining\n");
+        assert_eq!(command(admin, "drain\n").await, "ok draining\n");
         until(|| kept.is_closed()).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
-        assert_eq!(tell(door, "resume\n").await, "ok\n");
-        assert_eq!(ask(at, BOARD, 1).await, allow());
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
+        assert_eq!(command(admin, "resume\n").await, "ok\n");
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
     });
 }
 
 #[test]
-fn an_agent_that_fails_has_no_leader_or_is_too_old_is_left_for_the_next() {
+fn agent_that_fails_has_no_leader_or_is_too_stale_is_replaced_by_the_next() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let other = Authoriser::start(Manner::Answer(deny())).await;
-        let bad: [fn(&Consul); 3] = [
+        let faults: [fn(&Consul); 3] = [
             |consul| *consul.lie.borrow_mut() = Some((500, "no".into())),
             |consul| consul.says.borrow_mut().push_str("X-Consul-KnownLeader: false\r\n"),
             |consul| consul.says.borrow_mut().push_str("X-Consul-LastContact: 9000\r\n"),
         ];
-        for spoil in bad {
-            let one = Consul::start(vec![instance("b", other.at, 0, "passing")]).await;
-            let two = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
-            spoil(&one);
-            let more = format!("wait_ms = 55000\nothers = [\"{}\"]\nmax_stale_ms = 5000", two.at);
-            let at = start(config(&one, &[("wait_ms = 55000", &more)])).await;
-            assert_eq!(ask(at, BOARD, 1).await, allow(), "by the second agent's word");
-            assert!(two.asked.borrow()[0].contains("?stale"));
+        for inject in faults {
+            let first = Consul::start(vec![instance("b", other.at, 0, "passing")]).await;
+            let second = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
+            inject(&first);
+            let keys = format!("wait_ms = 55000\nothers = [\"{}\"]\nmax_stale_ms = 5000", second.at);
+            let at = start(config(&first, &[("wait_ms = 55000", &keys)])).await;
+            assert_eq!(
+                ask(at, BOARD_PATH, 1).await,
+                allow(),
+                "answered by the authoriser that the second agent lists"
+            );
+            assert!(second.asked.borrow()[0].contains("?stale"));
         }
     });
 }
 
 #[test]
-fn a_health_answer_that_loses_most_is_put_to_the_catalogue_and_a_critical_is_obeyed_at_once() {
+fn mass_withdrawal_is_checked_with_the_catalogue_and_critical_health_takes_effect_at_once() {
     use stand_ins::door::figures;
     local(async {
         let mut authorisers = Vec::new();
         for _ in 0..6 {
             authorisers.push(Authoriser::start(Manner::Answer(allow())).await);
         }
-        let all = |status: &str, n: usize| -> Vec<_> {
+        let instances = |status: &str, n: usize| -> Vec<_> {
             (0..n).map(|i| instance(&format!("a{i}"), authorisers[i].at, 0, status)).collect()
         };
-        let consul = Consul::start(all("passing", 6)).await;
-        let door = own_address();
-        let said = format!("management = \"{door}\"");
-        let at = start(config(&consul, &[("# management = \"127.0.0.1:9901\"", &said)])).await;
-        assert_eq!(ask(at, BOARD, 1).await, allow());
-        let members = async || {
-            let all = figures(door).await;
-            (all["svc_members"], all["svc_members_unavailable"])
+        let consul = Consul::start(instances("passing", 6)).await;
+        let admin = own_address();
+        let management = format!("management = \"{admin}\"");
+        let at = start(config(&consul, &[("# management = \"127.0.0.1:9901\"", &management)])).await;
+        assert_eq!(ask(at, BOARD_PATH, 1).await, allow());
+        let member_counts = async || {
+            let metrics = figures(admin).await;
+            (metrics["svc_members"], metrics["svc_members_unavailable"])
         };
-        assert_eq!(members().await, (6, 0));
-        *consul.lie.borrow_mut() = Some((200, serde_json::Value::from(all("passing", 1)).to_string()));
-        consul.set(None, all("passing", 6));
+        assert_eq!(member_counts().await, (6, 0));
+        *consul.lie.borrow_mut() = Some((200, serde_json::Value::from(instances("passing", 1)).to_string()));
+        consul.set(None, instances("passing", 6));
         until(|| consul.asked.borrow().iter().any(|target| target.starts_with("/v1/catalog/service/"))).await;
         let asked = consul.asked.borrow().len();
         until(|| consul.asked.borrow().len() > asked + 3).await;
-        assert_eq!(members().await, (6, 0), "the catalogue holds them all");
-        // What the catalogue does not hold is gone.
-        consul.set(None, all("passing", 1));
-        while members().await != (1, 0) {}
+        assert_eq!(member_counts().await, (6, 0), "the catalogue still lists all of them");
+        // Authorisers that the catalogue no longer lists are withdrawn.
+        consul.set(None, instances("passing", 1));
+        while member_counts().await != (1, 0) {}
         *consul.lie.borrow_mut() = None;
-        consul.set(None, all("critical", 1));
-        while members().await != (1, 1) {}
+        consul.set(None, instances("critical", 1));
+        while member_counts().await != (1, 1) {}
     });
 }
 
-/// Asks without a pause for so long, on a new connection where the last one takes no more; how many checks were answered,
-/// and how many were surely never looked at.
-async fn asks_for(at: SocketAddr, span: std::time::Duration) -> (usize, usize) {
-    let (mut answered, mut unseen, began) = (0, 0, std::time::Instant::now());
+/// Sends checks without a pause for `span`, reconnecting when the connection accepts no more. Returns the number of checks
+/// that were answered and the number of those that were certainly not processed.
+async fn send_checks_for(at: SocketAddr, span: std::time::Duration) -> (usize, usize) {
+    let (mut answered, mut unprocessed, began) = (0, 0, std::time::Instant::now());
     let mut sender = open(at).await.unwrap();
     while began.elapsed() < span {
-        match call(sender.clone(), at, tonic::Request::new(message(BOARD, 1))).await {
+        match call(sender.clone(), at, tonic::Request::new(check_request(BOARD_PATH, 1))).await {
             Ok(_) => answered += 1,
             Err((Outcome::ConnectFailed | Outcome::Rejected, _)) => {
-                unseen += 1;
+                unprocessed += 1;
                 sender = open(at).await.unwrap();
             }
-            Err(lost) => panic!("after {answered}: {lost:?}"),
+            Err(error) => panic!("after {answered} answers: {error:?}"),
         }
     }
-    (answered, unseen)
+    (answered, unprocessed)
 }
 
-/// Callers ask without a pause on connections that are told again and again to connect elsewhere.
+/// Callers send checks without a pause, while the instance closes their connections again and again with GOAWAY.
 #[test]
-fn a_check_that_crosses_the_word_to_connect_elsewhere_is_answered_or_was_never_looked_at() {
+fn check_that_crosses_a_goaway_is_answered_or_was_not_processed() {
     local(async {
         let authoriser = Authoriser::start(Manner::Answer(allow())).await;
         let consul = Consul::start(vec![instance("a", authoriser.at, 0, "passing")]).await;
@@ -632,13 +668,14 @@
             ("storeSize = 27.0", "storeSize = 1e6"),
         ];
         let at = start(config(&consul, &changes)).await;
-        let callers: Vec<_> = (0..4).map(|_| spawn_local(asks_for(at, 20 * GONE))).collect();
-        let (mut answered, mut unseen) = (0, 0);
-        for one in callers {
-            let (some, others) = one.await.unwrap();
-            (answered, unseen) = (answered + some, unseen + others);
+        let callers: Vec<_> =
+            (0..4).map(|_| spawn_local(send_checks_for(at, 20 * CANCELLATION_DELAY))).collect();
+        let (mut answered, mut unprocessed) = (0, 0);
+        for caller in callers {
+            let (answered_here, unprocessed_here) = caller.await.unwrap();
+            (answered, unprocessed) = (answered + answered_here, unprocessed + unprocessed_here);
         }
-        assert!(answered > 80 && unseen >= 4, "{answered} answered, {unseen} to be sent again");
-        assert_eq!(authoriser.count(), answered, "what was not answered was never looked at");
+        assert!(answered > 80 && unprocessed >= 4, "{answered} answered, {unprocessed} to be sent again");
+        assert_eq!(authoriser.count(), answered, "unanswered checks were not processed");
     });
 }
