--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Cluster membership in simulated time: crashes, pauses, datagram loss, network partitions and restarts, with fixed
-//! seeds.
+//! Cluster membership in simulated time: crashes, pauses, datagram loss, network partitions and restarts,
+//! with fixed seeds.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,7 +23,8 @@
 struct Node {
     cluster: Cluster,
     running: bool,
-    /// The simulated time, in milliseconds, until which the process is paused. Datagrams that arrive before are delayed.
+    /// The simulated time, in milliseconds, until which the process is paused. Datagrams that arrive before
+    /// are delayed.
     paused_until: f64,
     /// The simulated time of the next tick, in milliseconds.
     next_tick: f64,
@@ -71,12 +72,14 @@
     stalls: usize,
     /// How often a node noticed another process with its own name or number.
     conflicts: usize,
-    /// Changes of operators' notices: the time in milliseconds, the receiving node, the subject, whether it is active.
+    /// Changes of operators' notices: the time in milliseconds, the receiving node, the subject, whether it
+    /// is active.
     notice_changes: Vec<(f64, usize, Subject, bool)>,
 }
 
 impl Network {
-    /// Starts `count` nodes within one second in random order. The seeds of each are the first node and the next one.
+    /// Starts `count` nodes within one second in random order. The seeds of each are the first node and the
+    /// next one.
     fn new(count: usize, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let node = |n: usize, rng: &mut fastrand::Rng| Node {
@@ -452,7 +455,8 @@
             (all(40), all(40)),
             "loss rate {loss}"
         );
-        // Node 9 is cut off and node 12 is down while the notice ends; both come back with the outdated notice.
+        // Node 9 is cut off and node 12 is down while the notice ends; both come back with the outdated
+        // notice.
         network.link_is_up = Box::new(move |now, a, b| now > 20_000.0 || (a == 9) == (b == 9));
         let outdated: Vec<_> = network.nodes[12].cluster.notices().iter().cloned().collect();
         network.nodes[12].running = false;
--- a/tests/cluster_model.rs
+++ b/tests/cluster_model.rs
@@ -1,8 +1,8 @@
-//! A bounded search through the faults that may happen to a cluster of three ingresses. Each datagram of a period may be
-//! lost, delayed or duplicated, or be the last one before its sender crashes and restarts, pauses or is cut off; and any
-//! two of these faults may happen close together. In every execution, once the faults have ended, the views converge, no
-//! reachable ingress stays dead, no older version replaces a newer one, and a notice that ended is not active
-//! on some nodes only.
+//! A bounded search through the faults that may happen to a cluster of three ingresses. Each datagram of a
+//! period may be lost, delayed or duplicated, or be the last one before its sender crashes and restarts,
+//! pauses or is cut off; and any two of these faults may happen close together. In every execution, once the
+//! faults have ended, the views converge, no reachable ingress stays dead, no older version replaces a newer
+//! one, and a notice that ended is not active on some nodes only.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -65,7 +65,8 @@
     cut_off_until: [f64; NODES],
     /// The time at which each crashed node restarts.
     restarts_at: [f64; NODES],
-    /// Datagrams in transit (from, to, bytes), by their time of arrival in microseconds and their sequence number.
+    /// Datagrams in transit (from, to, bytes), by their time of arrival in microseconds and their sequence
+    /// number.
     in_transit: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     /// The sequence number of the last datagram.
     sequence: u64,
@@ -265,8 +266,8 @@
             let views: Vec<_> = self.nodes.iter().map(view).collect();
             self.violation = Some(format!("the views have not converged: {views:?}"));
         }
-        // A node that crashes while it publishes the end may have sent it to nobody: then the notice may stay active, but on
-        // all nodes alike.
+        // A node that crashes while it publishes the end may have sent it to nobody: then the notice may stay
+        // active, but on all nodes alike.
         let active: Vec<bool> =
             self.nodes.iter().flatten().map(|node| node.notices().is_active(&subject())).collect();
         if self.violation.is_none() && active.contains(&true) && active.contains(&false) {
@@ -276,8 +277,8 @@
     }
 }
 
-/// Plays every plan of one or two faults; returns the number of plans and the violations. For a variant with a disabled
-/// rule, eight first positions are tried and the first violation of each is kept.
+/// Plays every plan of one or two faults; returns the number of plans and the violations. For a variant with
+/// a disabled rule, eight first positions are tried and the first violation of each is kept.
 fn search(variant: Variant) -> (usize, Vec<String>) {
     let world = World::new(variant);
     let plans_from = |first: usize| {
--- a/tests/consul.rs
+++ b/tests/consul.rs
@@ -1,4 +1,5 @@
-//! Consul as the source of the backend list: faults and edge cases against a stand-in agent, over real sockets.
+//! Consul as the source of the backend list: faults and edge cases against a stand-in agent, over real
+//! sockets.
 
 mod stand_ins;
 
@@ -13,8 +14,8 @@
 use tokio::task::spawn_local;
 use weldhub::config::{AuthzConfig, Config};
 
-/// The configuration of an ingress that finds its backends in Consul, with these additional `consul` keys, and the address
-/// of its admin interface.
+/// The configuration of an ingress that finds its backends in Consul, with these additional `consul` keys,
+/// and the address of its admin interface.
 async fn consul_config(agents: &[SocketAddr], keys: Value) -> (Value, SocketAddr) {
     let mut config = told(agents[0], vec![]);
     let fields = config.as_object_mut().unwrap();
@@ -81,8 +82,8 @@
         let (ingress, admin) = start(&[consul.at], json!({})).await;
         assert_eq!(member_counts(admin).await, (2, 0));
         served_by(ingress.at, "a").await;
-        // Node maintenance, service maintenance, zero weight, critical health and deregistration each take effect with the
-        // next reply.
+        // Node maintenance, service maintenance, zero weight, critical health and deregistration each take
+        // effect with the next reply.
         let with = |path: &str, value: Value| {
             let mut instances = listed(&backends, passing);
             *instances[0].pointer_mut(path).unwrap() = value;
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn mass_withdrawal_is_not_believed_while_the_catalogue_fails() {
+fn mass_withdrawal_is_not_accepted_while_the_catalogue_fails() {
     local(async {
         let backends = start_backends(6).await;
         let consul = Consul::start(listed(&backends, passing)).await;
@@ -273,7 +274,8 @@
         let (mut config, admin) = consul_config(&[consul.at], json!({})).await;
         config["settings"]["limits"]["connectTimeout"] = json!(1200.0);
         let ingress = ingress::start(&config).await;
-        // One request waits for its answer from the healthy backend, the other for its connection to the full one.
+        // One request waits for its answer from the healthy backend, the other for its connection to the full
+        // one.
         healthy[0].behave(Serve::Stall);
         let mut clients = Vec::new();
         for id in ["a", "b"] {
@@ -444,7 +446,8 @@
     AuthzConfig::read(include_str!("../deploy/ext-authz.toml"), |_| None).unwrap();
 }
 
-/// A scripted health check flaps all the time: the backend is drained at every critical report and returns ever later.
+/// A scripted health check flaps all the time: the backend is drained at every critical report and returns
+/// ever later.
 #[test]
 fn flapping_health_never_delays_a_drain() {
     local(async {
--- a/tests/ext_authz.rs
+++ b/tests/ext_authz.rs
@@ -78,7 +78,8 @@
     check(at, check_request(path, units), LONG_TIMEOUT).await.unwrap()
 }
 
-/// The HTTP status of a denial and its `retry-after` header; status 0 if the response does not deny the request.
+/// The HTTP status of a denial and its `retry-after` header; status 0 if the response does not deny the
+/// request.
 fn denial(answer: &Bytes) -> (i32, Option<String>) {
     match CheckResponse::decode(answer.clone()).unwrap().http_response {
         Some(HttpResponse::Denied(denied)) => {
@@ -238,7 +239,8 @@
     });
 }
 
-/// The configuration disables cancellation: the first attempt is in flight when the caller cancels, and breaks 0.1 s later.
+/// The configuration disables cancellation: the first attempt is in flight when the caller cancels, and
+/// breaks 0.1 s later.
 #[test]
 fn check_cancelled_during_its_first_attempt_is_not_retried() {
     local(async {
@@ -249,7 +251,8 @@
         authoriser.called.notified().await;
         pending.abort();
         tokio::time::sleep(CANCELLATION_DELAY).await;
-        // On another check the authoriser closes its connection, which breaks the attempt of the cancelled check too.
+        // On another check the authoriser closes its connection, which breaks the attempt of the cancelled
+        // check too.
         authoriser.behave(Manner::VanishOnce(Arc::default(), allow()));
         assert_eq!(ask(at, "/api/boards/18", 1).await, allow());
         authoriser.dropped.notified().await;
@@ -311,8 +314,8 @@
     });
 }
 
-/// Sends 24 checks of 3 units to two instances of one fleet in turn; returns how many each allowed. The plan allows a burst of
-/// 27 units.
+/// Sends 24 checks of 3 units to two instances of one fleet in turn; returns how many each allowed. The plan
+/// allows a burst of 27 units.
 async fn allowed_by_two_instances(consul: &Consul, changes: &[(&str, &str)]) -> [u32; 2] {
     let mut at = Vec::new();
     for number in ["myNumber = 0", "myNumber = 1"] {
@@ -351,8 +354,9 @@
         assert_eq!(allowed, [4, 4]);
         assert_eq!(authoriser.count(), 16);
         let counted: f64 = counter.numbers.borrow().values().sum();
-        // The units of a rejected check are returned to the counter with the next call: those of one check of each instance
-        // may not have been returned yet. Full slices overflow by a thousandth of a unit per second.
+        // The units of a rejected check are returned to the counter with the next call: those of one check of
+        // each instance may not have been returned yet. Full slices overflow by a thousandth of a unit per
+        // second.
         assert!((-0.1..=6.0).contains(&counted), "{counted}");
         assert!(counter.calls.get() >= 8);
     });
@@ -639,8 +643,8 @@
     });
 }
 
-/// Sends checks without a pause for `span`, reconnecting when the connection accepts no more. Returns the number of checks
-/// that were answered and the number of those that were certainly not processed.
+/// Sends checks without a pause for `span`, reconnecting when the connection accepts no more. Returns the
+/// number of checks that were answered and the number of those that were certainly not processed.
 async fn send_checks_for(at: SocketAddr, span: std::time::Duration) -> (usize, usize) {
     let (mut answered, mut unprocessed, began) = (0, 0, std::time::Instant::now());
     let mut sender = open(at).await.unwrap();
@@ -657,7 +661,8 @@
     (answered, unprocessed)
 }
 
-/// Callers send checks without a pause, while the instance closes their connections again and again with GOAWAY.
+/// Callers send checks without a pause, while the instance closes their connections again and again with
+/// GOAWAY.
 #[test]
 fn check_that_crosses_a_goaway_is_answered_or_was_not_processed() {
     local(async {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Cluster membership among several processes of the program, while some are killed, paused, resumed and restarted.
+//! Cluster membership among several processes of the program, while some are killed, paused, resumed and
+//! restarted.
 
 mod stand_ins;
 
@@ -123,7 +124,8 @@
         assert_eq!(figures(fleet.addresses[0].1).await["svc_cluster_dead"], 1);
         fleet.start(4).await;
         fleet.until_agreed(&[0, 1, 2, 3, 4], &["alive"; 5]).await;
-        // A process that was paused for longer than the suspicion period notices it, queries the others, and is alive again.
+        // A process that was paused for longer than the suspicion period notices it, queries the others, and
+        // is alive again.
         let paused = fleet.programs[2].as_ref().unwrap();
         paused.signal("STOP");
         fleet.until_agreed(&[0, 1, 3, 4], &["alive", "alive", "dead", "alive", "alive"]).await;
@@ -184,7 +186,8 @@
         for admin in &admins {
             until_unavailable(*admin, 1).await;
         }
-        // An ingress is drained through the admin interface of another one: it is no longer ready, and all members see it.
+        // An ingress is drained through the admin interface of another one: it is no longer ready, and all
+        // members see it.
         assert!(call(admins[0], "drain n7\n").await.starts_with("fail"));
         assert_eq!(call(admins[0], "drain n2\n").await, "ok\n");
         fleet.until_agreed(&[0, 1], &["alive", "alive", "alive drained"]).await;
@@ -197,7 +200,8 @@
         }
         assert_eq!(call(admins[0], "enable-server s1\n").await, "ok\n");
         until_unavailable(admins[0], 0).await;
-        // Both restart, one with its stored notices and one without. The backend stays enabled, and the drain still holds.
+        // Both restart, one with its stored notices and one without. The backend stays enabled, and the drain
+        // still holds.
         std::fs::remove_dir_all(&fleet.folders[2]).unwrap();
         std::fs::create_dir_all(&fleet.folders[2]).unwrap();
         fleet.start(1).await;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Lists of 1,100 ingresses and 2,000 backends, in the configuration and from discovery: every entry is used, and the
-//! program stays within the smallest memory limit of an ingress.
+//! Lists of 1,100 ingresses and 2,000 backends, in the configuration and from discovery: every entry is used,
+//! and the program stays within the smallest memory limit of an ingress.
 
 mod stand_ins;
 
@@ -40,8 +40,8 @@
     service_entry(&format!("server-of-a-large-fleet-{i:06}"), at, (i % 40) as u16, lifecycle)
 }
 
-/// Eight clients send one request after another. One in ten requests is of a customer spread over 60 ingresses, the last
-/// ones of the list among them.
+/// Eight clients send one request after another. One in ten requests is of a customer spread over 60
+/// ingresses, the last ones of the list among them.
 async fn send_requests(at: SocketAddr) {
     let mut clients = Vec::new();
     for c in 0..8 {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -151,7 +151,8 @@
         busy.send(&board("c", 1400, 1)).await;
         let mut rest = BytesMut::new();
         assert_eq!(idle.0.read_buf(&mut rest).await.unwrap(), 0, "an idle connection is closed");
-        // A new connection is still served, and its answer closes it; so does the answer to the request in flight.
+        // A new connection is still served, and its answer closes it; so does the answer to the request in
+        // flight.
         backend.behave(ok("x"));
         let mut late = Client::new(ingress.at).await;
         let answer = late.ask(&board("d", 900, 1)).await;
@@ -221,7 +222,8 @@
     });
 }
 
-/// The attempt waits for a connection while the backend is disabled; the connection is established afterwards.
+/// The attempt waits for a connection while the backend is disabled; the connection is established
+/// afterwards.
 #[test]
 fn request_waiting_for_a_connection_is_not_sent_to_a_backend_disabled_meanwhile() {
     local(async {
@@ -240,8 +242,8 @@
     });
 }
 
-/// An incomplete command is ignored when its connection ends. A complete one takes effect although its connection is reset
-/// before the answer.
+/// An incomplete command is ignored when its connection ends. A complete one takes effect although its
+/// connection is reset before the answer.
 #[test]
 fn only_complete_commands_of_closed_admin_connections_take_effect() {
     local(async {
