--- a/tests/stand_ins/consul.rs
+++ b/tests/stand_ins/consul.rs
@@ -255,7 +255,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Script {
     /// The address to listen on; a port of the system's choice on loopback by default.
-    #[serde(default = "any_loopback_port")]
+    #[serde(default = "anywhere")]
     pub listen: SocketAddr,
     /// The time at which the script ends, in milliseconds from its start.
     pub end_ms: u64,
@@ -266,7 +266,7 @@
     pub steps: Vec<Step>,
 }
 
-fn any_loopback_port() -> SocketAddr {
+fn anywhere() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
