--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -12,7 +12,7 @@
 use weldhub_emulator::script::Script;
 use weldhub_emulator::world::{IngressSample, Trace, run, shipped_limiter};
 
-/// Runs a whole weldhub fleet in simulated time with the shipped_limiter decision module.
+/// Runs a whole weldhub fleet in simulated time with the shipped decision module.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
--- a/emulator/src/members.rs
+++ b/emulator/src/members.rs
@@ -1,6 +1,6 @@
 //! Simulation of the membership among ingresses at fleet sizes that cannot be run as processes.
 //!
-//! Each ingress is the shipped_limiter [`Cluster`]; datagrams are delayed or lost, and ingresses are killed and
+//! Each ingress is the shipped [`Cluster`]; datagrams are delayed or lost, and ingresses are killed and
 //! paused, all drawn from the seed. Measures how soon a kill is known, how many live ingresses are taken for
 //! dead, and the traffic.
 
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold backends: what they receive, when they fall over, and that the shipped_limiter decisions protect them in
+//! Cold backends: what they receive, when they fall over, and that the shipped decisions protect them in
 //! scripts with many starts.
 
 use weldhub::interface::{BackendId, BackendState};
@@ -20,7 +20,7 @@
     COLD_SCRIPTS.map(|text| Script::read(text).unwrap()).to_vec()
 }
 
-/// The shipped_limiter limiter, except that every attempt goes to the backend with the start that it was notified of
+/// The shipped limiter, except that every attempt goes to the backend with the start that it was notified of
 /// last.
 struct FloodsColdBackend {
     inner: Limiter,
--- a/emulator/tests/fleet.rs
+++ b/emulator/tests/fleet.rs
@@ -118,7 +118,7 @@
     assert!(library.tries < hasty.tries && library.service > 0.95, "{library}");
 }
 
-/// The shipped_limiter limiter, modified to violate one rule.
+/// The shipped limiter, modified to violate one rule.
 struct RuleViolator {
     inner: Limiter,
     /// Name of the rule that it violates.
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -177,8 +177,8 @@
 /// milliseconds.
 const MAX_OVERTIME: f64 = 60_000.0;
 
-/// Returns the settings of `ingress_count` ingresses for a workload. `quota` holds each customer's rate in units
-/// per second and its burst in units; a missing one is one million.
+/// Returns the settings of `ingress_count` ingresses for a workload. `quota` holds each customer's rate in
+/// units per second and its burst in units; a missing one is one million.
 pub fn settings(ingress_count: u16, quota: &[f64], workload: &Workload) -> Settings {
     let class = |class: &Class| LimiterClass {
         aim: f64::from(class.timeout_ms) / 2.0,
--- a/src/net/client_side.rs
+++ b/src/net/client_side.rs
@@ -415,8 +415,8 @@
         if let Some(mut rest) = rest {
             let mut missing =
                 question.content_length.map(|length| length.saturating_sub(question.body.len()));
-            // The request may run once its last byte is written, even before `BodyPiece::End` marks that byte as
-            // the last.
+            // The request may run once its last byte is written, even before `BodyPiece::End` marks that byte
+            // as the last.
             while missing != Some(0) {
                 let piece = tokio::select! {
                     biased;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -39,9 +39,9 @@
 const MAX_REOPEN_DELAY: Millis = 5000.0;
 
 /// With pushed lists, a further attempt to open a watch starts at this interval, in milliseconds, until one
-/// of them has brought a line; the oldest beyond [`MAX_CONCURRENT_WATCH_ATTEMPTS`] is aborted. The agent serves this
-/// machine alone, so the attempts cost nobody else anything. A change counts as known to this ingress as soon
-/// as the agent has it, so a watch must be open within the grace period of a drain.
+/// of them has brought a line; the oldest beyond [`MAX_CONCURRENT_WATCH_ATTEMPTS`] is aborted. The agent
+/// serves this machine alone, so the attempts cost nobody else anything. A change counts as known to this
+/// ingress as soon as the agent has it, so a watch must be open within the grace period of a drain.
 const ATTEMPT_INTERVAL: Millis = 120.0;
 /// The same interval once an attempt has been accepted but has brought no complete line, in milliseconds. The
 /// agent may have nothing to send for 2 s.
